--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -17,19 +17,19 @@
   const Bid &m_Bid;           ///< As sent.
   ClassState &m_Class;        ///< Its row; part of the pool.
   WorkspaceUse &m_Use;        ///< Its workspace's account in the class.
-  bool m_IsFree;              ///< Bids again by our doing.
+  bool m_IsExempt;            ///< Bids again by our doing.
   double m_Tokens;            ///< Output to reserve.
   std::uint8_t m_Preemptions; ///< Carried over.
 };
 
 /// A limit that stands against a bid.
-struct Verdict {
+struct CheckResult {
   RefusalReason m_Reason = RefusalReason::None; ///< None: taken in.
   Duration m_RetryAfter{};                      ///< As in Refuse.
 };
 
-Verdict checkBuckets(const Pool &In, const Arrival &New) {
-  const TimePoint Now = In.m_Now;
+CheckResult checkBuckets(const Pool &P, const Arrival &New) {
+  const TimePoint Now = P.m_Now;
   const ClassState &Class = New.m_Class;
   if (!Class.m_Rate.has(1.0, Now))
     return {RefusalReason::ClassRate, Class.m_Rate.until(1.0, Now)};
@@ -44,64 +44,65 @@
   return {};
 }
 
-Flow *longestFlow(Lane &Of) {
+Flow *longestFlow(Lane &L) {
   Flow *Longest = nullptr;
-  for (auto &[Workspace, One] : Of.m_Flows)
-    if (!One.m_Queue.empty() &&
+  for (auto &[Workspace, Candidate] : L.m_Flows)
+    if (!Candidate.m_Queue.empty() &&
         (Longest == nullptr ||
-         std::pair(One.m_Queue.size(), Workspace) >
+         std::pair(Candidate.m_Queue.size(), Workspace) >
              std::pair(Longest->m_Queue.size(), Longest->m_Workspace)))
-      Longest = &One;
+      Longest = &Candidate;
   return Longest;
 }
 
 /// Refuses the last bid of the workspace that has most of a full queue, unless
 /// that is the newcomer's. Else one workspace's flood would fill the queue and
 /// every other one's bids would be refused at its door.
-bool makeRoom(Pool &In, const Arrival &New) {
-  Lane &Of = New.m_Class.m_OnTime.m_ByDeadline.empty() ? New.m_Class.m_Late
-                                                       : New.m_Class.m_OnTime;
-  const auto Own = Of.m_Flows.find(New.m_Bid.m_Workspace);
-  const std::size_t Mine =
-      Own == Of.m_Flows.end() ? 0 : Own->second.m_Queue.size();
-  if ((Mine + 1) * Of.m_Ready.size() > Of.m_ByDeadline.size())
+bool makeRoom(Pool &P, const Arrival &New) {
+  Lane &Target = New.m_Class.m_OnTime.m_ByDeadline.empty()
+                     ? New.m_Class.m_Late
+                     : New.m_Class.m_OnTime;
+  const auto Own = Target.m_Flows.find(New.m_Bid.m_Workspace);
+  const std::size_t OwnCount =
+      Own == Target.m_Flows.end() ? 0 : Own->second.m_Queue.size();
+  if ((OwnCount + 1) * Target.m_Ready.size() > Target.m_ByDeadline.size())
     return false;
-  Flow *Longest = longestFlow(Of);
-  if (Longest == nullptr || Longest->m_Queue.size() <= Mine + 1)
+  Flow *Longest = longestFlow(Target);
+  if (Longest == nullptr || Longest->m_Queue.size() <= OwnCount + 1)
     return false;
   Request &Last = *Longest->m_Queue.rbegin();
   if (Last.m_IsKept)
     return false;
-  refuseWaiting(In, Last, RefusalReason::QueueFull,
-                comeBackAfter(In, New.m_Class));
+  refuseWaiting(P, Last, RefusalReason::QueueFull,
+                comeBackAfter(P, New.m_Class));
   return true;
 }
 
 /// Refuses a waiting bid of the least urgent tier, if that is less urgent than
 /// the newcomer's.
-bool displace(Pool &In, const Arrival &New) {
-  for (auto At = In.m_Queue.tiers().rbegin(); At != In.m_Queue.tiers().rend();
-       ++At) {
-    if (At->first <= New.m_Class.m_Tier->m_Number)
+bool displace(Pool &P, const Arrival &New) {
+  for (auto It = P.m_Queue.tiers().rbegin(); It != P.m_Queue.tiers().rend();
+       ++It) {
+    if (It->first <= New.m_Class.m_Tier->m_Number)
       return false;
-    for (ClassState *Class : At->second.m_Classes)
-      for (Lane *Of : {&Class->m_Late, &Class->m_OnTime})
-        if (!Of->m_ByDeadline.empty()) {
-          refuseWaiting(In, *Of->m_ByDeadline.rbegin(),
-                        RefusalReason::Displaced, comeBackAfter(In, *Class));
+    for (ClassState *Class : It->second.m_Classes)
+      for (Lane *L : {&Class->m_Late, &Class->m_OnTime})
+        if (!L->m_ByDeadline.empty()) {
+          refuseWaiting(P, *L->m_ByDeadline.rbegin(), RefusalReason::Displaced,
+                        comeBackAfter(P, *Class));
           return true;
         }
   }
   return false;
 }
 
-Verdict checkQueue(Pool &In, const Arrival &New) {
+CheckResult checkQueue(Pool &P, const Arrival &New) {
   const std::uint32_t Limit = New.m_Class.m_Contract.m_MaxQueue;
   const bool IsFull = Limit != 0 && New.m_Class.waiting() >= Limit;
-  if (IsFull && !makeRoom(In, New))
-    return {RefusalReason::QueueFull, comeBackAfter(In, New.m_Class)};
-  if (In.m_Queue.size() >= tuning::MaxWaiting && !displace(In, New))
-    return {RefusalReason::QueueFull, comeBackAfter(In, New.m_Class)};
+  if (IsFull && !makeRoom(P, New))
+    return {RefusalReason::QueueFull, comeBackAfter(P, New.m_Class)};
+  if (P.m_Queue.size() >= tuning::MaxWaiting && !displace(P, New))
+    return {RefusalReason::QueueFull, comeBackAfter(P, New.m_Class)};
   return {};
 }
 
@@ -109,89 +110,90 @@
 /// slots that can be taken back from lower tiers, so what is refused could not
 /// be served by any of them: bids ahead of it would take them all. What lower
 /// tiers hold beyond their floors is taken back first.
-Verdict checkWait(Pool &In, const Arrival &New) {
-  if (In.isBaseline() || In.isRebuilding() || New.m_Bid.m_DoneTokens > 0)
+CheckResult checkWait(Pool &P, const Arrival &New) {
+  if (P.isBaseline() || P.isRebuilding() || New.m_Bid.m_DoneTokens > 0)
     return {};
   const ClassState &Class = New.m_Class;
-  const Duration OnTime = waitOnTime(In, Class, New.m_Bid.m_Workspace);
+  const Duration OnTime = waitOnTime(P, Class, New.m_Bid.m_Workspace);
   const Duration Safe = fromSeconds(tuning::WaitSafety * toSeconds(OnTime));
   if (Safe + Class.m_Allowance <= New.m_Bid.m_UntilTarget)
     return {};
-  const Duration Late = waitLate(In, Class);
-  if (Late <= New.m_Bid.m_UntilLimit || stopAboveFloor(In, Class))
+  const Duration Late = waitLate(P, Class);
+  if (Late <= New.m_Bid.m_UntilLimit || stopAboveFloor(P, Class))
     return {};
   return {RefusalReason::TargetUnreachable, Late - New.m_Bid.m_UntilLimit};
 }
 
-Verdict judge(Pool &In, const Arrival &New) {
-  if (In.m_KnowsUpstreams && !In.isRebuilding() && !hasUpstream(New.m_Class))
+CheckResult checkBid(Pool &P, const Arrival &New) {
+  if (P.m_KnowsUpstreams && !P.isRebuilding() && !hasUpstream(New.m_Class))
     return {RefusalReason::NoUpstream, tuning::NoUpstreamRetryAfter};
-  if (New.m_IsFree)
+  if (New.m_IsExempt)
     return {};
   if (New.m_Bid.m_IsRetry) {
     if (!New.m_Class.m_Retries.spend())
       return {RefusalReason::RetryBudget, tuning::NoUpstreamRetryAfter};
-  } else if (const Verdict Found = checkBuckets(In, New);
-             Found.m_Reason != RefusalReason::None) {
-    return Found;
+  } else if (const CheckResult Result = checkBuckets(P, New);
+             Result.m_Reason != RefusalReason::None) {
+    return Result;
   }
-  New.m_Class.m_Offered.add(In.m_Now);
-  if (const Verdict Found = checkWait(In, New);
-      Found.m_Reason != RefusalReason::None)
-    return Found;
-  return checkQueue(In, New);
+  New.m_Class.m_Offered.add(P.m_Now);
+  if (const CheckResult Result = checkWait(P, New);
+      Result.m_Reason != RefusalReason::None)
+    return Result;
+  return checkQueue(P, New);
 }
 
-void chargeLimits(Pool &In, const Arrival &New) {
-  const bool IsFirst = !New.m_IsFree && !New.m_Bid.m_IsRetry;
+void chargeLimits(Pool &P, const Arrival &New) {
+  const bool IsFirst = !New.m_IsExempt && !New.m_Bid.m_IsRetry;
   if (IsFirst) {
-    New.m_Class.m_Rate.take(1.0, In.m_Now);
-    New.m_Use.m_Rate.take(1.0, In.m_Now);
+    New.m_Class.m_Rate.take(1.0, P.m_Now);
+    New.m_Use.m_Rate.take(1.0, P.m_Now);
     New.m_Class.m_Retries.earn(New.m_Class.m_Contract.m_RetryPercent);
   }
-  New.m_Class.m_Tokens.take(New.m_Tokens, In.m_Now);
-  New.m_Use.m_Tokens.take(New.m_Tokens, In.m_Now);
+  New.m_Class.m_Tokens.take(New.m_Tokens, P.m_Now);
+  New.m_Use.m_Tokens.take(New.m_Tokens, P.m_Now);
 }
 
-void enqueue(Pool &In, const Arrival &New) {
-  const Bid &Asked = New.m_Bid;
-  Request &Made = In.m_Requests[Asked.m_Request];
-  Made.m_Bid = Asked;
-  Made.m_Order = In.m_NextOrder++;
-  Made.m_Class = &New.m_Class;
-  Made.m_State = RequestState::Waiting;
-  Made.m_Reserved = New.m_Tokens;
-  Made.m_Preemptions = New.m_Preemptions;
-  Made.m_IsKept = New.m_IsFree || Asked.m_DoneTokens > 0;
-  Made.m_Limit = In.m_Now + Asked.m_UntilLimit;
+void enqueue(Pool &P, const Arrival &New) {
+  const Bid &NewBid = New.m_Bid;
+  Request &Added = P.m_Requests[NewBid.m_Request];
+  Added.m_Bid = NewBid;
+  Added.m_Order = P.m_NextOrder++;
+  Added.m_Class = &New.m_Class;
+  Added.m_State = RequestState::Waiting;
+  Added.m_Reserved = New.m_Tokens;
+  Added.m_Preemptions = New.m_Preemptions;
+  Added.m_IsKept = New.m_IsExempt || NewBid.m_DoneTokens > 0;
+  Added.m_Limit = P.m_Now + NewBid.m_UntilLimit;
   // A caller that has tokens already waits for no first one: its rest goes to
   // the head of its workspace's flow.
-  const bool HasTarget = Asked.m_DoneTokens == 0 && !In.isBaseline();
-  const TimePoint Target = In.m_Now + Asked.m_UntilTarget;
-  Made.m_FlowKey = HasTarget ? Target : In.m_Now;
-  Made.m_Deadline = HasTarget ? std::min(Target, Made.m_Limit) : Made.m_Limit;
-  In.m_Queue.push(Made, false);
+  const bool HasTarget = NewBid.m_DoneTokens == 0 && !P.isBaseline();
+  const TimePoint Target = P.m_Now + NewBid.m_UntilTarget;
+  Added.m_FlowKey = HasTarget ? Target : P.m_Now;
+  Added.m_Deadline =
+      HasTarget ? std::min(Target, Added.m_Limit) : Added.m_Limit;
+  P.m_Queue.push(Added, false);
 }
 
 /// Tells whether \p Again is the bid of the running attempt, sent twice, and
 /// not one for a next attempt whose end was not heard.
-bool isSameAttempt(const Request &Known, const Bid &Again) {
-  return Known.m_Bid.m_IsRetry == Again.m_IsRetry &&
-         Known.m_Bid.m_Avoid == Again.m_Avoid &&
-         Known.m_Bid.m_DoneTokens == Again.m_DoneTokens;
+bool isSameAttempt(const Request &Known, const Bid &Repeated) {
+  return Known.m_Bid.m_IsRetry == Repeated.m_IsRetry &&
+         Known.m_Bid.m_Avoid == Repeated.m_Avoid &&
+         Known.m_Bid.m_DoneTokens == Repeated.m_DoneTokens;
 }
 
 /// Handles a bid whose id is known; returns true when that was all.
-bool answerKnown(Pool &In, Request &Known, const Bid &Again) {
+bool handleKnown(Pool &P, Request &Known, const Bid &Repeated) {
   switch (Known.m_State) {
   case RequestState::Waiting:
     return true;
   case RequestState::Granted:
-    if (isSameAttempt(Known, Again)) {
-      grantAgain(In, Known);
+    if (isSameAttempt(Known, Repeated)) {
+      grantAgain(P, Known);
       return true;
     }
-    abandon(In, Known);
+    abandon(P, Known);
     return false;
   case RequestState::Returning:
     return false;
@@ -213,39 +215,39 @@
   return RefusalReason::TargetUnreachable;
 }
 
-Duration comeBackAfter(const Pool &In, const ClassState &Class) {
-  const Duration Wait = waitLate(In, Class);
+Duration comeBackAfter(const Pool &P, const ClassState &Class) {
+  const Duration Wait = waitLate(P, Class);
   return std::max(Wait - Class.m_Contract.m_TotalLimit, tuning::MinRetryAfter);
 }
 
-void admit(Pool &In, const Bid &Asked) {
+void admit(Pool &P, const Bid &NewBid) {
   std::uint8_t Preemptions = 0;
-  bool IsFree = false;
-  if (const auto At = In.m_Requests.find(Asked.m_Request);
-      At != In.m_Requests.end()) {
-    if (answerKnown(In, At->second, Asked))
+  bool IsExempt = false;
+  if (const auto At = P.m_Requests.find(NewBid.m_Request);
+      At != P.m_Requests.end()) {
+    if (handleKnown(P, At->second, NewBid))
       return;
   }
-  if (const auto At = In.m_Requests.find(Asked.m_Request);
-      At != In.m_Requests.end()) {
-    IsFree = true;
+  if (const auto At = P.m_Requests.find(NewBid.m_Request);
+      At != P.m_Requests.end()) {
+    IsExempt = true;
     Preemptions = At->second.m_Preemptions;
-    In.m_Requests.erase(At);
+    P.m_Requests.erase(At);
   }
-  ClassState *Class = In.m_Queue.find(Asked.m_Class);
+  ClassState *Class = P.m_Queue.find(NewBid.m_Class);
   if (Class == nullptr)
-    return refuse(In, Asked.m_Request, RefusalReason::UnknownClass, {});
+    return refuse(P, NewBid.m_Request, RefusalReason::UnknownClass, {});
   if (Class->m_Tier == nullptr)
-    return refuse(In, Asked.m_Request, RefusalReason::NoUpstream, {});
+    return refuse(P, NewBid.m_Request, RefusalReason::NoUpstream, {});
   const double Tokens =
-      static_cast<double>(expectedTokens(*Class, Asked, In.m_Now));
-  WorkspaceUse &Use = Class->useOf(Asked.m_Workspace, In.m_Now);
-  const Arrival New{Asked, *Class, Use, IsFree, Tokens, Preemptions};
-  const Verdict Found = judge(In, New);
-  if (Found.m_Reason != RefusalReason::None)
-    return refuse(In, Asked.m_Request, Found.m_Reason, Found.m_RetryAfter);
-  chargeLimits(In, New);
-  enqueue(In, New);
+      static_cast<double>(expectedTokens(*Class, NewBid, P.m_Now));
+  WorkspaceUse &Use = Class->useOf(NewBid.m_Workspace, P.m_Now);
+  const Arrival New{NewBid, *Class, Use, IsExempt, Tokens, Preemptions};
+  const CheckResult Result = checkBid(P, New);
+  if (Result.m_Reason != RefusalReason::None)
+    return refuse(P, NewBid.m_Request, Result.m_Reason, Result.m_RetryAfter);
+  chargeLimits(P, New);
+  enqueue(P, New);
 }
 
 } // namespace crowstep::decision
--- a/src/decision/admission_func.h
+++ b/src/decision/admission_func.h
@@ -7,13 +7,13 @@
 namespace crowstep::decision {
 
 /// Takes a bid in: refuses it, or gives it a place in the queue.
-void admit(Pool &In, const Bid &Asked);
+void admit(Pool &P, const Bid &NewBid);
 
 /// Returns the reason for which a waiting bid can't be served in time.
 RefusalReason lateReason(const Request &Waiting);
 
 /// Returns when coming back can help one that is refused for that reason.
-Duration comeBackAfter(const Pool &In, const ClassState &Class);
+Duration comeBackAfter(const Pool &P, const ClassState &Class);
 
 } // namespace crowstep::decision
 
--- a/src/decision/class.cpp
+++ b/src/decision/class.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double MillisecondsASecond = 1000.0;
+constexpr double MillisecondsPerSecond = 1000.0;
 
 } // namespace
 
@@ -28,17 +28,17 @@
 }
 
 WorkspaceUse &ClassState::useOf(WorkspaceId Workspace, TimePoint Now) {
-  const auto [At, IsNew] = m_Workspaces.try_emplace(Workspace);
+  const auto [It, IsNew] = m_Workspaces.try_emplace(Workspace);
   if (IsNew) {
-    At->second.m_Rate.setRate(m_Contract.m_WorkspaceRate, Now);
-    At->second.m_Tokens.setRate(m_Contract.m_WorkspaceTokenRate, Now);
+    It->second.m_Rate.setRate(m_Contract.m_WorkspaceRate, Now);
+    It->second.m_Tokens.setRate(m_Contract.m_WorkspaceTokenRate, Now);
   }
-  return At->second;
+  return It->second;
 }
 
 void ClassState::learnFirstToken(Duration Latency) {
   const double Seconds = toSeconds(Latency);
-  m_FirstTokens.add(Seconds * MillisecondsASecond);
+  m_FirstTokens.add(Seconds * MillisecondsPerSecond);
   m_FirstTokenMean.add(Seconds);
   updateAllowance();
 }
@@ -47,14 +47,14 @@
   if (m_FirstTokens.count() < tuning::MinSamples)
     return;
   const Duration Learned =
-      fromSeconds(m_FirstTokens.value() / MillisecondsASecond);
+      fromSeconds(m_FirstTokens.value() / MillisecondsPerSecond);
   m_Allowance = std::min(Learned, m_Contract.m_FirstTokenTarget / 2);
 }
 
 std::size_t RequestIdHash::operator()(const RequestId &Id) const noexcept {
   constexpr std::uint64_t Mix = 0x9E3779B97F4A7C15;
-  const std::uint64_t Joined = Id.m_Entry.value() ^ (Id.m_Number * Mix);
-  return static_cast<std::size_t>(Joined ^ (Joined >> 32));
+  const std::uint64_t Mixed = Id.m_Entry.value() ^ (Id.m_Number * Mix);
+  return static_cast<std::size_t>(Mixed ^ (Mixed >> 32));
 }
 
 } // namespace crowstep::decision
--- a/src/decision/class_base.h
+++ b/src/decision/class_base.h
@@ -79,8 +79,8 @@
 
   /// Returns what must be left before the deadlines of a lane: late bids have
   /// no target left to meet.
-  [[nodiscard]] Duration allowanceOf(const Lane &Of) const {
-    return &Of == &m_OnTime ? m_Allowance : Duration::zero();
+  [[nodiscard]] Duration allowanceOf(const Lane &L) const {
+    return &L == &m_OnTime ? m_Allowance : Duration::zero();
   }
 
   /// Works out m_Allowance from what is learned and the row.
--- a/src/decision/decider.cpp
+++ b/src/decision/decider.cpp
@@ -23,10 +23,11 @@
 public:
   explicit Impl(const DeciderConfig &Config) : m_Pool(Config) {}
 
-  void handle(const Event &What, TimePoint Now, std::vector<Action> &Actions) {
+  void handle(const Event &NextEvent, TimePoint Now,
+              std::vector<Action> &Actions) {
     start(Now);
     m_Pool.m_Actions = &Actions;
-    std::visit([this](const auto &One) { on(One); }, What);
+    std::visit([this](const auto &Actual) { on(Actual); }, NextEvent);
     expire(m_Pool);
     dispatch(m_Pool);
     preemptWhereNeeded(m_Pool);
@@ -50,23 +51,24 @@
   }
 
   Request *find(const RequestId &Id, RequestState State) {
-    const auto At = m_Pool.m_Requests.find(Id);
-    if (At == m_Pool.m_Requests.end() || At->second.m_State != State)
+    const auto It = m_Pool.m_Requests.find(Id);
+    if (It == m_Pool.m_Requests.end() || It->second.m_State != State)
       return nullptr;
-    return &At->second;
+    return &It->second;
   }
 
-  void on(const TableChanged &What) {
+  void on(const TableChanged &Change) {
     const TableVersion InForce = m_Pool.m_Table.m_Version;
-    if (What.m_Table.m_Version < InForce)
-      throw TableVersionError(InForce.value(), What.m_Table.m_Version.value());
-    m_Pool.m_Table = What.m_Table;
+    if (Change.m_Table.m_Version < InForce)
+      throw TableVersionError(InForce.value(),
+                              Change.m_Table.m_Version.value());
+    m_Pool.m_Table = Change.m_Table;
     applyTable();
   }
 
-  void on(const UpstreamsChanged &What) {
+  void on(const UpstreamsChanged &Change) {
     m_Pool.m_KnowsUpstreams = true;
-    m_Pool.m_Fleet.setUpstreams(What.m_Upstreams, m_Pool.m_Now);
+    m_Pool.m_Fleet.setUpstreams(Change.m_Upstreams, m_Pool.m_Now);
     const std::string Service = m_Pool.m_Fleet.service();
     if (!Service.empty() && Service != m_Pool.m_Service) {
       m_Pool.m_Service = Service;
@@ -75,32 +77,33 @@
     afterFleetChange();
   }
 
-  void on(const Bid &What) { admit(m_Pool, What); }
+  void on(const Bid &NewBid) { admit(m_Pool, NewBid); }
 
-  void on(const BidWithdrawn &What) {
-    if (Request *Waiting = find(What.m_Request, RequestState::Waiting))
+  void on(const BidWithdrawn &Withdrawal) {
+    if (Request *Waiting = find(Withdrawal.m_Request, RequestState::Waiting))
       dropWaiting(m_Pool, *Waiting);
-    else if (Request *Granted = find(What.m_Request, RequestState::Granted))
+    else if (Request *Granted =
+                 find(Withdrawal.m_Request, RequestState::Granted))
       abandon(m_Pool, *Granted);
   }
 
-  void on(const WorkRunning &What) {
-    const RequestId Id = What.m_Bid.m_Request;
+  void on(const WorkRunning &Report) {
+    const RequestId Id = Report.m_Bid.m_Request;
     if (Request *Known = find(Id, RequestState::Granted)) {
-      noteProgress(*Known, What.m_Tokens);
+      noteProgress(*Known, Report.m_Tokens);
       return;
     }
-    ClassState *Class = m_Pool.m_Queue.find(What.m_Bid.m_Class);
+    ClassState *Class = m_Pool.m_Queue.find(Report.m_Bid.m_Class);
     if (Class == nullptr)
       return;
     if (Request *Waiting = find(Id, RequestState::Waiting))
       dropWaiting(m_Pool, *Waiting);
-    Request &Made = m_Pool.m_Requests[Id];
-    Made.m_Bid = What.m_Bid;
-    Made.m_Order = m_Pool.m_NextOrder++;
-    Made.m_Class = Class;
-    Made.m_Progress = What.m_Tokens;
-    adopt(m_Pool, Made, m_Pool.m_Fleet.findOrMake(What.m_Upstream));
+    Request &Adopted = m_Pool.m_Requests[Id];
+    Adopted.m_Bid = Report.m_Bid;
+    Adopted.m_Order = m_Pool.m_NextOrder++;
+    Adopted.m_Class = Class;
+    Adopted.m_Progress = Report.m_Tokens;
+    adopt(m_Pool, Adopted, m_Pool.m_Fleet.findOrMake(Report.m_Upstream));
   }
 
   void noteProgress(Request &Known, std::uint32_t Tokens) {
@@ -109,44 +112,44 @@
     m_Pool.m_Lapses.erase({Known.m_Lapses, Known.m_Bid.m_Request});
   }
 
-  void on(const FirstToken &What) {
-    if (Request *Granted = find(What.m_Request, RequestState::Granted))
-      noteFirstToken(m_Pool, *Granted, What.m_Latency);
+  void on(const FirstToken &Report) {
+    if (Request *Granted = find(Report.m_Request, RequestState::Granted))
+      noteFirstToken(m_Pool, *Granted, Report.m_Latency);
   }
 
-  void on(const WorkEnded &What) {
-    Request *Granted = find(What.m_Request, RequestState::Granted);
+  void on(const WorkEnded &End) {
+    Request *Granted = find(End.m_Request, RequestState::Granted);
     // An end at another upstream is that of an earlier attempt.
     if (Granted != nullptr &&
-        Granted->m_Serving->m_Upstream.m_Id == What.m_Upstream)
-      finish(m_Pool, *Granted, What);
-    else if (What.m_End == WorkEnd::UpstreamLeaving)
-      noteLeaving(What.m_Upstream);
+        Granted->m_Serving->m_Upstream.m_Id == End.m_Upstream)
+      finish(m_Pool, *Granted, End);
+    else if (End.m_End == WorkEnd::UpstreamLeaving)
+      noteLeaving(End.m_Upstream);
   }
 
   void noteLeaving(UpstreamId Id) {
-    if (Serving *Where = m_Pool.m_Fleet.find(Id))
-      Fleet::noteLeaving(*Where, m_Pool.m_Now);
+    if (Serving *State = m_Pool.m_Fleet.find(Id))
+      Fleet::noteLeaving(*State, m_Pool.m_Now);
     afterFleetChange();
   }
 
-  void on(const LoadReport &What) {
-    Serving *Where = m_Pool.m_Fleet.find(What.m_Upstream);
-    const bool WasUsable = Where != nullptr && Where->isUsable();
-    m_Pool.m_Fleet.take(What, m_Pool.m_Now);
-    if (Where != nullptr && Where->isUsable() != WasUsable)
+  void on(const LoadReport &Report) {
+    Serving *State = m_Pool.m_Fleet.find(Report.m_Upstream);
+    const bool WasUsable = State != nullptr && State->isUsable();
+    m_Pool.m_Fleet.take(Report, m_Pool.m_Now);
+    if (State != nullptr && State->isUsable() != WasUsable)
       afterFleetChange();
   }
 
-  void on(const CacheEvent &What) { m_Pool.m_Fleet.take(What); }
+  void on(const CacheEvent &Update) { m_Pool.m_Fleet.take(Update); }
 
-  void on(const EntryLost &What) {
-    std::vector<RequestId> Gone;
-    for (const auto &[Id, One] : m_Pool.m_Requests)
-      if (Id.m_Entry == What.m_Entry)
-        Gone.push_back(Id);
-    std::sort(Gone.begin(), Gone.end());
-    for (const RequestId &Id : Gone)
+  void on(const EntryLost &Loss) {
+    std::vector<RequestId> Lost;
+    for (const auto &[Id, Known] : m_Pool.m_Requests)
+      if (Id.m_Entry == Loss.m_Entry)
+        Lost.push_back(Id);
+    std::sort(Lost.begin(), Lost.end());
+    for (const RequestId &Id : Lost)
       if (Request *Waiting = find(Id, RequestState::Waiting))
         dropWaiting(m_Pool, *Waiting);
       else if (Request *Granted = find(Id, RequestState::Granted))
@@ -155,21 +158,21 @@
         m_Pool.m_Requests.erase(Id);
   }
 
-  void on(const UpstreamDrained &What) {
-    m_Pool.m_Fleet.take(What);
+  void on(const UpstreamDrained &Drain) {
+    m_Pool.m_Fleet.take(Drain);
     afterFleetChange();
   }
 
-  void on(const Tick & /*What*/) {}
+  void on(const Tick & /*Unused*/) {}
 
   void applyTable() {
-    std::vector<Request *> Homeless;
+    std::vector<Request *> Removed;
     m_Pool.m_Queue.setTable(m_Pool.m_Table, m_Pool.m_Service,
-                            m_Pool.isBaseline(), m_Pool.m_Now, Homeless);
-    for (Request *One : Homeless)
-      refuseWaiting(m_Pool, *One,
-                    One->m_Class->m_Listed ? RefusalReason::NoUpstream
-                                           : RefusalReason::UnknownClass,
+                            m_Pool.isBaseline(), m_Pool.m_Now, Removed);
+    for (Request *Waiting : Removed)
+      refuseWaiting(m_Pool, *Waiting,
+                    Waiting->m_Class->m_Listed ? RefusalReason::NoUpstream
+                                               : RefusalReason::UnknownClass,
                     {});
     updateFloors(m_Pool);
     m_Pool.m_OfferedUntil = m_Pool.m_Now;
@@ -188,9 +191,9 @@
 
 Decider::~Decider() = default;
 
-void Decider::handle(const Event &What, TimePoint Now,
+void Decider::handle(const Event &NextEvent, TimePoint Now,
                      std::vector<Action> &Actions) {
-  m_Impl->handle(What, Now, Actions);
+  m_Impl->handle(NextEvent, Now, Actions);
 }
 
 std::optional<TimePoint> Decider::nextDeadline() const {
@@ -198,12 +201,12 @@
 }
 
 DeciderStats Decider::stats() const {
-  const Pool &In = m_Impl->pool();
-  DeciderStats Stats = In.m_Stats;
-  Stats.m_Waiting = In.m_Queue.size();
-  Stats.m_Running = In.m_Running;
+  const Pool &P = m_Impl->pool();
+  DeciderStats Stats = P.m_Stats;
+  Stats.m_Waiting = P.m_Queue.size();
+  Stats.m_Running = P.m_Running;
   Stats.m_Ejected = static_cast<std::uint64_t>(
-      std::count_if(In.m_Fleet.all().begin(), In.m_Fleet.all().end(),
+      std::count_if(P.m_Fleet.all().begin(), P.m_Fleet.all().end(),
                     [](const auto &Entry) { return Entry.second.m_Ejected; }));
   return Stats;
 }
--- a/src/decision/decider.h
+++ b/src/decision/decider.h
@@ -51,7 +51,8 @@
   /// Takes one event at the time \p Now, which never goes back, and appends
   /// what is to be done to \p Actions in the order in which it is to be done.
   /// \throws DecisionError when the event breaks a stated precondition.
-  void handle(const Event &What, TimePoint Now, std::vector<Action> &Actions);
+  void handle(const Event &NextEvent, TimePoint Now,
+              std::vector<Action> &Actions);
 
   /// Returns when the next Tick is due, or nothing while there is none.
   [[nodiscard]] std::optional<TimePoint> nextDeadline() const;
--- a/src/decision/decision_error.h
+++ b/src/decision/decision_error.h
@@ -24,8 +24,8 @@
 /// A table older than the one in force was handed in.
 class TableVersionError : public DecisionError {
 public:
-  TableVersionError(std::uint64_t InForce, std::uint64_t Offered)
-      : DecisionError("table version " + std::to_string(Offered) +
+  TableVersionError(std::uint64_t InForce, std::uint64_t Received)
+      : DecisionError("table version " + std::to_string(Received) +
                       " is lower than " + std::to_string(InForce)) {}
 };
 
--- a/src/decision/dispatch.cpp
+++ b/src/decision/dispatch.cpp
@@ -26,12 +26,12 @@
 
 /// The first flows' heads; later flows only when an earlier bid avoids the one
 /// upstream that is free, so that it doesn't hold up the others.
-Match matchLane(Pool &In, Lane &Of) {
+Match matchLane(Pool &P, Lane &L) {
   unsigned Scanned = 0;
-  for (Flow &One : Of.m_Ready) {
-    Request &Head = *One.m_Queue.begin();
-    if (Serving *Where = chooseUpstream(In, Head))
-      return {&Head, Where};
+  for (Flow &F : L.m_Ready) {
+    Request &Head = *F.m_Queue.begin();
+    if (Serving *State = chooseUpstream(P, Head))
+      return {&Head, State};
     if (++Scanned == tuning::MaxFlowScan)
       break;
   }
@@ -41,59 +41,60 @@
 bool isBefore(const Lane *A, const Lane *B) {
   const Flow &First = *A->m_Ready.begin();
   const Flow &Second = *B->m_Ready.begin();
-  const Request &Mine = *First.m_Queue.begin();
-  const Request &Other = *Second.m_Queue.begin();
-  return std::tie(First.m_Share->m_Virtual, Mine.m_FlowKey, Mine.m_Order) <
-         std::tie(Second.m_Share->m_Virtual, Other.m_FlowKey, Other.m_Order);
+  const Request &FirstHead = *First.m_Queue.begin();
+  const Request &SecondHead = *Second.m_Queue.begin();
+  return std::tie(First.m_Share->m_Virtual, FirstHead.m_FlowKey,
+                  FirstHead.m_Order) < std::tie(Second.m_Share->m_Virtual,
+                                                SecondHead.m_FlowKey,
+                                                SecondHead.m_Order);
 }
 
 using Lanes = boost::container::small_vector<Lane *, 8>;
 
-Match matchTier(Pool &In, const Tier &Of, Lane ClassState::*Which) {
+Match matchTier(Pool &P, const Tier &T, Lane ClassState::*Kind) {
   Lanes Open;
-  for (ClassState *Class : Of.m_Classes) {
-    Lane &One = Class->*Which;
-    if (!One.m_Ready.empty() && !isAtLimit(*Class) && hasPlace(In, *Class))
-      Open.push_back(&One);
+  for (ClassState *Class : T.m_Classes) {
+    Lane &L = Class->*Kind;
+    if (!L.m_Ready.empty() && !isAtLimit(*Class) && hasPlace(P, *Class))
+      Open.push_back(&L);
   }
   std::sort(Open.begin(), Open.end(), isBefore);
-  for (Lane *One : Open)
-    if (const Match Found = matchLane(In, *One); Found.m_Bid != nullptr)
+  for (Lane *L : Open)
+    if (const Match Found = matchLane(P, *L); Found.m_Bid != nullptr)
       return Found;
   return {};
 }
 
-Match matchOwed(Pool &In) {
-  ClassState *Owed = owedClass(In);
-  if (Owed == nullptr)
+Match matchFloor(Pool &P) {
+  ClassState *Class = owedClass(P);
+  if (Class == nullptr)
     return {};
-  for (Lane *One : {&Owed->m_OnTime, &Owed->m_Late})
-    if (const Match Found = matchLane(In, *One); Found.m_Bid != nullptr)
+  for (Lane *L : {&Class->m_OnTime, &Class->m_Late})
+    if (const Match Found = matchLane(P, *L); Found.m_Bid != nullptr)
       return Found;
   return {};
 }
 
-Match matchNext(Pool &In) {
-  if (const Match Found = matchOwed(In); Found.m_Bid != nullptr)
+Match matchNext(Pool &P) {
+  if (const Match Found = matchFloor(P); Found.m_Bid != nullptr)
     return Found;
-  for (const auto &[Number, Tier] : In.m_Queue.tiers())
-    for (Lane ClassState::*Which : {&ClassState::m_OnTime, &ClassState::m_Late})
-      if (const Match Found = matchTier(In, Tier, Which);
-          Found.m_Bid != nullptr)
+  for (const auto &[Number, Tier] : P.m_Queue.tiers())
+    for (Lane ClassState::*Kind : {&ClassState::m_OnTime, &ClassState::m_Late})
+      if (const Match Found = matchTier(P, Tier, Kind); Found.m_Bid != nullptr)
         return Found;
   return {};
 }
 
 } // namespace
 
-void dispatch(Pool &In) {
-  if (In.isRebuilding())
+void dispatch(Pool &P) {
+  if (P.isRebuilding())
     return;
-  while (In.m_Queue.size() > 0 && In.m_Fleet.hasFreeSlot(In.m_Now)) {
-    const Match Next = matchNext(In);
+  while (P.m_Queue.size() > 0 && P.m_Fleet.hasFreeSlot(P.m_Now)) {
+    const Match Next = matchNext(P);
     if (Next.m_Bid == nullptr)
       return;
-    grant(In, *Next.m_Bid, *Next.m_Serving);
+    grant(P, *Next.m_Bid, *Next.m_Serving);
   }
 }
 
--- a/src/decision/dispatch_func.h
+++ b/src/decision/dispatch_func.h
@@ -7,7 +7,7 @@
 namespace crowstep::decision {
 
 /// Grants while there are free slots and bids that they can serve.
-void dispatch(Pool &In);
+void dispatch(Pool &P);
 
 } // namespace crowstep::decision
 
--- a/src/decision/estimate_func.h
+++ b/src/decision/estimate_func.h
@@ -8,15 +8,15 @@
 
 /// Returns the wait of a bid that joins the on-time lane of \p Class now:
 /// behind more urgent tiers and its workspace's fair share of its own.
-Duration waitOnTime(const Pool &In, const ClassState &Class,
+Duration waitOnTime(const Pool &P, const ClassState &Class,
                     WorkspaceId Workspace);
 
 /// Returns the wait of a bid that joins the late lane of \p Class now: behind
 /// everything at its tier or above, and what still arrives there.
-Duration waitLate(const Pool &In, const ClassState &Class);
+Duration waitLate(const Pool &P, const ClassState &Class);
 
 /// Returns the slots that the upstreams of \p Class free a second.
-double freeRate(const Pool &In, const ClassState &Class);
+double freeRate(const Pool &P, const ClassState &Class);
 
 } // namespace crowstep::decision
 
--- a/src/decision/expiry.cpp
+++ b/src/decision/expiry.cpp
@@ -14,55 +14,54 @@
 
 namespace {
 
-void freeLapsed(Pool &In) {
-  while (!In.m_Lapses.empty() && In.m_Lapses.begin()->first <= In.m_Now)
-    abandon(In, In.m_Requests.at(In.m_Lapses.begin()->second));
+void freeSilentGrants(Pool &P) {
+  while (!P.m_Lapses.empty() && P.m_Lapses.begin()->first <= P.m_Now)
+    abandon(P, P.m_Requests.at(P.m_Lapses.begin()->second));
 }
 
-void forgetReturning(Pool &In) {
-  while (!In.m_Returning.empty() &&
-         In.m_Returning.front().first + tuning::ReturnWindow <= In.m_Now) {
-    const auto [Since, Id] = In.m_Returning.front();
-    In.m_Returning.pop_front();
-    const auto At = In.m_Requests.find(Id);
-    if (At != In.m_Requests.end() &&
-        At->second.m_State == RequestState::Returning &&
-        At->second.m_Since == Since)
-      In.m_Requests.erase(At);
+void forgetAwaitingRebid(Pool &P) {
+  while (!P.m_Returning.empty() &&
+         P.m_Returning.front().first + tuning::ReturnWindow <= P.m_Now) {
+    const auto [Since, Id] = P.m_Returning.front();
+    P.m_Returning.pop_front();
+    const auto It = P.m_Requests.find(Id);
+    if (It != P.m_Requests.end() &&
+        It->second.m_State == RequestState::Returning &&
+        It->second.m_Since == Since)
+      P.m_Requests.erase(It);
   }
 }
 
-void refuseLate(Pool &In, Request &Waiting) {
-  refuseWaiting(In, Waiting, lateReason(Waiting),
-                comeBackAfter(In, *Waiting.m_Class));
+void refuseLate(Pool &P, Request &Waiting) {
+  refuseWaiting(P, Waiting, lateReason(Waiting),
+                comeBackAfter(P, *Waiting.m_Class));
 }
 
-void refuseAtLimit(Pool &In, Lane &Of) {
-  while (!Of.m_ByDeadline.empty() &&
-         Of.m_ByDeadline.begin()->m_Limit <= In.m_Now)
-    refuseLate(In, *Of.m_ByDeadline.begin());
+void refuseAtLimit(Pool &P, Lane &L) {
+  while (!L.m_ByDeadline.empty() && L.m_ByDeadline.begin()->m_Limit <= P.m_Now)
+    refuseLate(P, *L.m_ByDeadline.begin());
 }
 
 /// Tells whether a bid that is late now can still be served before its limit.
-bool isWorthWaiting(Pool &In, const Request &Late) {
-  if (Late.m_IsKept || In.isRebuilding())
+bool canMeetLimit(Pool &P, const Request &Late) {
+  if (Late.m_IsKept || P.isRebuilding())
     return true;
-  return In.m_Now + waitLate(In, *Late.m_Class) <= Late.m_Limit ||
-         stopAboveFloor(In, *Late.m_Class);
+  return P.m_Now + waitLate(P, *Late.m_Class) <= Late.m_Limit ||
+         stopAboveFloor(P, *Late.m_Class);
 }
 
-void moveLate(Pool &In, ClassState &Class) {
+void moveLate(Pool &P, ClassState &Class) {
   DeadlineQueue &Queue = Class.m_OnTime.m_ByDeadline;
   const Duration Allowance = Class.m_Allowance;
-  while (!Queue.empty() && Queue.begin()->m_Deadline - Allowance <= In.m_Now) {
+  while (!Queue.empty() && Queue.begin()->m_Deadline - Allowance <= P.m_Now) {
     Request &Late = *Queue.begin();
-    if (!isWorthWaiting(In, Late)) {
-      refuseLate(In, Late);
+    if (!canMeetLimit(P, Late)) {
+      refuseLate(P, Late);
       continue;
     }
-    In.m_Queue.remove(Late);
+    P.m_Queue.remove(Late);
     Late.m_Deadline = Late.m_Limit;
-    In.m_Queue.push(Late, true);
+    P.m_Queue.push(Late, true);
   }
 }
 
@@ -71,9 +70,9 @@
 public:
   explicit Earliest(TimePoint Now) : m_Now(Now) {}
 
-  void add(TimePoint When) {
-    if (When > m_Now)
-      m_Found = std::min(m_Found, When);
+  void add(TimePoint Time) {
+    if (Time > m_Now)
+      m_Found = std::min(m_Found, Time);
   }
   [[nodiscard]] std::optional<TimePoint> found() const {
     if (m_Found == TimePoint::max())
@@ -86,7 +85,7 @@
   TimePoint m_Found = TimePoint::max(); ///< The earliest; max(): none.
 };
 
-void addClass(Earliest &Next, const Pool &In, const ClassState &Class) {
+void addClassTimes(Earliest &Next, const Pool &P, const ClassState &Class) {
   if (!Class.m_OnTime.m_ByDeadline.empty()) {
     const Request &First = *Class.m_OnTime.m_ByDeadline.begin();
     Next.add(First.m_Limit);
@@ -94,62 +93,62 @@
   }
   if (!Class.m_Late.m_ByDeadline.empty())
     Next.add(Class.m_Late.m_ByDeadline.begin()->m_Limit);
-  if (In.isBaseline())
+  if (P.isBaseline())
     return;
-  if (const auto Check = nextPreemptionCheck(In, Class))
+  if (const auto Check = nextPreemptionCheck(P, Class))
     Next.add(*Check);
 }
 
 /// While bids wait, an upstream that is paused, probed or loaded by others may
 /// come back without any event.
-void addUpstreams(Earliest &Next, const Pool &In) {
-  for (const auto &[Id, One] : In.m_Fleet.all()) {
-    if (One.m_SaysLeaving)
-      Next.add(One.m_LeavingSince + tuning::LeavingMemory);
-    if (!One.isUsable())
+void addUpstreamTimes(Earliest &Next, const Pool &P) {
+  for (const auto &[Id, State] : P.m_Fleet.all()) {
+    if (State.m_SaysLeaving)
+      Next.add(State.m_LeavingSince + tuning::LeavingMemory);
+    if (!State.isUsable())
       continue;
-    Next.add(One.m_BackoffUntil);
-    Next.add(One.m_ExternalUntil);
-    if (!One.m_Ejected)
+    Next.add(State.m_BackoffUntil);
+    Next.add(State.m_ExternalUntil);
+    if (!State.m_Ejected)
       continue;
-    Next.add(One.m_NextProbe);
-    Next.add(One.m_LastProbe + tuning::ProbeByAnyAfter);
+    Next.add(State.m_NextProbe);
+    Next.add(State.m_LastProbe + tuning::ProbeByAnyAfter);
   }
 }
 
 } // namespace
 
-void expire(Pool &In) {
-  freeLapsed(In);
-  forgetReturning(In);
-  repeatStops(In);
-  if (In.m_Fleet.forgetLeaving(In.m_Now))
-    updateFloors(In);
-  for (ClassState *Class : In.m_Queue.classes()) {
-    refuseAtLimit(In, Class->m_Late);
-    if (In.isBaseline())
-      refuseAtLimit(In, Class->m_OnTime);
+void expire(Pool &P) {
+  freeSilentGrants(P);
+  forgetAwaitingRebid(P);
+  repeatStops(P);
+  if (P.m_Fleet.forgetLeaving(P.m_Now))
+    updateFloors(P);
+  for (ClassState *Class : P.m_Queue.classes()) {
+    refuseAtLimit(P, Class->m_Late);
+    if (P.isBaseline())
+      refuseAtLimit(P, Class->m_OnTime);
     else
-      moveLate(In, *Class);
-    refuseAtLimit(In, Class->m_Late);
+      moveLate(P, *Class);
+    refuseAtLimit(P, Class->m_Late);
   }
 }
 
-std::optional<TimePoint> nextDue(const Pool &In) {
-  Earliest Next(In.m_Now);
-  if (!In.m_Lapses.empty())
-    Next.add(In.m_Lapses.begin()->first);
-  if (!In.m_Returning.empty())
-    Next.add(In.m_Returning.front().first + tuning::ReturnWindow);
-  if (!In.m_Stopping.empty())
-    Next.add(In.m_Stopping.front().first + tuning::PreemptPatience);
-  if (In.m_Queue.size() == 0)
+std::optional<TimePoint> nextDue(const Pool &P) {
+  Earliest Next(P.m_Now);
+  if (!P.m_Lapses.empty())
+    Next.add(P.m_Lapses.begin()->first);
+  if (!P.m_Returning.empty())
+    Next.add(P.m_Returning.front().first + tuning::ReturnWindow);
+  if (!P.m_Stopping.empty())
+    Next.add(P.m_Stopping.front().first + tuning::PreemptPatience);
+  if (P.m_Queue.size() == 0)
     return Next.found();
-  if (In.isRebuilding())
-    Next.add(In.m_RebuildUntil);
-  for (const ClassState *Class : In.m_Queue.classes())
-    addClass(Next, In, *Class);
-  addUpstreams(Next, In);
+  if (P.isRebuilding())
+    Next.add(P.m_RebuildUntil);
+  for (const ClassState *Class : P.m_Queue.classes())
+    addClassTimes(Next, P, *Class);
+  addUpstreamTimes(Next, P);
   return Next.found();
 }
 
--- a/src/decision/expiry_func.h
+++ b/src/decision/expiry_func.h
@@ -10,10 +10,10 @@
 
 /// Frees lapsed grants, forgets returning requests, moves bids whose target
 /// can't be met any more to the late lane, and refuses those at their limit.
-void expire(Pool &In);
+void expire(Pool &P);
 
 /// Returns when expire(), a preemption or a probe is due next.
-std::optional<TimePoint> nextDue(const Pool &In);
+std::optional<TimePoint> nextDue(const Pool &P);
 
 } // namespace crowstep::decision
 
--- a/src/decision/fleet.cpp
+++ b/src/decision/fleet.cpp
@@ -8,116 +8,117 @@
 
 namespace {
 
-bool remembersLeaving(const Serving &One, TimePoint Now) {
-  return One.m_SaysLeaving && Now < One.m_LeavingSince + tuning::LeavingMemory;
+bool isHeldDraining(const Serving &State, TimePoint Now) {
+  return State.m_SaysLeaving &&
+         Now < State.m_LeavingSince + tuning::LeavingMemory;
 }
 
 } // namespace
 
 void Fleet::setUpstreams(const std::vector<Upstream> &Listed, TimePoint Now) {
   std::map<UpstreamId, bool> WasListed;
-  for (auto &[Id, One] : m_Servings)
-    WasListed[Id] = std::exchange(One.m_Listed, false);
-  for (const Upstream &Row : Listed) {
-    Serving &One = findOrMake(Row.m_Id);
+  for (auto &[Id, State] : m_Servings)
+    WasListed[Id] = std::exchange(State.m_Listed, false);
+  for (const Upstream &Listing : Listed) {
+    Serving &State = findOrMake(Listing.m_Id);
     // One that was gone for a while is a new start. One that flickers in a
     // list that lags is not, and stays without new work.
-    if (!WasListed[Row.m_Id] && !remembersLeaving(One, Now))
-      One.m_SaysLeaving = One.m_IsOwnWord = false;
-    One.m_Upstream = Row;
-    One.m_Slots = slotsOf(Row);
-    One.m_Listed = true;
-    if (Row.m_Leaving) {
-      One.m_SaysLeaving = true;
-      One.m_LeavingSince = Now;
+    if (!WasListed[Listing.m_Id] && !isHeldDraining(State, Now))
+      State.m_SaysLeaving = State.m_IsOwnWord = false;
+    State.m_Upstream = Listing;
+    State.m_Slots = slotsOf(Listing);
+    State.m_Listed = true;
+    if (Listing.m_Leaving) {
+      State.m_SaysLeaving = true;
+      State.m_LeavingSince = Now;
     }
   }
   // What still runs on one that left keeps its account until it has ended.
   std::erase_if(m_Servings, [Now](const auto &Entry) {
-    const Serving &One = Entry.second;
-    return !One.m_Listed && One.m_Used == 0 && !remembersLeaving(One, Now);
+    const Serving &State = Entry.second;
+    return !State.m_Listed && State.m_Used == 0 && !isHeldDraining(State, Now);
   });
   m_Listed.clear();
-  for (auto &[Id, One] : m_Servings)
-    if (One.m_Listed)
-      m_Listed.push_back(&One);
+  for (auto &[Id, State] : m_Servings)
+    if (State.m_Listed)
+      m_Listed.push_back(&State);
 }
 
 Serving *Fleet::find(UpstreamId Id) {
-  const auto At = m_Servings.find(Id);
-  return At == m_Servings.end() ? nullptr : &At->second;
+  const auto It = m_Servings.find(Id);
+  return It == m_Servings.end() ? nullptr : &It->second;
 }
 
 Serving &Fleet::findOrMake(UpstreamId Id) {
-  const auto [At, IsNew] = m_Servings.try_emplace(Id);
+  const auto [It, IsNew] = m_Servings.try_emplace(Id);
   if (IsNew) {
-    At->second.m_Upstream.m_Id = Id;
-    At->second.m_HintTag = m_NextTag++;
-    At->second.m_Drained = m_Drained.contains(Id);
+    It->second.m_Upstream.m_Id = Id;
+    It->second.m_HintTag = m_NextTag++;
+    It->second.m_Drained = m_Drained.contains(Id);
   }
-  return At->second;
+  return It->second;
 }
 
-void Fleet::noteLeaving(Serving &Where, TimePoint Now) {
-  Where.m_SaysLeaving = true;
-  Where.m_IsOwnWord = true;
-  Where.m_LeavingSince = Now;
+void Fleet::noteLeaving(Serving &State, TimePoint Now) {
+  State.m_SaysLeaving = true;
+  State.m_IsOwnWord = true;
+  State.m_LeavingSince = Now;
 }
 
 bool Fleet::forgetLeaving(TimePoint Now) {
   bool HasChanged = false;
-  for (Serving *One : m_Listed) {
-    if (!One->m_SaysLeaving || One->m_IsOwnWord || One->m_Upstream.m_Leaving ||
-        remembersLeaving(*One, Now))
+  for (Serving *State : m_Listed) {
+    if (!State->m_SaysLeaving || State->m_IsOwnWord ||
+        State->m_Upstream.m_Leaving || isHeldDraining(*State, Now))
       continue;
-    One->m_SaysLeaving = false;
+    State->m_SaysLeaving = false;
     HasChanged = true;
   }
   return HasChanged;
 }
 
 void Fleet::take(const LoadReport &Report, TimePoint Now) {
-  Serving *Where = find(Report.m_Upstream);
-  if (Where == nullptr)
+  Serving *State = find(Report.m_Upstream);
+  if (State == nullptr)
     return;
   // A lower number is an older report that came late, unless nothing was heard
   // for so long that it must be a new start of the upstream.
-  if (Where->m_ReportSequence &&
-      Report.m_Sequence <= *Where->m_ReportSequence &&
-      Now - Where->m_ReportAt < tuning::LeavingMemory)
+  if (State->m_ReportSequence &&
+      Report.m_Sequence <= *State->m_ReportSequence &&
+      Now - State->m_ReportAt < tuning::LeavingMemory)
     return;
-  Where->m_ReportSequence = Report.m_Sequence;
-  Where->m_ReportAt = Now;
+  State->m_ReportSequence = Report.m_Sequence;
+  State->m_ReportAt = Now;
   if (Report.m_Leaving)
-    noteLeaving(*Where, Now);
-  else if (Where->m_SaysLeaving && !Where->m_Upstream.m_Leaving &&
-           Now - Report.m_Age > Where->m_LeavingSince + tuning::LeavingMemory)
-    Where->m_SaysLeaving = Where->m_IsOwnWord = false;
+    noteLeaving(*State, Now);
+  else if (State->m_SaysLeaving && !State->m_Upstream.m_Leaving &&
+           Now - Report.m_Age > State->m_LeavingSince + tuning::LeavingMemory)
+    State->m_SaysLeaving = State->m_IsOwnWord = false;
   if (Report.m_Age >= tuning::ReportLifetime)
     return;
   // Only load beyond all that we may have had running then is someone else's:
   // a late report must not undo, nor count twice, what we granted since.
-  const std::uint32_t Told = Report.m_Running + Report.m_Waiting;
-  const std::uint32_t Ours = Where->m_Peak.peak(Now);
-  Where->m_External = Told > Ours ? Told - Ours : 0;
-  Where->m_ExternalUntil = Now - Report.m_Age + tuning::ReportLifetime;
+  const std::uint32_t Reported = Report.m_Running + Report.m_Waiting;
+  const std::uint32_t OwnPeak = State->m_Peak.peak(Now);
+  State->m_External = Reported > OwnPeak ? Reported - OwnPeak : 0;
+  State->m_ExternalUntil = Now - Report.m_Age + tuning::ReportLifetime;
 }
 
 void Fleet::take(const CacheEvent &Event) {
-  Serving *Where = find(Event.m_Upstream);
-  if (Where == nullptr)
+  Serving *State = find(Event.m_Upstream);
+  if (State == nullptr)
     return;
   const bool HasGap =
-      Where->m_CacheSequence && Event.m_Sequence != *Where->m_CacheSequence + 1;
+      State->m_CacheSequence && Event.m_Sequence != *State->m_CacheSequence + 1;
   // A lost event may have been an eviction; with the old hints, bids would go
   // on to a busy engine for a prefix that it dropped.
   if (HasGap)
-    Where->m_HintTag = m_NextTag++;
-  Where->m_CacheSequence = Event.m_Sequence;
+    State->m_HintTag = m_NextTag++;
+  State->m_CacheSequence = Event.m_Sequence;
   if (Event.m_Added)
-    m_Prefixes.add(Event.m_Prefix, Where->m_HintTag);
+    m_Prefixes.add(Event.m_Prefix, State->m_HintTag);
   else
-    m_Prefixes.remove(Event.m_Prefix, Where->m_HintTag);
+    m_Prefixes.remove(Event.m_Prefix, State->m_HintTag);
 }
 
 void Fleet::take(const UpstreamDrained &Drained) {
@@ -125,41 +126,41 @@
     m_Drained.insert(Drained.m_Upstream);
   else
     m_Drained.erase(Drained.m_Upstream);
-  if (Serving *Where = find(Drained.m_Upstream))
-    Where->m_Drained = Drained.m_Drained;
+  if (Serving *State = find(Drained.m_Upstream))
+    State->m_Drained = Drained.m_Drained;
 }
 
-void Fleet::noteFailure(Serving &Where, bool IsConnect, TimePoint Now) {
-  ++Where.m_Failures;
-  if (!IsConnect && Where.m_Failures < tuning::FailuresBeforeBackoff)
+void Fleet::noteFailure(Serving &State, bool IsConnect, TimePoint Now) {
+  ++State.m_Failures;
+  if (!IsConnect && State.m_Failures < tuning::FailuresBeforeBackoff)
     return;
-  Where.m_Backoff =
-      std::clamp(2 * Where.m_Backoff, tuning::FirstBackoff, tuning::MaxBackoff);
-  Where.m_BackoffUntil = Now + Where.m_Backoff;
+  State.m_Backoff =
+      std::clamp(2 * State.m_Backoff, tuning::FirstBackoff, tuning::MaxBackoff);
+  State.m_BackoffUntil = Now + State.m_Backoff;
 }
 
-void Fleet::noteSuccess(Serving &Where) {
-  Where.m_Failures = 0;
-  Where.m_Backoff = Duration::zero();
+void Fleet::noteSuccess(Serving &State) {
+  State.m_Failures = 0;
+  State.m_Backoff = Duration::zero();
 }
 
-void Fleet::addWork(Serving &Where, const Request &Work, TimePoint Now) {
+void Fleet::addWork(Serving &State, const Request &Work, TimePoint Now) {
   ++m_Changes;
-  ++Where.m_Used;
-  Where.m_Outstanding += static_cast<double>(Work.m_Expected);
-  Where.m_FreeRate += Work.m_FreeRate;
-  Where.m_Peak.add(Where.m_Used, Now);
+  ++State.m_Used;
+  State.m_Outstanding += static_cast<double>(Work.m_Expected);
+  State.m_FreeRate += Work.m_FreeRate;
+  State.m_Peak.add(State.m_Used, Now);
   for (const PrefixHash Prefix : Work.m_Bid.m_Prefixes)
-    m_Prefixes.add(Prefix, Where.m_HintTag);
+    m_Prefixes.add(Prefix, State.m_HintTag);
 }
 
-void Fleet::endWork(Serving &Where, const Request &Work, TimePoint Now) {
+void Fleet::endWork(Serving &State, const Request &Work, TimePoint Now) {
   ++m_Changes;
-  --Where.m_Used;
+  --State.m_Used;
   const auto Expected = static_cast<double>(Work.m_Expected);
-  Where.m_Outstanding = std::max(0.0, Where.m_Outstanding - Expected);
-  Where.m_FreeRate = std::max(0.0, Where.m_FreeRate - Work.m_FreeRate);
-  Where.m_Peak.add(Where.m_Used, Now);
+  State.m_Outstanding = std::max(0.0, State.m_Outstanding - Expected);
+  State.m_FreeRate = std::max(0.0, State.m_FreeRate - Work.m_FreeRate);
+  State.m_Peak.add(State.m_Used, Now);
 }
 
 void Fleet::updateClass(ClassState &Class) {
@@ -167,28 +168,29 @@
   Class.m_Eligible.clear();
   double InUse = 0.0;
   double Usable = 0.0;
-  for (auto &[Id, One] : m_Servings) {
-    if (!One.m_Listed || !hasModel(One.m_Upstream, Class.m_Contract.m_Model))
+  for (auto &[Id, State] : m_Servings) {
+    if (!State.m_Listed ||
+        !hasModel(State.m_Upstream, Class.m_Contract.m_Model))
       continue;
-    Class.m_Eligible.push_back(&One);
-    const auto Slots = static_cast<double>(One.m_Slots);
-    Usable += One.isUsable() ? Slots : 0.0;
-    InUse += One.isUsable() && !One.m_Ejected ? Slots : 0.0;
+    Class.m_Eligible.push_back(&State);
+    const auto Slots = static_cast<double>(State.m_Slots);
+    Usable += State.isUsable() ? Slots : 0.0;
+    InUse += State.isUsable() && !State.m_Ejected ? Slots : 0.0;
   }
   Class.m_Slots = InUse > 0.0 ? InUse : Usable;
 }
 
 bool Fleet::hasFreeSlot(TimePoint Now) const {
   return std::any_of(m_Listed.begin(), m_Listed.end(),
-                     [Now](const Serving *One) {
-                       return One->isUsable() && One->hasFreeSlot(Now);
+                     [Now](const Serving *State) {
+                       return State->isUsable() && State->hasFreeSlot(Now);
                      });
 }
 
 std::string Fleet::service() const {
-  for (const auto &[Id, One] : m_Servings)
-    if (One.m_Listed)
-      return One.m_Upstream.m_Service;
+  for (const auto &[Id, State] : m_Servings)
+    if (State.m_Listed)
+      return State.m_Upstream.m_Service;
   return {};
 }
 
--- a/src/decision/fleet.h
+++ b/src/decision/fleet.h
@@ -23,7 +23,7 @@
   void take(const UpstreamDrained &Drained);
 
   /// Notes that \p Where said itself that it takes no new work.
-  static void noteLeaving(Serving &Where, TimePoint Now);
+  static void noteLeaving(Serving &State, TimePoint Now);
 
   /// Believes the list again about upstreams that it alone named as leaving,
   /// and for long no more. Returns whether that changed any.
@@ -31,12 +31,12 @@
 
   /// Notes a call that \p Where did not answer, and pauses it: a crashed
   /// upstream looks idle, and would get every bid until the list drops it.
-  static void noteFailure(Serving &Where, bool IsConnect, TimePoint Now);
-  static void noteSuccess(Serving &Where);
+  static void noteFailure(Serving &State, bool IsConnect, TimePoint Now);
+  static void noteSuccess(Serving &State);
 
   /// Notes a grant of \p Tokens expected output, and its end.
-  void addWork(Serving &Where, const Request &Work, TimePoint Now);
-  void endWork(Serving &Where, const Request &Work, TimePoint Now);
+  void addWork(Serving &State, const Request &Work, TimePoint Now);
+  void endWork(Serving &State, const Request &Work, TimePoint Now);
 
   /// Returns the upstream, or null when it was never listed.
   [[nodiscard]] Serving *find(UpstreamId Id);
--- a/src/decision/floor.cpp
+++ b/src/decision/floor.cpp
@@ -14,39 +14,39 @@
 /// Tells whether the first and the last bid of a lane still get slots in time
 /// from those that come free without taking any back, when \p Bids stand
 /// before the last; and with time left to take one back if that fails.
-bool canSpareSlot(const Pool &In, const ClassState &Class, const Lane &Of,
+bool canSpareSlot(const Pool &P, const ClassState &Class, const Lane &L,
                   double Bids) {
-  if (Of.m_ByDeadline.empty())
+  if (L.m_ByDeadline.empty())
     return true;
-  const double Rate = tuning::FloorTrust * freeRate(In, Class);
+  const double Rate = tuning::FloorTrust * freeRate(P, Class);
   if (Rate <= 0.0)
     return false;
   const Duration Reserve =
-      In.m_StopLead + tuning::FloorMargin + Class.allowanceOf(Of);
-  const TimePoint First = Of.m_ByDeadline.begin()->m_Deadline;
-  const TimePoint Last = Of.m_ByDeadline.rbegin()->m_Deadline;
-  return First - In.m_Now >= fromSeconds(1.0 / Rate) + Reserve &&
-         Last - In.m_Now >= fromSeconds(Bids / Rate) + Reserve;
+      P.m_StopLead + tuning::FloorMargin + Class.allowanceOf(L);
+  const TimePoint First = L.m_ByDeadline.begin()->m_Deadline;
+  const TimePoint Last = L.m_ByDeadline.rbegin()->m_Deadline;
+  return First - P.m_Now >= fromSeconds(1.0 / Rate) + Reserve &&
+         Last - P.m_Now >= fromSeconds(Bids / Rate) + Reserve;
 }
 
-bool canSpareSlot(const Pool &In, const ClassState &Class, double Bids) {
-  return canSpareSlot(In, Class, Class.m_OnTime, Bids) &&
-         canSpareSlot(In, Class, Class.m_Late, Bids);
+bool canSpareSlot(const Pool &P, const ClassState &Class, double Bids) {
+  return canSpareSlot(P, Class, Class.m_OnTime, Bids) &&
+         canSpareSlot(P, Class, Class.m_Late, Bids);
 }
 
 /// Tells whether a free slot may go to lower tiers ahead of this one's bids:
 /// it is overloaded, and what it was admitted still keeps its targets.
-bool letsPass(const Pool &In, const Tier &Of, double Bids) {
+bool canYieldSlot(const Pool &P, const Tier &T, double Bids) {
   return std::all_of(
-      Of.m_Classes.begin(), Of.m_Classes.end(), [&](const ClassState *Class) {
-        if (Class->demand() == 0 || !hasPlace(In, *Class))
+      T.m_Classes.begin(), T.m_Classes.end(), [&](const ClassState *Class) {
+        if (Class->demand() == 0 || !hasPlace(P, *Class))
           return true;
-        return isOverloaded(*Class) && canSpareSlot(In, *Class, Bids);
+        return isOverloaded(*Class) && canSpareSlot(P, *Class, Bids);
       });
 }
 
 /// Seconds of its floor that a class is behind, or 0 when nothing is owed.
-double secondsBehind(const ClassState &Class) {
+double secondsBelowFloor(const ClassState &Class) {
   const auto Running = static_cast<double>(Class.m_Running);
   if (Class.m_Debt <= 0.0 || Class.demand() == 0 || Running >= Class.floorNow())
     return 0.0;
@@ -54,28 +54,28 @@
 }
 
 /// Returns the least urgent tier that is owed; 0: none.
-std::uint8_t lastOwedTier(const Pool &In) {
+std::uint8_t lastTierBelowFloor(const Pool &P) {
   std::uint8_t Last = 0;
-  for (const ClassState *Class : In.m_Queue.classes())
-    if (Class->m_Tier->m_Number > Last && secondsBehind(*Class) > 0.0)
+  for (const ClassState *Class : P.m_Queue.classes())
+    if (Class->m_Tier->m_Number > Last && secondsBelowFloor(*Class) > 0.0)
       Last = Class->m_Tier->m_Number;
   return Last;
 }
 
 } // namespace
 
-void updateOffered(Pool &In) {
+void updateOffered(Pool &P) {
   // Rates change over tens of seconds; working them out for each event would
   // cost more than the rest of the decision.
-  if (In.m_Now < In.m_OfferedUntil)
+  if (P.m_Now < P.m_OfferedUntil)
     return;
-  In.m_OfferedUntil = In.m_Now + tuning::OfferedLifetime;
+  P.m_OfferedUntil = P.m_Now + tuning::OfferedLifetime;
   double Sum = 0.0;
-  for (auto &[Number, Tier] : In.m_Queue.tiers()) {
+  for (auto &[Number, Tier] : P.m_Queue.tiers()) {
     Tier.m_Offered = 0.0;
     for (const ClassState *Class : Tier.m_Classes)
       Tier.m_Offered +=
-          Class->m_Offered.perSecond(In.m_Now) * Class->serviceSeconds();
+          Class->m_Offered.perSecond(P.m_Now) * Class->serviceSeconds();
     Sum += Tier.m_Offered;
     Tier.m_OfferedTo = Sum;
   }
@@ -85,57 +85,57 @@
   return Class.m_Tier->m_OfferedTo >= tuning::Overload * Class.m_Slots;
 }
 
-void updateFloors(Pool &In) {
+void updateFloors(Pool &P) {
   double Weights = 0.0;
-  for (const ClassState *Class : In.m_Queue.classes())
+  for (const ClassState *Class : P.m_Queue.classes())
     Weights += static_cast<double>(Class->m_Contract.m_Weight);
-  for (ClassState *Class : In.m_Queue.classes()) {
-    In.m_Fleet.updateClass(*Class);
+  for (ClassState *Class : P.m_Queue.classes()) {
+    P.m_Fleet.updateClass(*Class);
     const auto Weight = static_cast<double>(Class->m_Contract.m_Weight);
     Class->m_FloorSlots = Weights > 0.0 ? Class->m_Slots * Weight / Weights : 0;
   }
 }
 
-void accrueFloors(Pool &In, Duration Elapsed) {
+void accrueFloors(Pool &P, Duration Elapsed) {
   const double Seconds = toSeconds(Elapsed);
   if (Seconds <= 0.0)
     return;
-  for (ClassState *Class : In.m_Queue.classes()) {
+  for (ClassState *Class : P.m_Queue.classes()) {
     // Without waiting bids nothing is owed: the class has what it asked for.
     if (Class->demand() == 0) {
       Class->m_Debt = 0.0;
       continue;
     }
-    const double Short =
+    const double Missing =
         Class->m_FloorSlots - static_cast<double>(Class->m_Running);
-    Class->m_Debt = std::clamp(Class->m_Debt + Short * Seconds, 0.0,
+    Class->m_Debt = std::clamp(Class->m_Debt + Missing * Seconds, 0.0,
                                tuning::FloorSeconds * Class->m_FloorSlots);
   }
 }
 
-ClassState *owedClass(const Pool &In) {
-  const bool IsPaused = In.m_Stats.m_Preempted > 0 &&
-                        In.m_Now < In.m_LastStop + tuning::FloorPause;
-  const std::uint8_t Last = lastOwedTier(In);
-  if (In.isBaseline() || IsPaused)
+ClassState *owedClass(const Pool &P) {
+  const bool IsPaused =
+      P.m_Stats.m_Preempted > 0 && P.m_Now < P.m_LastStop + tuning::FloorPause;
+  const std::uint8_t Last = lastTierBelowFloor(P);
+  if (P.isBaseline() || IsPaused)
     return nullptr;
   ClassState *Best = nullptr;
   double Longest = 0.0;
   double Bids = 0.0;
-  for (const auto &[Number, Tier] : In.m_Queue.tiers()) {
+  for (const auto &[Number, Tier] : P.m_Queue.tiers()) {
     if (Number > Last)
       break;
     // Without bids before it a tier needs no floor: it is the next to serve.
     for (ClassState *Class : Tier.m_Classes) {
-      const double Behind = Bids > 0.0 ? secondsBehind(*Class) : 0.0;
-      if (Behind <= Longest || !hasPlace(In, *Class))
+      const double Seconds = Bids > 0.0 ? secondsBelowFloor(*Class) : 0.0;
+      if (Seconds <= Longest || !hasPlace(P, *Class))
         continue;
       Best = Class;
-      Longest = Behind;
+      Longest = Seconds;
     }
     for (const ClassState *Class : Tier.m_Classes)
       Bids += static_cast<double>(Class->demand());
-    if (Number == Last || !letsPass(In, Tier, Bids))
+    if (Number == Last || !canYieldSlot(P, Tier, Bids))
       break;
   }
   return Best;
--- a/src/decision/learned.cpp
+++ b/src/decision/learned.cpp
@@ -12,13 +12,13 @@
 constexpr unsigned Bins = 54;           ///< Three a doubling.
 constexpr double LowestSample = 0.25;   ///< Lower ones count as this.
 constexpr double HighestSample = 65536; ///< Higher ones count as this.
-constexpr double Longest = 86400.0;     ///< Seconds of a day.
-constexpr double YoungestMeter = 2.0;   ///< Seconds; no rate is told of less.
+constexpr double MaxSeconds = 86400.0;  ///< Seconds of a day.
+constexpr double MinMeterAge = 2.0;     ///< Seconds; no rate is told of less.
 
 } // namespace
 
 Duration fromSeconds(double Seconds) {
-  const double Bounded = std::clamp(Seconds, 0.0, Longest);
+  const double Bounded = std::clamp(Seconds, 0.0, MaxSeconds);
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(Bounded));
 }
@@ -51,13 +51,13 @@
 }
 
 double Quantile::compute() const {
-  double Missing = m_Share * m_Weight;
+  double Remaining = m_Share * m_Weight;
   const auto &Bounds = m_Histogram.axis(0);
   for (int Bin = 0; Bin < Bounds.size(); ++Bin) {
     const double Weight = m_Histogram[Bin];
-    if (Weight >= Missing && Weight > 0.0)
-      return Bounds.value(static_cast<double>(Bin) + Missing / Weight);
-    Missing -= Weight;
+    if (Weight >= Remaining && Weight > 0.0)
+      return Bounds.value(static_cast<double>(Bin) + Remaining / Weight);
+    Remaining -= Weight;
   }
   return HighestSample;
 }
@@ -77,7 +77,7 @@
     return 0.0;
   // Of a meter that is younger than its time constant, only part of the weight
   // is there yet; a burst right after the start would go unseen.
-  const double Age = toSeconds(Now - *m_First) + YoungestMeter;
+  const double Age = toSeconds(Now - *m_First) + MinMeterAge;
   return decayed(Now) / (1.0 - std::exp(-Age / m_Seconds));
 }
 
--- a/src/decision/placement.cpp
+++ b/src/decision/placement.cpp
@@ -21,17 +21,18 @@
 using Candidates = boost::container::small_vector<Candidate, 16>;
 
 bool hasHealthy(const ClassState &Class, TimePoint Now) {
-  return std::any_of(Class.m_Eligible.begin(), Class.m_Eligible.end(),
-                     [Now](const Serving *One) { return One->isHealthy(Now); });
+  return std::any_of(
+      Class.m_Eligible.begin(), Class.m_Eligible.end(),
+      [Now](const Serving *State) { return State->isHealthy(Now); });
 }
 
 /// Tells whether \p One may get a bid at all. When nobody is healthy, paused
 /// and ejected upstreams serve too: a slow answer is better than none.
-bool mayServe(const ClassState &Class, const Serving &One, bool AnyHealthy,
+bool mayServe(const ClassState &Class, const Serving &State, bool AnyHealthy,
               TimePoint Now) {
-  if (!One.isUsable())
+  if (!State.isUsable())
     return false;
-  return !AnyHealthy || One.isHealthy(Now) || mayProbe(One, Class, Now);
+  return !AnyHealthy || State.isHealthy(Now) || mayProbe(State, Class, Now);
 }
 
 std::uint64_t mix(std::uint64_t Value) {
@@ -42,165 +43,165 @@
 }
 
 /// Expected output of an average grant among the candidates; 1 while idle.
-double meanOutstanding(const Candidates &Among) {
+double meanOutstanding(const Candidates &Options) {
   double Tokens = 0.0;
   double Grants = 0.0;
-  for (const Candidate &One : Among) {
-    Tokens += One.m_Serving->m_Outstanding;
-    Grants += static_cast<double>(One.m_Serving->m_Used);
+  for (const Candidate &C : Options) {
+    Tokens += C.m_Serving->m_Outstanding;
+    Grants += static_cast<double>(C.m_Serving->m_Used);
   }
   return Tokens > 0.0 && Grants > 0.0 ? Tokens / Grants : 1.0;
 }
 
 /// Load as half slots, half expected tokens in units of average grants, and
 /// dearer on slow upstreams.
-void rateLoads(const Pool &In, Candidates &Among) {
+void computeLoads(const Pool &P, Candidates &Options) {
   constexpr double Half = 0.5;
   constexpr double Idle = 0.05; // Even an idle slow upstream costs something.
   constexpr double Noise = 1.5; // Slowness below this is chance.
-  const double Average = meanOutstanding(Among);
-  for (Candidate &One : Among) {
-    const Serving &Where = *One.m_Serving;
-    const double Tokens = Where.m_Outstanding / Average /
-                          static_cast<double>(std::max(1U, Where.m_Slots));
-    One.m_Load = Half * Where.load(In.m_Now) + Half * Tokens;
-    const double Slow = relativeSlowness(In, Where);
-    if (Slow > Noise)
-      One.m_Load = (One.m_Load + Idle) * Slow;
+  const double Average = meanOutstanding(Options);
+  for (Candidate &C : Options) {
+    const Serving &State = *C.m_Serving;
+    const double Tokens = State.m_Outstanding / Average /
+                          static_cast<double>(std::max(1U, State.m_Slots));
+    C.m_Load = Half * State.load(P.m_Now) + Half * Tokens;
+    const double Slowness = relativeSlowness(P, State);
+    if (Slowness > Noise)
+      C.m_Load = (C.m_Load + Idle) * Slowness;
   }
 }
 
-void rateMatches(const Pool &In, const Bid &For, Candidates &Among) {
-  const std::size_t Length = For.m_Prefixes.size();
+void computeMatches(const Pool &P, const Bid &NewBid, Candidates &Options) {
+  const std::size_t Length = NewBid.m_Prefixes.size();
   for (std::size_t I = Length; I > 0; --I) {
-    const auto *Holders = In.m_Fleet.prefixes().find(For.m_Prefixes[I - 1]);
+    const auto *Holders = P.m_Fleet.prefixes().find(NewBid.m_Prefixes[I - 1]);
     if (Holders == nullptr)
       continue;
     const double Match = static_cast<double>(I) / static_cast<double>(Length);
-    for (Candidate &One : Among)
-      if (One.m_Match == 0.0 &&
-          std::find(Holders->begin(), Holders->end(),
-                    One.m_Serving->m_HintTag) != Holders->end())
-        One.m_Match = Match;
+    for (Candidate &C : Options)
+      if (C.m_Match == 0.0 &&
+          std::find(Holders->begin(), Holders->end(), C.m_Serving->m_HintTag) !=
+              Holders->end())
+        C.m_Match = Match;
   }
 }
 
 /// A hint may be wrong and must never build up a queue: a whole match is worth
 /// a fixed part of a batch, so beyond that much more load it is passed by.
-double costOf(const Candidate &One, const Bid &For) {
-  double Cost = One.m_Load - tuning::AffinityWeight * One.m_Match;
-  if (One.m_Serving->m_Upstream.m_Zone != For.m_Zone)
+double costOf(const Candidate &C, const Bid &NewBid) {
+  double Cost = C.m_Load - tuning::AffinityWeight * C.m_Match;
+  if (C.m_Serving->m_Upstream.m_Zone != NewBid.m_Zone)
     Cost += tuning::OtherZoneCost;
   return Cost;
 }
 
-Serving *cheapest(Pool &In, const Bid &For, Candidates &Among) {
-  rateLoads(In, Among);
-  rateMatches(In, For, Among);
-  const std::uint64_t Salt = mix(In.m_Config.m_Seed + ++In.m_Choices);
+Serving *cheapest(Pool &P, const Bid &NewBid, Candidates &Options) {
+  computeLoads(P, Options);
+  computeMatches(P, NewBid, Options);
+  const std::uint64_t Salt = mix(P.m_Config.m_Seed + ++P.m_Choices);
   Serving *Best = nullptr;
   double BestCost = 0.0;
   std::uint64_t BestTie = 0;
-  for (const Candidate &One : Among) {
-    const double Cost = costOf(One, For);
-    const std::uint64_t Tie =
-        mix(Salt ^ One.m_Serving->m_Upstream.m_Id.value());
+  for (const Candidate &C : Options) {
+    const double Cost = costOf(C, NewBid);
+    const std::uint64_t Tie = mix(Salt ^ C.m_Serving->m_Upstream.m_Id.value());
     if (Best != nullptr && std::tie(BestCost, BestTie) <= std::tie(Cost, Tie))
       continue;
-    Best = One.m_Serving;
+    Best = C.m_Serving;
     BestCost = Cost;
     BestTie = Tie;
   }
   return Best;
 }
 
-Serving *nextInTurn(Pool &In, const Candidates &Among) {
+Serving *nextRoundRobin(Pool &P, const Candidates &Options) {
   // Turns go over all upstreams by id; full ones are skipped.
   const auto Next =
-      std::find_if(Among.begin(), Among.end(), [&In](const Candidate &One) {
-        return One.m_Serving->m_Upstream.m_Id > In.m_LastTurn;
+      std::find_if(Options.begin(), Options.end(), [&P](const Candidate &C) {
+        return C.m_Serving->m_Upstream.m_Id > P.m_LastTurn;
       });
-  Serving *Chosen = (Next == Among.end() ? Among.begin() : Next)->m_Serving;
-  In.m_LastTurn = Chosen->m_Upstream.m_Id;
+  Serving *Chosen = (Next == Options.end() ? Options.begin() : Next)->m_Serving;
+  P.m_LastTurn = Chosen->m_Upstream.m_Id;
   return Chosen;
 }
 
-Serving *leastInFlight(const Candidates &Among) {
-  return std::min_element(Among.begin(), Among.end(),
+Serving *leastInFlight(const Candidates &Options) {
+  return std::min_element(Options.begin(), Options.end(),
                           [](const Candidate &A, const Candidate &B) {
                             return A.m_Serving->m_Used < B.m_Serving->m_Used;
                           })
       ->m_Serving;
 }
 
-Serving *pickByPolicy(Pool &In, const Bid &For, Candidates &Among) {
-  switch (In.m_Config.m_Policy) {
+Serving *pickByPolicy(Pool &P, const Bid &NewBid, Candidates &Options) {
+  switch (P.m_Config.m_Policy) {
   case PolicyKind::RoundRobin:
-    return nextInTurn(In, Among);
+    return nextRoundRobin(P, Options);
   case PolicyKind::LeastInFlight:
-    return leastInFlight(Among);
+    return leastInFlight(Options);
   case PolicyKind::Crowstep:
     break;
   }
-  return cheapest(In, For, Among);
+  return cheapest(P, NewBid, Options);
 }
 
 } // namespace
 
-bool hasPlace(const Pool &In, const ClassState &Class) {
+bool hasPlace(const Pool &P, const ClassState &Class) {
   bool AnyHealthy = false;
   bool AnyFree = false;
-  for (const Serving *One : Class.m_Eligible) {
-    if (!One->isUsable())
+  for (const Serving *State : Class.m_Eligible) {
+    if (!State->isUsable())
       continue;
-    const bool IsHealthy = One->isHealthy(In.m_Now);
+    const bool IsHealthy = State->isHealthy(P.m_Now);
     AnyHealthy = AnyHealthy || IsHealthy;
-    if (!One->hasFreeSlot(In.m_Now))
+    if (!State->hasFreeSlot(P.m_Now))
       continue;
-    if (IsHealthy || mayProbe(*One, Class, In.m_Now))
+    if (IsHealthy || mayProbe(*State, Class, P.m_Now))
       return true;
     AnyFree = true;
   }
   return AnyFree && !AnyHealthy;
 }
 
-bool wouldServe(const Pool &In, const ClassState &Class, const Serving &Where) {
+bool wouldServe(const Pool &P, const ClassState &Class, const Serving &State) {
   const auto &Eligible = Class.m_Eligible;
-  if (std::find(Eligible.begin(), Eligible.end(), &Where) == Eligible.end())
+  if (std::find(Eligible.begin(), Eligible.end(), &State) == Eligible.end())
     return false;
-  if (!hasHealthy(Class, In.m_Now))
-    return Where.isUsable();
-  return Where.isHealthy(In.m_Now);
+  if (!hasHealthy(Class, P.m_Now))
+    return State.isUsable();
+  return State.isHealthy(P.m_Now);
 }
 
 bool hasUpstream(const ClassState &Class) {
   return std::any_of(Class.m_Eligible.begin(), Class.m_Eligible.end(),
-                     [](const Serving *One) { return One->isUsable(); });
+                     [](const Serving *State) { return State->isUsable(); });
 }
 
-Serving *chooseUpstream(Pool &In, const Request &Bid) {
-  const ClassState &Class = *Bid.m_Class;
-  const bool AnyHealthy = hasHealthy(Class, In.m_Now);
-  Candidates Among;
-  bool AnotherCan = false;
+Serving *chooseUpstream(Pool &P, const Request &Waiting) {
+  const ClassState &Class = *Waiting.m_Class;
+  const bool AnyHealthy = hasHealthy(Class, P.m_Now);
+  Candidates Options;
+  bool HasAlternative = false;
   Serving *Avoided = nullptr;
-  for (Serving *One : Class.m_Eligible) {
-    if (!mayServe(Class, *One, AnyHealthy, In.m_Now))
+  for (Serving *State : Class.m_Eligible) {
+    if (!mayServe(Class, *State, AnyHealthy, P.m_Now))
       continue;
-    const bool IsAvoided = Bid.m_Bid.m_Avoid == One->m_Upstream.m_Id;
-    AnotherCan = AnotherCan || (!IsAvoided && One->isHealthy(In.m_Now));
-    if (!One->hasFreeSlot(In.m_Now))
+    const bool IsAvoided = Waiting.m_Bid.m_Avoid == State->m_Upstream.m_Id;
+    HasAlternative =
+        HasAlternative || (!IsAvoided && State->isHealthy(P.m_Now));
+    if (!State->hasFreeSlot(P.m_Now))
       continue;
     if (IsAvoided)
-      Avoided = One;
-    else if (One->m_Ejected && AnyHealthy)
-      return One;
+      Avoided = State;
+    else if (State->m_Ejected && AnyHealthy)
+      return State;
     else
-      Among.push_back({One});
+      Options.push_back({State});
   }
-  if (!Among.empty())
-    return pickByPolicy(In, Bid.m_Bid, Among);
-  return AnotherCan ? nullptr : Avoided;
+  if (!Options.empty())
+    return pickByPolicy(P, Waiting.m_Bid, Options);
+  return HasAlternative ? nullptr : Avoided;
 }
 
 } // namespace crowstep::decision
--- a/src/decision/preemption_func.h
+++ b/src/decision/preemption_func.h
@@ -10,18 +10,18 @@
 
 /// Stops running work of lower tiers where a waiting bid would otherwise miss
 /// its target, or its limit once it is late.
-void preemptWhereNeeded(Pool &In);
+void preemptWhereNeeded(Pool &P);
 
 /// Stops one piece of lower work for a bid of \p Class that would be refused
 /// else, unless its tier is overloaded and lower tiers hold no more than their
 /// floors. Returns whether it did.
-bool stopAboveFloor(Pool &In, const ClassState &Class);
+bool stopAboveFloor(Pool &P, const ClassState &Class);
 
 /// Gives orders to stop again that were not followed for too long.
-void repeatStops(Pool &In);
+void repeatStops(Pool &P);
 
 /// Returns when a bid of \p Class next needs a look by the clock alone.
-std::optional<TimePoint> nextPreemptionCheck(const Pool &In,
+std::optional<TimePoint> nextPreemptionCheck(const Pool &P,
                                              const ClassState &Class);
 
 } // namespace crowstep::decision
--- a/src/decision/prefix_index.cpp
+++ b/src/decision/prefix_index.cpp
@@ -8,12 +8,12 @@
 namespace crowstep::decision {
 
 void PrefixIndex::add(PrefixHash Prefix, std::uint32_t Tag) {
-  const auto [At, IsNew] = m_Holders.try_emplace(Prefix, Holders{});
-  Holders &Tags = At->second;
-  auto Place = std::find(Tags.begin(), Tags.end(), Tag);
-  if (Place == Tags.end())
-    Place = std::prev(Tags.end());
-  std::move_backward(Tags.begin(), Place, std::next(Place));
+  const auto [It, IsNew] = m_Holders.try_emplace(Prefix, Holders{});
+  Holders &Tags = It->second;
+  auto Position = std::find(Tags.begin(), Tags.end(), Tag);
+  if (Position == Tags.end())
+    Position = std::prev(Tags.end());
+  std::move_backward(Tags.begin(), Position, std::next(Position));
   Tags.front() = Tag;
   if (!IsNew)
     return;
@@ -25,14 +25,14 @@
 }
 
 void PrefixIndex::remove(PrefixHash Prefix, std::uint32_t Tag) {
-  const auto At = m_Holders.find(Prefix);
-  if (At != m_Holders.end())
-    std::replace(At->second.begin(), At->second.end(), Tag, 0U);
+  const auto It = m_Holders.find(Prefix);
+  if (It != m_Holders.end())
+    std::replace(It->second.begin(), It->second.end(), Tag, 0U);
 }
 
 const PrefixIndex::Holders *PrefixIndex::find(PrefixHash Prefix) const {
-  const auto At = m_Holders.find(Prefix);
-  return At == m_Holders.end() ? nullptr : &At->second;
+  const auto It = m_Holders.find(Prefix);
+  return It == m_Holders.end() ? nullptr : &It->second;
 }
 
 } // namespace crowstep::decision
--- a/src/decision/queue.cpp
+++ b/src/decision/queue.cpp
@@ -7,23 +7,23 @@
 
 namespace {
 
-void linkReady(Flow &One) {
-  One.m_Lane->m_Ready.insert(One);
-  One.m_Lane->m_ReadyCount += One.m_Queue.size();
+void linkReady(Flow &F) {
+  F.m_Lane->m_Ready.insert(F);
+  F.m_Lane->m_ReadyCount += F.m_Queue.size();
 }
 
-void unlinkReady(Flow &One) {
-  One.m_Lane->m_Ready.erase(One.m_Lane->m_Ready.iterator_to(One));
-  One.m_Lane->m_ReadyCount -= One.m_Queue.size();
+void unlinkReady(Flow &F) {
+  F.m_Lane->m_Ready.erase(F.m_Lane->m_Ready.iterator_to(F));
+  F.m_Lane->m_ReadyCount -= F.m_Queue.size();
 }
 
-bool isReady(const Flow &One) { return One.m_ReadyHook.is_linked(); }
+bool isReady(const Flow &F) { return F.m_ReadyHook.is_linked(); }
 
-void block(Lane &In, WorkspaceId Workspace, bool IsBlocked) {
-  const auto At = In.m_Flows.find(Workspace);
-  if (At == In.m_Flows.end() || At->second.m_Blocked == IsBlocked)
+void block(Lane &L, WorkspaceId Workspace, bool IsBlocked) {
+  const auto It = L.m_Flows.find(Workspace);
+  if (It == L.m_Flows.end() || It->second.m_Blocked == IsBlocked)
     return;
-  Flow &Changed = At->second;
+  Flow &Changed = It->second;
   Changed.m_Blocked = IsBlocked;
   if (Changed.m_Queue.empty())
     return;
@@ -35,15 +35,15 @@
 
 bool isAtLimit(const ClassState &Class, WorkspaceId Workspace) {
   const std::uint32_t Limit = Class.m_Contract.m_WorkspaceConcurrent;
-  const auto Use = Class.m_Workspaces.find(Workspace);
-  return Limit != 0 && Use != Class.m_Workspaces.end() &&
-         Use->second.m_Running >= Limit;
+  const auto It = Class.m_Workspaces.find(Workspace);
+  return Limit != 0 && It != Class.m_Workspaces.end() &&
+         It->second.m_Running >= Limit;
 }
 
 void updateBlocks(ClassState &Class) {
-  for (Lane *In : {&Class.m_OnTime, &Class.m_Late})
-    for (auto &[Workspace, One] : In->m_Flows)
-      block(*In, Workspace, isAtLimit(Class, Workspace));
+  for (Lane *L : {&Class.m_OnTime, &Class.m_Late})
+    for (auto &[Workspace, F] : L->m_Flows)
+      block(*L, Workspace, isAtLimit(Class, Workspace));
 }
 
 void applyRow(ClassState &Class, const Contract &Row, TimePoint Now) {
@@ -61,50 +61,50 @@
 } // namespace
 
 ClassState *Queue::find(ClassId Id) {
-  const auto At = m_Classes.find(Id);
-  return At == m_Classes.end() || !At->second.m_Listed ? nullptr : &At->second;
+  const auto It = m_Classes.find(Id);
+  return It == m_Classes.end() || !It->second.m_Listed ? nullptr : &It->second;
 }
 
-void Queue::push(Request &Bid, bool IsLate) {
-  ClassState &Class = *Bid.m_Class;
-  Lane &Into = IsLate ? Class.m_Late : Class.m_OnTime;
-  const WorkspaceId Workspace = Bid.m_Bid.m_Workspace;
-  Flow &Own = Into.m_Flows[Workspace];
-  Bid.m_Flow = &Own;
-  Into.m_ByDeadline.insert(Bid);
+void Queue::push(Request &Waiting, bool IsLate) {
+  ClassState &Class = *Waiting.m_Class;
+  Lane &L = IsLate ? Class.m_Late : Class.m_OnTime;
+  const WorkspaceId Workspace = Waiting.m_Bid.m_Workspace;
+  Flow &F = L.m_Flows[Workspace];
+  Waiting.m_Flow = &F;
+  L.m_ByDeadline.insert(Waiting);
   ++m_Size;
-  if (!Own.m_Queue.empty()) {
-    Own.m_Queue.insert(Bid);
-    Into.m_ReadyCount += isReady(Own) ? 1 : 0;
+  if (!F.m_Queue.empty()) {
+    F.m_Queue.insert(Waiting);
+    L.m_ReadyCount += isReady(F) ? 1 : 0;
     return;
   }
   WorkspaceShare &Share = Class.m_Tier->m_Shares[Workspace];
   if (Share.m_Flows.empty())
     Share.m_Virtual = std::max(Share.m_Virtual, Class.m_Tier->m_Virtual);
-  Share.m_Flows.push_back(&Own);
-  Own.m_Workspace = Workspace;
-  Own.m_Lane = &Into;
-  Own.m_Share = &Share;
-  Own.m_Blocked = isAtLimit(Class, Workspace);
-  Own.m_Queue.insert(Bid);
-  if (!Own.m_Blocked)
-    linkReady(Own);
+  Share.m_Flows.push_back(&F);
+  F.m_Workspace = Workspace;
+  F.m_Lane = &L;
+  F.m_Share = &Share;
+  F.m_Blocked = isAtLimit(Class, Workspace);
+  F.m_Queue.insert(Waiting);
+  if (!F.m_Blocked)
+    linkReady(F);
 }
 
-void Queue::remove(Request &Bid) {
-  Flow &Own = *Bid.m_Flow;
-  Lane &From = *Own.m_Lane;
-  From.m_ByDeadline.erase(From.m_ByDeadline.iterator_to(Bid));
-  const bool WasReady = isReady(Own);
-  if (WasReady && Own.m_Queue.size() == 1)
-    unlinkReady(Own);
+void Queue::remove(Request &Waiting) {
+  Flow &F = *Waiting.m_Flow;
+  Lane &L = *F.m_Lane;
+  L.m_ByDeadline.erase(L.m_ByDeadline.iterator_to(Waiting));
+  const bool WasReady = isReady(F);
+  if (WasReady && F.m_Queue.size() == 1)
+    unlinkReady(F);
   else if (WasReady)
-    --From.m_ReadyCount;
-  Own.m_Queue.erase(Own.m_Queue.iterator_to(Bid));
-  Bid.m_Flow = nullptr;
+    --L.m_ReadyCount;
+  F.m_Queue.erase(F.m_Queue.iterator_to(Waiting));
+  Waiting.m_Flow = nullptr;
   --m_Size;
-  if (Own.m_Queue.empty())
-    std::erase(Own.m_Share->m_Flows, &Own);
+  if (F.m_Queue.empty())
+    std::erase(F.m_Share->m_Flows, &F);
 }
 
 void Queue::charge(ClassState &Class, WorkspaceId Workspace, double Tokens) {
@@ -113,19 +113,19 @@
   WorkspaceShare &Share = Class.m_Tier->m_Shares[Workspace];
   // Sorted sets must not see a key change underneath them.
   std::vector<Flow *> Ready;
-  for (Flow *One : Share.m_Flows)
-    if (isReady(*One))
-      Ready.push_back(One);
-  for (Flow *One : Ready)
-    unlinkReady(*One);
+  for (Flow *F : Share.m_Flows)
+    if (isReady(*F))
+      Ready.push_back(F);
+  for (Flow *F : Ready)
+    unlinkReady(*F);
   Share.m_Virtual += Tokens;
-  for (Flow *One : Ready)
-    linkReady(*One);
+  for (Flow *F : Ready)
+    linkReady(*F);
 }
 
-void Queue::noteServed(const Request &Bid) {
-  Tier &Own = *Bid.m_Class->m_Tier;
-  Own.m_Virtual = std::max(Own.m_Virtual, Bid.m_Flow->m_Share->m_Virtual);
+void Queue::noteServed(const Request &Waiting) {
+  Tier &T = *Waiting.m_Class->m_Tier;
+  T.m_Virtual = std::max(T.m_Virtual, Waiting.m_Flow->m_Share->m_Virtual);
 }
 
 void Queue::addRunning(ClassState &Class, WorkspaceId Workspace, int Change,
@@ -142,7 +142,7 @@
 
 void Queue::setTable(const ContractTable &Table, const std::string &Service,
                      bool IsFlat, TimePoint Now,
-                     std::vector<Request *> &Homeless) {
+                     std::vector<Request *> &Removed) {
   std::map<ClassId, std::uint8_t> Numbers;
   for (const Contract &Row : Table.m_Contracts)
     if (Service.empty() || Row.m_Service == Service)
@@ -158,28 +158,28 @@
   for (const Contract &Row : Table.m_Contracts)
     applyRow(m_Classes[Row.m_Id], Row, Now);
   rebuildTiers(Numbers);
-  for (const Displacement &One : Moved)
-    if (One.m_Bid->m_Class->m_Tier != nullptr)
-      push(*One.m_Bid, One.m_IsLate);
+  for (const Displacement &Move : Moved)
+    if (Move.m_Bid->m_Class->m_Tier != nullptr)
+      push(*Move.m_Bid, Move.m_IsLate);
     else
-      Homeless.push_back(One.m_Bid);
+      Removed.push_back(Move.m_Bid);
   for (ClassState *Class : m_PoolClasses)
     updateBlocks(*Class);
 }
 
 void Queue::takeOut(ClassState &Class, std::vector<Displacement> &Moved) {
   const std::size_t First = Moved.size();
-  for (Lane *From : {&Class.m_OnTime, &Class.m_Late})
-    for (Request &One : From->m_ByDeadline)
-      Moved.push_back({&One, From == &Class.m_Late});
+  for (Lane *L : {&Class.m_OnTime, &Class.m_Late})
+    for (Request &Waiting : L->m_ByDeadline)
+      Moved.push_back({&Waiting, L == &Class.m_Late});
   for (std::size_t I = First; I < Moved.size(); ++I)
     remove(*Moved[I].m_Bid);
 }
 
 void Queue::rebuildTiers(const std::map<ClassId, std::uint8_t> &Numbers) {
   // Accounts of a tier outlive the change; only the lists of rows are renewed.
-  for (auto &[Number, Old] : m_Tiers)
-    Old.m_Classes.clear();
+  for (auto &[Number, T] : m_Tiers)
+    T.m_Classes.clear();
   m_PoolClasses.clear();
   std::uint8_t Last = 0;
   for (auto &[Id, Class] : m_Classes) {
@@ -187,12 +187,12 @@
     Class.m_Tier = nullptr;
     if (Number == Numbers.end())
       continue;
-    Tier &Into = m_Tiers[Number->second];
-    Into.m_Number = Number->second;
-    Into.m_Classes.push_back(&Class);
-    Class.m_Tier = &Into;
+    Tier &T = m_Tiers[Number->second];
+    T.m_Number = Number->second;
+    T.m_Classes.push_back(&Class);
+    Class.m_Tier = &T;
     m_PoolClasses.push_back(&Class);
-    Last = std::max(Last, Into.m_Number);
+    Last = std::max(Last, T.m_Number);
   }
   for (ClassState *Class : m_PoolClasses)
     Class->m_MayProbe = Class->m_Tier->m_Number == Last;
--- a/src/decision/queue.h
+++ b/src/decision/queue.h
@@ -19,20 +19,20 @@
   /// stand in one tier, for the baselines. Bids keep their places; those of
   /// rows that left the pool are appended to \p Homeless and taken out.
   void setTable(const ContractTable &Table, const std::string &Service,
-                bool IsFlat, TimePoint Now, std::vector<Request *> &Homeless);
+                bool IsFlat, TimePoint Now, std::vector<Request *> &Removed);
 
   /// Returns the row \p Id, or null when the table has none.
   [[nodiscard]] ClassState *find(ClassId Id);
 
-  void push(Request &Bid, bool IsLate);
-  void remove(Request &Bid);
+  void push(Request &Waiting, bool IsLate);
+  void remove(Request &Waiting);
 
   /// Adds \p Tokens to the account of \p Workspace in the tier of \p Class.
   void charge(ClassState &Class, WorkspaceId Workspace, double Tokens);
 
   /// Notes that a flow is served: later arrivals start from its account, so
   /// that a workspace can't save up service while it asks for none.
-  static void noteServed(const Request &Bid);
+  static void noteServed(const Request &Waiting);
 
   /// Counts running work, and blocks or unblocks the workspace's flows.
   static void addRunning(ClassState &Class, WorkspaceId Workspace, int Change,
--- a/src/decision/serving.cpp
+++ b/src/decision/serving.cpp
@@ -28,16 +28,16 @@
   return static_cast<double>(Busy) / static_cast<double>(std::max(1U, m_Slots));
 }
 
-bool hasModel(const Upstream &Of, const std::string &Model) {
-  const auto *Kind = std::get_if<Engine>(&Of.m_Kind);
+bool hasModel(const Upstream &Candidate, const std::string &Model) {
+  const auto *Kind = std::get_if<Engine>(&Candidate.m_Kind);
   if (Kind == nullptr || Model.empty() || Kind->m_Models.empty())
     return true;
   return std::find(Kind->m_Models.begin(), Kind->m_Models.end(), Model) !=
          Kind->m_Models.end();
 }
 
-bool canResume(const Serving &Where) {
-  const auto *Kind = std::get_if<Engine>(&Where.m_Upstream.m_Kind);
+bool canResume(const Serving &State) {
+  const auto *Kind = std::get_if<Engine>(&State.m_Upstream.m_Kind);
   return Kind != nullptr && Kind->m_CanResume;
 }
 
--- a/src/decision/serving_base.h
+++ b/src/decision/serving_base.h
@@ -74,10 +74,10 @@
 };
 
 /// Tells whether \p Of can run the model; an empty list of models means any.
-bool hasModel(const Upstream &Of, const std::string &Model);
+bool hasModel(const Upstream &Candidate, const std::string &Model);
 
 /// Tells whether stopped work can go on elsewhere from its tokens.
-bool canResume(const Serving &Where);
+bool canResume(const Serving &State);
 
 } // namespace crowstep::decision
 
--- a/src/decision/straggler.cpp
+++ b/src/decision/straggler.cpp
@@ -12,19 +12,19 @@
 
 namespace {
 
-bool isJudged(const Serving &One) {
-  return One.isUsable() && !One.m_Ejected &&
-         One.m_Slowness.count() >= tuning::StragglerSamples;
+bool hasSpeed(const Serving &State) {
+  return State.isUsable() && !State.m_Ejected &&
+         State.m_Slowness.count() >= tuning::StragglerSamples;
 }
 
 /// Median slowness of the other judged upstreams; 0 when they are too few.
-double medianOfPeers(const Fleet &Of, const Serving &But) {
+double medianOfPeers(const Fleet &F, const Serving &Excluded) {
   boost::container::small_vector<double, 32> Peers;
   std::size_t Usable = 0;
-  for (const auto &[Id, One] : Of.all()) {
-    Usable += One.isUsable() ? 1 : 0;
-    if (&One != &But && isJudged(One))
-      Peers.push_back(One.m_Slowness.value());
+  for (const auto &[Id, State] : F.all()) {
+    Usable += State.isUsable() ? 1 : 0;
+    if (&State != &Excluded && hasSpeed(State))
+      Peers.push_back(State.m_Slowness.value());
   }
   if (Peers.empty() || 2 * (Peers.size() + 1) < Usable)
     return 0.0;
@@ -39,112 +39,111 @@
   std::size_t m_Ejected = 0; ///< Of those.
 };
 
-Counts count(const Fleet &Of) {
-  Counts Found;
-  for (const auto &[Id, One] : Of.all()) {
-    if (!One.isUsable())
+Counts count(const Fleet &F) {
+  Counts Result;
+  for (const auto &[Id, State] : F.all()) {
+    if (!State.isUsable())
       continue;
-    ++Found.m_Usable;
-    Found.m_Ejected += One.m_Ejected ? 1 : 0;
+    ++Result.m_Usable;
+    Result.m_Ejected += State.m_Ejected ? 1 : 0;
   }
-  return Found;
+  return Result;
 }
 
 /// How many of the usable upstreams may be ejected at once; never all.
-std::size_t ceilingOf(const Pool &In, std::size_t Usable) {
-  const auto Share =
-      In.m_Config.m_MaxEjectedShare * static_cast<double>(Usable);
-  const auto Most = static_cast<std::size_t>(std::floor(Share));
-  return Usable == 0 ? 0 : std::min(Most, Usable - 1);
+std::size_t maxEjected(const Pool &P, std::size_t Usable) {
+  const auto Share = P.m_Config.m_MaxEjectedShare * static_cast<double>(Usable);
+  const auto Limit = static_cast<std::size_t>(std::floor(Share));
+  return Usable == 0 ? 0 : std::min(Limit, Usable - 1);
 }
 
-void setEjected(Pool &In, Serving &Where, bool IsEjected) {
-  Where.m_Ejected = IsEjected;
-  Where.m_GoodProbes = 0;
-  Where.m_ProbeRunning = false;
-  Where.m_Slowness.reset();
-  Where.m_ProbePause = tuning::FirstProbePause;
-  Where.m_NextProbe = In.m_Now + Where.m_ProbePause;
-  Where.m_LastProbe = In.m_Now;
-  In.m_Actions->push_back(EjectionChanged{Where.m_Upstream.m_Id, IsEjected});
-  updateFloors(In);
+void setEjected(Pool &P, Serving &State, bool IsEjected) {
+  State.m_Ejected = IsEjected;
+  State.m_GoodProbes = 0;
+  State.m_ProbeRunning = false;
+  State.m_Slowness.reset();
+  State.m_ProbePause = tuning::FirstProbePause;
+  State.m_NextProbe = P.m_Now + State.m_ProbePause;
+  State.m_LastProbe = P.m_Now;
+  P.m_Actions->push_back(EjectionChanged{State.m_Upstream.m_Id, IsEjected});
+  updateFloors(P);
 }
 
-void judge(Pool &In, Serving &Where) {
-  if (!isJudged(Where))
+void checkStraggler(Pool &P, Serving &State) {
+  if (!hasSpeed(State))
     return;
-  const double Median = medianOfPeers(In.m_Fleet, Where);
-  In.m_MedianSlowness = Median;
+  const double Median = medianOfPeers(P.m_Fleet, State);
+  P.m_MedianSlowness = Median;
   if (Median <= 0.0 ||
-      Where.m_Slowness.value() < tuning::StragglerFactor * Median)
+      State.m_Slowness.value() < tuning::StragglerFactor * Median)
     return;
-  const Counts Now = count(In.m_Fleet);
-  if (Now.m_Ejected < ceilingOf(In, Now.m_Usable))
-    setEjected(In, Where, true);
+  const Counts Current = count(P.m_Fleet);
+  if (Current.m_Ejected < maxEjected(P, Current.m_Usable))
+    setEjected(P, State, true);
 }
 
-void judgeProbe(Pool &In, Serving &Where, double Slowness) {
-  const double Median = medianOfPeers(In.m_Fleet, Where);
+void checkProbe(Pool &P, Serving &State, double Slowness) {
+  const double Median = medianOfPeers(P.m_Fleet, State);
   const double Allowed =
       tuning::RecoveredFactor * (Median > 0.0 ? Median : 1.0);
   if (Slowness <= Allowed) {
-    if (++Where.m_GoodProbes >= tuning::GoodProbes)
-      setEjected(In, Where, false);
+    if (++State.m_GoodProbes >= tuning::GoodProbes)
+      setEjected(P, State, false);
     else
-      Where.m_NextProbe = In.m_Now;
+      State.m_NextProbe = P.m_Now;
     return;
   }
-  Where.m_GoodProbes = 0;
-  Where.m_ProbePause = std::min(2 * Where.m_ProbePause, tuning::MaxProbePause);
-  Where.m_NextProbe = In.m_Now + Where.m_ProbePause;
+  State.m_GoodProbes = 0;
+  State.m_ProbePause = std::min(2 * State.m_ProbePause, tuning::MaxProbePause);
+  State.m_NextProbe = P.m_Now + State.m_ProbePause;
 }
 
 } // namespace
 
-void addSpeed(Pool &In, Serving &Where, const SpeedSample &Sample,
+void addSpeed(Pool &P, Serving &State, const SpeedSample &Sample,
               bool IsProbe) {
-  if (Sample.m_Mean <= 0.0 || In.isBaseline())
+  if (Sample.m_Mean <= 0.0 || P.isBaseline())
     return;
   const bool IsNear = Sample.m_Seconds < Sample.m_Mean + Sample.m_MinExcess;
   const double Ratio = Sample.m_Seconds / Sample.m_Mean;
   const double Slowness = IsNear ? std::min(Ratio, 1.0) : Ratio;
-  if (!Where.m_Ejected) {
-    Where.m_Slowness.add(Slowness);
-    judge(In, Where);
+  if (!State.m_Ejected) {
+    State.m_Slowness.add(Slowness);
+    checkStraggler(P, State);
   } else if (IsProbe) {
     // Work that was granted before the ejection says nothing of the present.
-    judgeProbe(In, Where, Slowness);
+    checkProbe(P, State, Slowness);
   }
 }
 
-void endProbe(Pool &In, Serving &Where) {
-  Where.m_ProbeRunning = false;
-  Where.m_NextProbe = std::max(Where.m_NextProbe, In.m_Now);
+void endProbe(Pool &P, Serving &State) {
+  State.m_ProbeRunning = false;
+  State.m_NextProbe = std::max(State.m_NextProbe, P.m_Now);
 }
 
-void reviewEjections(Pool &In) {
-  Counts Now = count(In.m_Fleet);
-  for (auto &[Id, One] : In.m_Fleet.all()) {
-    if (Now.m_Ejected <= ceilingOf(In, Now.m_Usable))
+void reviewEjections(Pool &P) {
+  Counts Current = count(P.m_Fleet);
+  for (auto &[Id, State] : P.m_Fleet.all()) {
+    if (Current.m_Ejected <= maxEjected(P, Current.m_Usable))
       return;
-    if (!One.m_Ejected || !One.isUsable())
+    if (!State.m_Ejected || !State.isUsable())
       continue;
-    setEjected(In, One, false);
-    --Now.m_Ejected;
+    setEjected(P, State, false);
+    --Current.m_Ejected;
   }
 }
 
-double relativeSlowness(const Pool &In, const Serving &Where) {
-  if (!isJudged(Where) || In.m_MedianSlowness <= 0.0)
+double relativeSlowness(const Pool &P, const Serving &State) {
+  if (!hasSpeed(State) || P.m_MedianSlowness <= 0.0)
     return 1.0;
-  return Where.m_Slowness.value() / In.m_MedianSlowness;
+  return State.m_Slowness.value() / P.m_MedianSlowness;
 }
 
-bool mayProbe(const Serving &Where, const ClassState &Class, TimePoint Now) {
-  const bool IsAnyones = Now >= Where.m_LastProbe + tuning::ProbeByAnyAfter;
-  return Where.m_Ejected && Where.isUsable() && !Where.m_ProbeRunning &&
-         Now >= Where.m_NextProbe && Now >= Where.m_BackoffUntil &&
-         (Class.m_MayProbe || IsAnyones);
+bool mayProbe(const Serving &State, const ClassState &Class, TimePoint Now) {
+  const bool IsOpenToAll = Now >= State.m_LastProbe + tuning::ProbeByAnyAfter;
+  return State.m_Ejected && State.isUsable() && !State.m_ProbeRunning &&
+         Now >= State.m_NextProbe && Now >= State.m_BackoffUntil &&
+         (Class.m_MayProbe || IsOpenToAll);
 }
 
 } // namespace crowstep::decision
--- a/src/decision/straggler_func.h
+++ b/src/decision/straggler_func.h
@@ -14,20 +14,19 @@
 };
 
 /// Judges \p Where by one more sample: ejects a straggler, or counts a probe.
-void addSpeed(Pool &In, Serving &Where, const SpeedSample &Sample,
-              bool IsProbe);
+void addSpeed(Pool &P, Serving &State, const SpeedSample &Sample, bool IsProbe);
 
 /// Ends a probe that brought no sample.
-void endProbe(Pool &In, Serving &Where);
+void endProbe(Pool &P, Serving &State);
 
 /// Takes ejected upstreams back when the pool has shrunk below the ceiling.
-void reviewEjections(Pool &In);
+void reviewEjections(Pool &P);
 
 /// Returns an upstream's slowness against its peers' median; 1 while unknown.
-double relativeSlowness(const Pool &In, const Serving &Where);
+double relativeSlowness(const Pool &P, const Serving &State);
 
 /// Tells whether a bid of \p Class may try the ejected \p Where now.
-bool mayProbe(const Serving &Where, const ClassState &Class, TimePoint Now);
+bool mayProbe(const Serving &State, const ClassState &Class, TimePoint Now);
 
 } // namespace crowstep::decision
 
--- a/src/decision/work_func.h
+++ b/src/decision/work_func.h
@@ -7,36 +7,37 @@
 namespace crowstep::decision {
 
 /// Returns the output tokens that \p For is expected still to take.
-std::uint32_t expectedTokens(ClassState &Class, const Bid &For, TimePoint Now);
+std::uint32_t expectedTokens(ClassState &Class, const Bid &NewBid,
+                             TimePoint Now);
 
 /// Gives \p Where's slot to a waiting request and says so.
-void grant(Pool &In, Request &Waiting, Serving &Where);
+void grant(Pool &P, Request &Waiting, Serving &State);
 
 /// Says again where a granted request runs.
-void grantAgain(Pool &In, Request &Granted);
+void grantAgain(Pool &P, Request &Granted);
 
 /// Counts a request as running at \p Where without a grant of ours.
-void adopt(Pool &In, Request &Running, Serving &Where);
+void adopt(Pool &P, Request &Running, Serving &State);
 
 /// Notes that a granted request's first token came.
-void noteFirstToken(Pool &In, Request &Granted, Duration Latency);
+void noteFirstToken(Pool &P, Request &Granted, Duration Latency);
 
 /// Takes in how granted work ended, frees its slot and forgets the request,
 /// or keeps it as returning.
-void finish(Pool &In, Request &Granted, const WorkEnded &How);
+void finish(Pool &P, Request &Granted, const WorkEnded &End);
 
 /// Frees the slot of work of which no end was reported, and forgets it.
-void abandon(Pool &In, Request &Granted);
+void abandon(Pool &P, Request &Granted);
 
 /// Takes a waiting request out of the queue and forgets it.
-void dropWaiting(Pool &In, Request &Waiting);
+void dropWaiting(Pool &P, Request &Waiting);
 
 /// Takes a waiting request out of the queue, refuses and forgets it.
-void refuseWaiting(Pool &In, Request &Waiting, RefusalReason Reason,
+void refuseWaiting(Pool &P, Request &Waiting, RefusalReason Reason,
                    Duration RetryAfter);
 
 /// Says that \p Id is refused.
-void refuse(Pool &In, const RequestId &Id, RefusalReason Reason,
+void refuse(Pool &P, const RequestId &Id, RefusalReason Reason,
             Duration RetryAfter);
 
 } // namespace crowstep::decision
--- a/tests/benchmark/decision_benchmark.cpp
+++ b/tests/benchmark/decision_benchmark.cpp
@@ -21,7 +21,7 @@
 constexpr std::uint32_t Slots = 16;
 constexpr unsigned Classes = 12;
 constexpr unsigned Workspaces = 220;
-constexpr auto Patience = std::chrono::hours(10);
+constexpr auto LongestWait = std::chrono::hours(10);
 
 /// A pool that is full, with bids waiting.
 class FullPool {
@@ -33,17 +33,17 @@
     send(TableChanged{{TableVersion(1), Rows}});
     std::vector<Upstream> All;
     for (std::uint64_t Id = 1; Id <= Engines; ++Id) {
-      Upstream One;
-      One.m_Id = UpstreamId(Id);
-      One.m_Kind = Engine{Slots, {}, true, true};
-      All.push_back(One);
+      Upstream NewEngine;
+      NewEngine.m_Id = UpstreamId(Id);
+      NewEngine.m_Kind = Engine{Slots, {}, true, true};
+      All.push_back(NewEngine);
     }
     send(UpstreamsChanged{All});
     const std::size_t Before = mallinfo2().uordblks;
     for (std::size_t I = 0; I < Waiting + Engines * Slots; ++I)
       bid();
-    m_BytesEach = static_cast<double>(mallinfo2().uordblks - Before) /
-                  static_cast<double>(Waiting);
+    m_BytesPerBid = static_cast<double>(mallinfo2().uordblks - Before) /
+                    static_cast<double>(Waiting);
     // Service times and lengths are learned before anything is measured.
     for (int I = 0; I < 2000; ++I) {
       end();
@@ -52,18 +52,18 @@
   }
 
   void bid() {
-    Bid Made;
-    Made.m_Request = {InstanceId(m_Random() % 9), ++m_Number};
-    Made.m_Class =
+    Bid NewBid;
+    NewBid.m_Request = {InstanceId(m_Random() % 9), ++m_Number};
+    NewBid.m_Class =
         ClassId(static_cast<std::uint16_t>(1 + m_Random() % Classes));
-    Made.m_Workspace = WorkspaceId(1 + m_Random() % Workspaces);
-    Made.m_PromptTokens = 500;
-    Made.m_MaxTokens = 1000;
-    Made.m_UntilTarget = Patience / 2 + Duration(m_Random() % 1'000'000);
-    Made.m_UntilLimit = Patience;
+    NewBid.m_Workspace = WorkspaceId(1 + m_Random() % Workspaces);
+    NewBid.m_PromptTokens = 500;
+    NewBid.m_MaxTokens = 1000;
+    NewBid.m_UntilTarget = LongestWait / 2 + Duration(m_Random() % 1'000'000);
+    NewBid.m_UntilLimit = LongestWait;
     for (PrefixHash Depth = 0; Depth < 4; ++Depth)
-      Made.m_Prefixes.push_back(m_Random() % 2000 * 4 + Depth);
-    send(Made);
+      NewBid.m_Prefixes.push_back(m_Random() % 2000 * 4 + Depth);
+    send(NewBid);
   }
 
   /// Ends the oldest work; its slot goes to a waiting bid.
@@ -76,48 +76,49 @@
                    Duration(1'000'000 + m_Random() % 1'000'000)});
   }
 
-  void send(const Event &What) {
+  void send(const Event &NextEvent) {
     m_Now += 20us;
     m_Actions.clear();
     const auto Begin = std::chrono::steady_clock::now();
-    m_Decider.handle(What, m_Now, m_Actions);
+    m_Decider.handle(NextEvent, m_Now, m_Actions);
     benchmark::DoNotOptimize(m_Decider.nextDeadline());
-    m_Took = std::chrono::steady_clock::now() - Begin;
-    for (const Action &One : m_Actions)
-      if (const auto *Given = std::get_if<Grant>(&One))
-        m_Running.push_back(*Given);
+    m_Duration = std::chrono::steady_clock::now() - Begin;
+    for (const Action &Next : m_Actions)
+      if (const auto *Granted = std::get_if<Grant>(&Next))
+        m_Running.push_back(*Granted);
   }
 
-  [[nodiscard]] std::chrono::nanoseconds took() const { return m_Took; }
-  [[nodiscard]] double bytesEach() const { return m_BytesEach; }
+  [[nodiscard]] std::chrono::nanoseconds duration() const { return m_Duration; }
+  [[nodiscard]] double bytesPerBid() const { return m_BytesPerBid; }
 
 private:
   static Contract rowOf(unsigned Id) {
     Contract Row;
     Row.m_Id = ClassId(static_cast<std::uint16_t>(Id));
     Row.m_Tier = static_cast<std::uint8_t>(1 + Id % 6);
-    Row.m_FirstTokenTarget = Patience / 2;
-    Row.m_TotalLimit = Patience;
+    Row.m_FirstTokenTarget = LongestWait / 2;
+    Row.m_TotalLimit = LongestWait;
     Row.m_Preemptible = Row.m_Tier > 3;
     return Row;
   }
 
-  Decider m_Decider;                 ///< Measured.
-  TimePoint m_Now{1s};               ///< Moves on with each event.
-  std::vector<Action> m_Actions;     ///< Of the last event.
-  std::deque<Grant> m_Running;       ///< The oldest first.
-  std::mt19937 m_Random{20261202};   ///< Fixed seed.
-  std::uint64_t m_Number = 0;        ///< Of the last request.
-  std::chrono::nanoseconds m_Took{}; ///< By the last event.
-  double m_BytesEach = 0.0;          ///< Heap for each waiting request.
+  Decider m_Decider;                     ///< Measured.
+  TimePoint m_Now{1s};                   ///< Moves on with each event.
+  std::vector<Action> m_Actions;         ///< Of the last event.
+  std::deque<Grant> m_Running;           ///< The oldest first.
+  std::mt19937 m_Random{20261202};       ///< Fixed seed.
+  std::uint64_t m_Number = 0;            ///< Of the last request.
+  std::chrono::nanoseconds m_Duration{}; ///< By the last event.
+  double m_BytesPerBid = 0.0;            ///< Heap for each waiting request.
 };
 
-void report(benchmark::State &State, std::vector<std::int64_t> &Took) {
-  const auto At = [&Took](double Share) {
+void report(benchmark::State &State, std::vector<std::int64_t> &Durations) {
+  const auto At = [&Durations](double Share) {
     const auto Place = static_cast<std::ptrdiff_t>(
-        Share * static_cast<double>(Took.size() - 1));
-    std::nth_element(Took.begin(), Took.begin() + Place, Took.end());
-    return static_cast<double>(Took[static_cast<std::size_t>(Place)]);
+        Share * static_cast<double>(Durations.size() - 1));
+    std::nth_element(Durations.begin(), Durations.begin() + Place,
+                     Durations.end());
+    return static_cast<double>(Durations[static_cast<std::size_t>(Place)]);
   };
   State.counters["median_ns"] = At(0.5);
   State.counters["p99_ns"] = At(0.99);
@@ -126,28 +127,28 @@
 /// Work ends and the best waiting bid is granted its slot.
 void grantNext(benchmark::State &State) {
   FullPool Pool(static_cast<std::size_t>(State.range(0)));
-  std::vector<std::int64_t> Took;
+  std::vector<std::int64_t> Durations;
   for (auto Step : State) {
     Pool.end();
-    Took.push_back(Pool.took().count());
-    State.SetIterationTime(1e-9 * static_cast<double>(Pool.took().count()));
+    Durations.push_back(Pool.duration().count());
+    State.SetIterationTime(1e-9 * static_cast<double>(Pool.duration().count()));
     Pool.bid();
   }
-  report(State, Took);
-  State.counters["bytes_each"] = Pool.bytesEach();
+  report(State, Durations);
+  State.counters["bytes_each"] = Pool.bytesPerBid();
 }
 
 /// A bid joins the queue of a full pool.
 void takeBid(benchmark::State &State) {
   FullPool Pool(static_cast<std::size_t>(State.range(0)));
-  std::vector<std::int64_t> Took;
+  std::vector<std::int64_t> Durations;
   for (auto Step : State) {
     Pool.bid();
-    Took.push_back(Pool.took().count());
-    State.SetIterationTime(1e-9 * static_cast<double>(Pool.took().count()));
+    Durations.push_back(Pool.duration().count());
+    State.SetIterationTime(1e-9 * static_cast<double>(Pool.duration().count()));
     Pool.end();
   }
-  report(State, Took);
+  report(State, Durations);
 }
 
 } // namespace
--- a/tests/unit/decision_basic_test.cpp
+++ b/tests/unit/decision_basic_test.cpp
@@ -17,29 +17,29 @@
     Urgent.m_Tier = 1;
     Urgent.m_FirstTokenTarget = 500ms;
     Urgent.m_TotalLimit = 5s;
-    Contract Guide = Urgent;
-    Guide.m_Id = ClassId(2);
-    Guide.m_Tier = 4;
-    send(TableChanged{{TableVersion(1), {Urgent, Guide}}});
-    Upstream One;
-    One.m_Id = UpstreamId(7);
-    One.m_Kind = Engine{1, {}, true, true};
-    send(UpstreamsChanged{{One}});
+    Contract Batch = Urgent;
+    Batch.m_Id = ClassId(2);
+    Batch.m_Tier = 4;
+    send(TableChanged{{TableVersion(1), {Urgent, Batch}}});
+    Upstream Only;
+    Only.m_Id = UpstreamId(7);
+    Only.m_Kind = Engine{1, {}, true, true};
+    send(UpstreamsChanged{{Only}});
   }
 
-  std::vector<Action> send(const Event &What) {
+  std::vector<Action> send(const Event &NextEvent) {
     std::vector<Action> Actions;
-    m_Decider.handle(What, m_Clock.now(), Actions);
+    m_Decider.handle(NextEvent, m_Clock.now(), Actions);
     return Actions;
   }
 
   static Bid bid(std::uint64_t Number, std::uint16_t Class) {
-    Bid Made;
-    Made.m_Request = {InstanceId(1), Number};
-    Made.m_Class = ClassId(Class);
-    Made.m_UntilTarget = 500ms;
-    Made.m_UntilLimit = 5s;
-    return Made;
+    Bid NewBid;
+    NewBid.m_Request = {InstanceId(1), Number};
+    NewBid.m_Class = ClassId(Class);
+    NewBid.m_UntilTarget = 500ms;
+    NewBid.m_UntilLimit = 5s;
+    return NewBid;
   }
 
   ManualClock m_Clock;                ///< Stands still.
@@ -70,8 +70,8 @@
   send(bid(2, 1));
   m_Clock.advance(5s);
   bool Refused = false;
-  for (const Action &One : send(Tick{}))
-    if (const auto *Found = std::get_if<Refuse>(&One))
+  for (const Action &Next : send(Tick{}))
+    if (const auto *Found = std::get_if<Refuse>(&Next))
       Refused = Found->m_Request.m_Number == 2;
   BOOST_TEST(Refused);
 }
--- a/tests/unit/decision_fleet_test.cpp
+++ b/tests/unit/decision_fleet_test.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-struct Fleet4 : World {
-  explicit Fleet4(std::uint32_t Slots = 4, DeciderConfig Config = {})
+struct FourEngines : World {
+  explicit FourEngines(std::uint32_t Slots = 4, DeciderConfig Config = {})
       : World(Config) {
     setTable({row(1, 1, 1s, 10s), row(2, 3, 5s, 60s)});
     list(Slots);
@@ -32,13 +32,13 @@
 
   [[nodiscard]] unsigned grantsTo(std::uint64_t Id) const {
     unsigned Found = 0;
-    for (const Action &One : m_Log)
-      if (const auto *Given = std::get_if<Grant>(&One))
-        Found += Given->m_Upstream == UpstreamId(Id) ? 1 : 0;
+    for (const Action &Next : m_Log)
+      if (const auto *Granted = std::get_if<Grant>(&Next))
+        Found += Granted->m_Upstream == UpstreamId(Id) ? 1 : 0;
     return Found;
   }
 
-  void askMany(int Count, Duration Gap, Duration Service) {
+  void submitMany(int Count, Duration Gap, Duration Service) {
     for (int I = 0; I < Count; ++I) {
       ask(static_cast<std::uint16_t>(1 + I % 2), 1, Service);
       advance(Gap);
@@ -52,71 +52,71 @@
 // on top of them, an older one must not come after a newer one, and load that
 // others put on the upstream must count.
 BOOST_AUTO_TEST_CASE(LateReportsNeitherUndoNorDoubleOwnGrants) {
-  Fleet4 On;
-  On.askMany(8, 0ms, 30s);
+  FourEngines Sim;
+  Sim.submitMany(8, 0ms, 30s);
   for (std::uint64_t Id = 1; Id <= 4; ++Id)
-    On.report(Id, 5, 2);
-  On.askMany(8, 0ms, 30s);
-  BOOST_TEST(On.m_Running.size() == 16U);
-  for (const auto &[Id, One] : std::map(On.m_Running))
-    On.end(Id, WorkEnd::Cancelled);
-  On.advance(10s);
-  On.report(1, 7, 4);
-  On.report(1, 6, 0);
-  On.askMany(16, 0ms, 1s);
-  BOOST_TEST(On.m_Running.size() == 12U);
-  On.advance(60s);
-  BOOST_TEST(On.m_Waiting.empty());
+    Sim.report(Id, 5, 2);
+  Sim.submitMany(8, 0ms, 30s);
+  BOOST_TEST(Sim.m_Running.size() == 16U);
+  for (const auto &[Id, Running] : std::map(Sim.m_Running))
+    Sim.end(Id, WorkEnd::Cancelled);
+  Sim.advance(10s);
+  Sim.report(1, 7, 4);
+  Sim.report(1, 6, 0);
+  Sim.submitMany(16, 0ms, 1s);
+  BOOST_TEST(Sim.m_Running.size() == 12U);
+  Sim.advance(60s);
+  BOOST_TEST(Sim.m_Waiting.empty());
 }
 
 // One engine runs at a tenth of its speed. It is found against its peers, gets
 // probes only, and comes back when it is well; a second one stays, as the
 // ceiling allows one of four.
 BOOST_AUTO_TEST_CASE(StragglerIsEjectedProbedAndTakenBack) {
-  Fleet4 On;
-  On.m_Slow[UpstreamId(2)] = 10;
-  On.askMany(300, 50ms, 200ms);
-  BOOST_TEST(On.m_Ejected.contains(UpstreamId(2)));
-  const unsigned Before = On.grantsTo(2);
-  On.m_Slow[UpstreamId(3)] = 10;
-  On.askMany(300, 50ms, 200ms);
-  BOOST_TEST(On.m_Ejected.size() == 1U);
-  BOOST_TEST(On.grantsTo(2) <= Before + 3);
-  On.m_Slow.clear();
-  On.askMany(800, 50ms, 200ms);
-  BOOST_TEST(On.m_Ejected.empty());
+  FourEngines Sim;
+  Sim.m_Slow[UpstreamId(2)] = 10;
+  Sim.submitMany(300, 50ms, 200ms);
+  BOOST_TEST(Sim.m_Ejected.contains(UpstreamId(2)));
+  const unsigned Before = Sim.grantsTo(2);
+  Sim.m_Slow[UpstreamId(3)] = 10;
+  Sim.submitMany(300, 50ms, 200ms);
+  BOOST_TEST(Sim.m_Ejected.size() == 1U);
+  BOOST_TEST(Sim.grantsTo(2) <= Before + 3);
+  Sim.m_Slow.clear();
+  Sim.submitMany(800, 50ms, 200ms);
+  BOOST_TEST(Sim.m_Ejected.empty());
 }
 
 // An engine refuses a call because it is leaving, while the list goes on to
 // name it and a report from before still denies it. World fails the test when
 // it is granted anything again.
 BOOST_AUTO_TEST_CASE(LeavingUpstreamGetsNothingWhateverTheListSays) {
-  Fleet4 On;
-  const RequestId First = On.ask(1, 1, 1s);
-  const UpstreamId Left = On.m_Running.at(First).m_Upstream;
-  On.end(First, WorkEnd::UpstreamLeaving);
-  On.report(Left.value(), 3, 0);
-  On.list(4);
-  On.askMany(40, 20ms, 300ms);
-  On.setUpstreams({engine(1, 4)});
-  On.list(4);
-  On.askMany(40, 20ms, 300ms);
-  BOOST_TEST(On.m_Outcomes[First].m_Finished);
+  FourEngines Sim;
+  const RequestId First = Sim.ask(1, 1, 1s);
+  const UpstreamId Drained = Sim.m_Running.at(First).m_Upstream;
+  Sim.end(First, WorkEnd::UpstreamLeaving);
+  Sim.report(Drained.value(), 3, 0);
+  Sim.list(4);
+  Sim.submitMany(40, 20ms, 300ms);
+  Sim.setUpstreams({engine(1, 4)});
+  Sim.list(4);
+  Sim.submitMany(40, 20ms, 300ms);
+  BOOST_TEST(Sim.m_Outcomes[First].m_Finished);
 }
 
 // An engine has crashed and the list still names it. It looks idle, so every
 // bid would go there first; it must be paused after a failed connection.
 BOOST_AUTO_TEST_CASE(CrashedUpstreamDrawsNoTraffic) {
-  Fleet4 On;
-  On.m_Failing.insert(UpstreamId(4));
-  On.m_OnGrant = [&On](const RequestId &Id) {
-    if (On.m_Running.at(Id).m_Upstream == UpstreamId(4))
-      On.end(Id, WorkEnd::ConnectFailed);
+  FourEngines Sim;
+  Sim.m_Failing.insert(UpstreamId(4));
+  Sim.m_OnGrant = [&Sim](const RequestId &Id) {
+    if (Sim.m_Running.at(Id).m_Upstream == UpstreamId(4))
+      Sim.end(Id, WorkEnd::ConnectFailed);
   };
-  On.askMany(400, 50ms, 300ms);
-  BOOST_TEST(On.grantsTo(4) <= 12U);
-  for (const auto &[Id, One] : On.m_Outcomes)
-    BOOST_TEST(!One.m_Refused);
+  Sim.submitMany(400, 50ms, 300ms);
+  BOOST_TEST(Sim.grantsTo(4) <= 12U);
+  for (const auto &[Id, Result] : Sim.m_Outcomes)
+    BOOST_TEST(!Result.m_Refused);
 }
 
 // Prompts share a prefix: they follow it while its engine is about as free as
@@ -124,24 +124,24 @@
 // of the lost ones may have been an eviction.
 BOOST_AUTO_TEST_CASE(PrefixHintsAreFollowedWithinBoundsAndDroppedOnAGap) {
   for (const bool HasGap : {false, true}) {
-    Fleet4 On(8);
-    std::optional<RequestId> OnThree;
+    FourEngines Sim(8);
+    std::optional<RequestId> OnEngine3;
     for (int I = 0; I < 4; ++I) {
-      const RequestId Id = On.ask(1, 1, 30s);
-      if (On.m_Running.at(Id).m_Upstream == UpstreamId(3))
-        OnThree = Id;
+      const RequestId Id = Sim.ask(1, 1, 30s);
+      if (Sim.m_Running.at(Id).m_Upstream == UpstreamId(3))
+        OnEngine3 = Id;
     }
-    BOOST_REQUIRE(OnThree.has_value());
-    for (const auto &[Id, One] : std::map(On.m_Running))
-      if (Id != OnThree)
-        On.withdraw(Id);
-    On.send(CacheEvent{UpstreamId(3), 1, 12, true});
+    BOOST_REQUIRE(OnEngine3.has_value());
+    for (const auto &[Id, Running] : std::map(Sim.m_Running))
+      if (Id != OnEngine3)
+        Sim.withdraw(Id);
+    Sim.send(CacheEvent{UpstreamId(3), 1, 12, true});
     if (HasGap)
-      On.send(CacheEvent{UpstreamId(3), 5, 99, true});
-    const auto Prefixed = [](Bid &Made) { Made.m_Prefixes = {11, 12}; };
+      Sim.send(CacheEvent{UpstreamId(3), 5, 99, true});
+    const auto AddPrefixes = [](Bid &NewBid) { NewBid.m_Prefixes = {11, 12}; };
     for (int I = 0; I < 5; ++I)
-      On.ask(1, 1, 30s, Prefixed);
-    BOOST_TEST(On.grantsTo(3) == (HasGap ? 1U : 3U));
+      Sim.ask(1, 1, 30s, AddPrefixes);
+    BOOST_TEST(Sim.grantsTo(3) == (HasGap ? 1U : 3U));
   }
 }
 
@@ -150,34 +150,34 @@
 BOOST_AUTO_TEST_CASE(NewOwnerHearsFirstWhatRuns) {
   DeciderConfig Config;
   Config.m_RebuildWindow = 1s;
-  Fleet4 On(1, Config);
-  On.ask(1, 1, 1s);
-  BOOST_TEST(On.m_Running.empty());
+  FourEngines Sim(1, Config);
+  Sim.ask(1, 1, 1s);
+  BOOST_TEST(Sim.m_Running.empty());
   for (std::uint64_t Id = 1; Id <= 3; ++Id) {
     Bid Known;
     Known.m_Request = {InstanceId(9), Id};
     Known.m_Class = ClassId(2);
-    On.m_Running[Known.m_Request] = {Known, UpstreamId(Id), On.m_Clock.now()};
-    On.send(WorkRunning{Known, UpstreamId(Id), 5});
+    Sim.m_Running[Known.m_Request] = {Known, UpstreamId(Id), Sim.m_Clock.now()};
+    Sim.send(WorkRunning{Known, UpstreamId(Id), 5});
   }
-  On.advance(1s);
-  BOOST_TEST(On.m_Running.size() == 4U);
-  On.ask(1, 1, 1s);
-  BOOST_TEST(On.m_Running.size() == 4U);
+  Sim.advance(1s);
+  BOOST_TEST(Sim.m_Running.size() == 4U);
+  Sim.ask(1, 1, 1s);
+  BOOST_TEST(Sim.m_Running.size() == 4U);
 }
 
 // An entry falls silent after a grant and nobody says so. The slot must not
 // stay taken for ever, and a lost entry's slots come back at once.
 BOOST_AUTO_TEST_CASE(SilentGrantLapses) {
-  Fleet4 On(1);
-  On.m_FirstTokenTime = 1h;
+  FourEngines Sim(1);
+  Sim.m_FirstTokenTime = 1h;
   for (int I = 0; I < 4; ++I)
-    On.ask(1, 1, 1s);
+    Sim.ask(1, 1, 1s);
   std::vector<Action> Actions;
-  const auto Due = On.m_Decider.nextDeadline();
+  const auto Due = Sim.m_Decider.nextDeadline();
   BOOST_REQUIRE(Due.has_value());
-  On.m_Running.clear();
-  On.m_Clock.advance(20s);
-  On.send(Tick{});
-  BOOST_TEST(On.m_Decider.stats().m_Running == 0U);
+  Sim.m_Running.clear();
+  Sim.m_Clock.advance(20s);
+  Sim.send(Tick{});
+  BOOST_TEST(Sim.m_Decider.stats().m_Running == 0U);
 }
--- a/tests/unit/decision_limits_test.cpp
+++ b/tests/unit/decision_limits_test.cpp
@@ -33,21 +33,21 @@
   const auto Rate = *rc::gen::inRange(1U, 20U);
   const auto Gaps = *rc::gen::container<std::vector<unsigned>>(
       200, rc::gen::inRange(0U, 200U));
-  OneClass On([&](Contract &Row) { Row.m_WorkspaceRate = Rate; });
+  OneClass Sim([&](Contract &Row) { Row.m_WorkspaceRate = Rate; });
   std::vector<TimePoint> Admitted;
   for (const unsigned Gap : Gaps) {
-    On.advance(std::chrono::milliseconds(Gap));
-    const RequestId Id = On.ask(1, 1, 1ms);
-    if (!On.refused(Id)) {
-      Admitted.push_back(On.m_Clock.now());
+    Sim.advance(std::chrono::milliseconds(Gap));
+    const RequestId Id = Sim.ask(1, 1, 1ms);
+    if (!Sim.refused(Id)) {
+      Admitted.push_back(Sim.m_Clock.now());
       continue;
     }
-    RC_ASSERT(On.refused(Id) == RefusalReason::WorkspaceRate);
+    RC_ASSERT(Sim.refused(Id) == RefusalReason::WorkspaceRate);
     // Another workspace is not concerned, and coming back when told helps.
-    RC_ASSERT(!On.refused(On.ask(1, 2 + Admitted.size(), 1ms)));
-    On.advance(On.m_Outcomes[Id].m_RetryAfter);
-    RC_ASSERT(!On.refused(On.ask(1, 1, 1ms)));
-    Admitted.push_back(On.m_Clock.now());
+    RC_ASSERT(!Sim.refused(Sim.ask(1, 2 + Admitted.size(), 1ms)));
+    Sim.advance(Sim.m_Outcomes[Id].m_RetryAfter);
+    RC_ASSERT(!Sim.refused(Sim.ask(1, 1, 1ms)));
+    Admitted.push_back(Sim.m_Clock.now());
   }
   for (std::size_t From = 0; From < Admitted.size(); ++From)
     for (std::size_t To = From; To < Admitted.size(); ++To)
@@ -58,13 +58,13 @@
 // Answers turn out ten times as long as learned. What they took beyond the
 // estimate is paid for by later bids, so the rate holds in the end.
 BOOST_AUTO_TEST_CASE(TokensAreChargedAsGenerated) {
-  OneClass On([](Contract &Row) { Row.m_MaxTokenRate = 500; });
+  OneClass Sim([](Contract &Row) { Row.m_MaxTokenRate = 500; });
   for (int I = 0; I < 1200; ++I) {
-    On.ask(1, 1, I < 100 ? 300ms : 3s);
-    On.advance(100ms);
+    Sim.ask(1, 1, I < 100 ? 300ms : 3s);
+    Sim.advance(100ms);
   }
   const double Seconds = 120;
-  const auto Generated = static_cast<double>(On.m_Tokens[ClassId(1)]);
+  const auto Generated = static_cast<double>(Sim.m_Tokens[ClassId(1)]);
   BOOST_TEST(Generated <= 1.15 * 500 * Seconds);
   BOOST_TEST(Generated >= 0.7 * 500 * Seconds);
 }
@@ -85,30 +85,30 @@
 // A flood fills the class's queue. A neighbour's bid must not be refused at its
 // door: the flood's last bid gives up its place.
 BOOST_AUTO_TEST_CASE(FullQueueTakesFromTheLargestWorkspace) {
-  OneClass On([](Contract &Row) { Row.m_MaxQueue = 10; }, 1);
+  OneClass Sim([](Contract &Row) { Row.m_MaxQueue = 10; }, 1);
   std::vector<RequestId> Flood;
   Flood.reserve(12);
   for (int I = 0; I < 12; ++I)
-    Flood.push_back(On.ask(1, 1, 5s));
-  BOOST_TEST(!On.refused(Flood.back()));
-  BOOST_TEST((On.refused(On.ask(1, 1, 5s)) == RefusalReason::QueueFull));
-  BOOST_TEST(!On.refused(On.ask(1, 2, 5s)));
-  BOOST_TEST((On.refused(Flood.back()) == RefusalReason::QueueFull));
-  BOOST_TEST(On.m_Waiting.size() == 10U);
+    Flood.push_back(Sim.ask(1, 1, 5s));
+  BOOST_TEST(!Sim.refused(Flood.back()));
+  BOOST_TEST((Sim.refused(Sim.ask(1, 1, 5s)) == RefusalReason::QueueFull));
+  BOOST_TEST(!Sim.refused(Sim.ask(1, 2, 5s)));
+  BOOST_TEST((Sim.refused(Flood.back()) == RefusalReason::QueueFull));
+  BOOST_TEST(Sim.m_Waiting.size() == 10U);
 }
 
 // Every attempt fails. Beyond the budget the upstreams must not be asked again
 // and again: retries end when the class's share is used up.
 BOOST_AUTO_TEST_CASE(RetriesEndWithTheBudget) {
-  OneClass On([](Contract &Row) { Row.m_RetryPercent = 10; });
-  On.m_OnGrant = [&On](const RequestId &Id) { On.end(Id, WorkEnd::Failed); };
+  OneClass Sim([](Contract &Row) { Row.m_RetryPercent = 10; });
+  Sim.m_OnGrant = [&Sim](const RequestId &Id) { Sim.end(Id, WorkEnd::Failed); };
   unsigned Grants = 0;
   for (int I = 0; I < 500; ++I) {
-    On.ask(1, 1, 1s);
-    On.advance(50ms);
+    Sim.ask(1, 1, 1s);
+    Sim.advance(50ms);
   }
-  for (const auto &[Id, One] : On.m_Outcomes)
-    Grants += One.m_Grants;
+  for (const auto &[Id, Result] : Sim.m_Outcomes)
+    Grants += Result.m_Grants;
   BOOST_TEST(Grants > 500U + 50U);
   BOOST_TEST(Grants <= 500U + 50U + 20U);
 }
@@ -116,18 +116,18 @@
 // Preempted guides bid again, dozens of times. That is our doing, not theirs:
 // neither a retry budget of nothing nor a rate limit may refuse them.
 BOOST_AUTO_TEST_CASE(PreemptedWorkIsChargedForNoRetry) {
-  World On;
-  Contract Guide = row(3, 5, 20s, 90s, true);
-  Guide.m_RetryPercent = 0;
-  Guide.m_MaxRate = 1;
-  On.setTable({row(1, 1, 200ms, 2s), Guide});
-  On.setUpstreams({engine(1, 1)});
-  const RequestId Long = On.ask(3, 1, 30s);
+  World Sim;
+  Contract Batch = row(3, 5, 20s, 90s, true);
+  Batch.m_RetryPercent = 0;
+  Batch.m_MaxRate = 1;
+  Sim.setTable({row(1, 1, 200ms, 2s), Batch});
+  Sim.setUpstreams({engine(1, 1)});
+  const RequestId Long = Sim.ask(3, 1, 30s);
   for (int I = 0; I < 40; ++I) {
-    On.ask(1, 1, 100ms);
-    On.advance(1s);
+    Sim.ask(1, 1, 100ms);
+    Sim.advance(1s);
   }
-  BOOST_TEST(On.m_Decider.stats().m_Preempted >= 20U);
-  On.advance(60s);
-  BOOST_TEST(On.m_Outcomes[Long].m_Finished);
+  BOOST_TEST(Sim.m_Decider.stats().m_Preempted >= 20U);
+  Sim.advance(60s);
+  BOOST_TEST(Sim.m_Outcomes[Long].m_Finished);
 }
--- a/tests/unit/decision_property_test.cpp
+++ b/tests/unit/decision_property_test.cpp
@@ -23,7 +23,7 @@
       Length, rc::gen::container<Schedule>(rc::gen::inRange(0U, 1U << 24)));
 }
 
-std::vector<Contract> someTable(unsigned Variant) {
+std::vector<Contract> makeTable(unsigned Variant) {
   std::vector<Contract> Rows = {row(1, 1, 300ms, 2s), row(2, 2, 1s, 5s),
                                 row(3, 4, 5s, 40s, true),
                                 row(4, 6, 10s, 60s, true)};
@@ -41,10 +41,10 @@
 }
 
 /// Plays one number of a schedule; each is one step of some kind.
-class Player {
+class SchedulePlayer {
 public:
-  explicit Player(World &On) : m_World(On) {
-    On.setTable(someTable(0));
+  explicit SchedulePlayer(World &Sim) : m_Sim(Sim) {
+    Sim.setTable(makeTable(0));
     list(4);
   }
 
@@ -54,62 +54,62 @@
     if (Kind < 16)
       ask(Value);
     else if (Kind < 24)
-      m_World.advance(Duration(Value % 300'000));
+      m_Sim.advance(Duration(Value % 300'000));
     else
-      disturb(Kind, Value);
+      playFault(Kind, Value);
   }
 
 private:
   void ask(std::uint32_t Value) {
     const auto Class = static_cast<std::uint16_t>(1 + Value % 4);
     const Duration Service = Class < 3 ? 200ms : 4s;
-    m_World.ask(Class, 1 + Value / 4 % 5, Service + Duration(Value % 100'000));
+    m_Sim.ask(Class, 1 + Value / 4 % 5, Service + Duration(Value % 100'000));
   }
 
-  void disturb(std::uint32_t Kind, std::uint32_t Value) {
-    const UpstreamId Where(1 + Value % 4);
+  void playFault(std::uint32_t Kind, std::uint32_t Value) {
+    const UpstreamId Target(1 + Value % 4);
     switch (Kind) {
     case 24:
       return endOne(Value);
     case 25:
       return withdrawOne(Value);
     case 26:
-      return m_World.loseEntry(InstanceId(1 + Value % 3));
+      return m_Sim.loseEntry(InstanceId(1 + Value % 3));
     case 27:
-      m_World.setTable(someTable(Value % 30));
+      m_Sim.setTable(makeTable(Value % 30));
       return;
     case 28:
       return list(2 + Value % 3, Value / 4 % 4 == 0);
     case 29:
-      return drain(Where, Value / 4 % 2 == 0);
+      return drain(Target, Value / 4 % 2 == 0);
     case 30:
-      return m_World.send(
-          LoadReport{Where, Value % 50, Duration(Value % 3'000'000), 0, 0});
+      return m_Sim.send(
+          LoadReport{Target, Value % 50, Duration(Value % 3'000'000), 0, 0});
     default:
-      return m_World.send(CacheEvent{Where, Value % 9, Value % 5, true});
+      return m_Sim.send(CacheEvent{Target, Value % 9, Value % 5, true});
     }
   }
 
   void endOne(std::uint32_t Value) {
-    if (m_World.m_Running.empty())
+    if (m_Sim.m_Running.empty())
       return;
     constexpr std::array<WorkEnd, 4> Ends = {WorkEnd::Cancelled,
                                              WorkEnd::Failed, WorkEnd::Unused,
                                              WorkEnd::ConnectFailed};
-    auto At = m_World.m_Running.begin();
-    std::advance(At, Value % m_World.m_Running.size());
-    const WorkEnd How = Ends[Value / 64 % Ends.size()];
-    if (How == WorkEnd::Failed || How == WorkEnd::ConnectFailed)
-      m_World.m_Failing.insert(At->second.m_Upstream);
-    m_World.end(At->first, How);
+    auto It = m_Sim.m_Running.begin();
+    std::advance(It, Value % m_Sim.m_Running.size());
+    const WorkEnd End = Ends[Value / 64 % Ends.size()];
+    if (End == WorkEnd::Failed || End == WorkEnd::ConnectFailed)
+      m_Sim.m_Failing.insert(It->second.m_Upstream);
+    m_Sim.end(It->first, End);
   }
 
   void withdrawOne(std::uint32_t Value) {
-    if (m_World.m_Waiting.empty())
+    if (m_Sim.m_Waiting.empty())
       return;
-    auto At = m_World.m_Waiting.begin();
-    std::advance(At, Value % m_World.m_Waiting.size());
-    m_World.withdraw(RequestId(At->first));
+    auto It = m_Sim.m_Waiting.begin();
+    std::advance(It, Value % m_Sim.m_Waiting.size());
+    m_Sim.withdraw(RequestId(It->first));
   }
 
   void list(std::uint32_t Count, bool LastLeaves = false) {
@@ -117,35 +117,35 @@
     for (std::uint64_t Id = 1; Id <= Count; ++Id)
       All.push_back(engine(Id, 2));
     All.back().m_Leaving = LastLeaves;
-    m_World.setUpstreams(All);
+    m_Sim.setUpstreams(All);
   }
 
-  void drain(UpstreamId Where, bool Drained) {
-    if (!m_World.m_Upstreams.contains(Where))
+  void drain(UpstreamId Target, bool Drained) {
+    if (!m_Sim.m_Upstreams.contains(Target))
       return;
     if (Drained)
-      m_World.m_Drained.insert(Where);
+      m_Sim.m_Drained.insert(Target);
     else
-      m_World.m_Drained.erase(Where);
-    m_World.send(UpstreamDrained{Where, Drained});
+      m_Sim.m_Drained.erase(Target);
+    m_Sim.send(UpstreamDrained{Target, Drained});
   }
 
-  World &m_World; ///< Played on.
+  World &m_Sim; ///< Played on.
 };
 
-std::string toText(const Action &One) {
-  std::string Text = std::to_string(One.index());
+std::string toText(const Action &Logged) {
+  std::string Text = std::to_string(Logged.index());
   const auto Add = [&Text](std::uint64_t Value) {
     Text += ' ' + std::to_string(Value);
   };
-  if (const auto *Given = std::get_if<Grant>(&One)) {
-    Add(Given->m_Request.m_Number);
-    Add(Given->m_Upstream.value());
-  } else if (const auto *Said = std::get_if<Refuse>(&One)) {
-    Add(Said->m_Request.m_Number);
-    Add(static_cast<std::uint64_t>(Said->m_RetryAfter.count()));
-  } else if (const auto *Stopped = std::get_if<Preempt>(&One)) {
-    Add(Stopped->m_Request.m_Number);
+  if (const auto *Granted = std::get_if<Grant>(&Logged)) {
+    Add(Granted->m_Request.m_Number);
+    Add(Granted->m_Upstream.value());
+  } else if (const auto *Refused = std::get_if<Refuse>(&Logged)) {
+    Add(Refused->m_Request.m_Number);
+    Add(static_cast<std::uint64_t>(Refused->m_RetryAfter.count()));
+  } else if (const auto *Preempted = std::get_if<Preempt>(&Logged)) {
+    Add(Preempted->m_Request.m_Number);
   }
   return Text;
 }
@@ -153,29 +153,29 @@
 } // namespace
 
 RC_BOOST_PROP(EveryBidIsAnsweredOnceByItsLimit, ()) {
-  World On;
-  Player Steps(On);
+  World Sim;
+  SchedulePlayer Player(Sim);
   for (const std::uint32_t Code : *schedules())
-    Steps.play(Code);
+    Player.play(Code);
   // Bids that outlive their limit would be held only to delay their answer.
-  for (const auto &[Id, One] : On.m_Waiting)
-    RC_ASSERT(One.second > On.m_Clock.now());
-  On.advance(200s);
-  RC_ASSERT(On.m_Waiting.empty());
-  RC_ASSERT(On.m_Running.empty());
+  for (const auto &[Id, Waiting] : Sim.m_Waiting)
+    RC_ASSERT(Waiting.second > Sim.m_Clock.now());
+  Sim.advance(200s);
+  RC_ASSERT(Sim.m_Waiting.empty());
+  RC_ASSERT(Sim.m_Running.empty());
 }
 
 RC_BOOST_PROP(SameEventsAndSeedGiveSameActions, ()) {
   const Schedule Codes = *schedules();
   std::vector<std::string> Logs;
   for (int Run = 0; Run < 2; ++Run) {
-    World On;
-    Player Steps(On);
+    World Sim;
+    SchedulePlayer Player(Sim);
     for (const std::uint32_t Code : Codes)
-      Steps.play(Code);
+      Player.play(Code);
     std::string Log;
-    for (const Action &One : On.m_Log)
-      Log += toText(One) + '\n';
+    for (const Action &Logged : Sim.m_Log)
+      Log += toText(Logged) + '\n';
     Logs.push_back(Log);
   }
   RC_ASSERT(Logs[0] == Logs[1]);
--- a/tests/unit/decision_world.h
+++ b/tests/unit/decision_world.h
@@ -21,28 +21,28 @@
   using std::logic_error::logic_error;
 };
 
-inline void promise(bool Holds, const std::string &What) {
-  if (!Holds)
-    throw BrokenPromise(What);
+inline void promise(bool Condition, const std::string &Message) {
+  if (!Condition)
+    throw BrokenPromise(Message);
 }
 
 /// A row that the tests change to their needs.
 inline Contract row(std::uint16_t Id, std::uint8_t Tier, Duration Target,
                     Duration Limit, bool Preemptible = false) {
-  Contract Made;
-  Made.m_Id = ClassId(Id);
-  Made.m_Tier = Tier;
-  Made.m_FirstTokenTarget = Target;
-  Made.m_TotalLimit = Limit;
-  Made.m_Preemptible = Preemptible;
-  return Made;
+  Contract NewRow;
+  NewRow.m_Id = ClassId(Id);
+  NewRow.m_Tier = Tier;
+  NewRow.m_FirstTokenTarget = Target;
+  NewRow.m_TotalLimit = Limit;
+  NewRow.m_Preemptible = Preemptible;
+  return NewRow;
 }
 
 inline Upstream engine(std::uint64_t Id, std::uint32_t Slots) {
-  Upstream Made;
-  Made.m_Id = UpstreamId(Id);
-  Made.m_Kind = Engine{Slots, {}, true, true};
-  return Made;
+  Upstream NewEngine;
+  NewEngine.m_Id = UpstreamId(Id);
+  NewEngine.m_Kind = Engine{Slots, {}, true, true};
+  return NewEngine;
 }
 
 inline Duration fromS(double Seconds) {
@@ -80,17 +80,17 @@
   void setTable(const std::vector<Contract> &Rows) {
     ++m_Version;
     m_Rows.clear();
-    for (const Contract &One : Rows)
-      m_Rows[One.m_Id] = One;
+    for (const Contract &Row : Rows)
+      m_Rows[Row.m_Id] = Row;
     send(TableChanged{{TableVersion(m_Version), Rows}});
   }
 
   void setUpstreams(const std::vector<Upstream> &All) {
     m_Upstreams.clear();
-    for (const Upstream &One : All) {
-      m_Upstreams[One.m_Id] = One;
-      if (One.m_Leaving)
-        m_ListedLeaving[One.m_Id] = m_Clock.now();
+    for (const Upstream &Listing : All) {
+      m_Upstreams[Listing.m_Id] = Listing;
+      if (Listing.m_Leaving)
+        m_ListedLeaving[Listing.m_Id] = m_Clock.now();
     }
     send(UpstreamsChanged{All});
   }
@@ -98,31 +98,31 @@
   /// Sends a new bid; the answer takes \p Service once it runs.
   RequestId ask(std::uint16_t Class, std::uint32_t Workspace, Duration Service,
                 const std::function<void(Bid &)> &Change = {}) {
-    Bid Made;
-    Made.m_Request = {InstanceId(1 + m_Next % 3), m_Next};
+    Bid NewBid;
+    NewBid.m_Request = {InstanceId(1 + m_Next % 3), m_Next};
     ++m_Next;
-    Made.m_Class = ClassId(Class);
-    Made.m_Workspace = WorkspaceId(Workspace);
-    Made.m_MaxTokens = 4096;
-    if (const auto Row = m_Rows.find(Made.m_Class); Row != m_Rows.end()) {
-      Made.m_UntilTarget = Row->second.m_FirstTokenTarget;
-      Made.m_UntilLimit = Row->second.m_TotalLimit;
+    NewBid.m_Class = ClassId(Class);
+    NewBid.m_Workspace = WorkspaceId(Workspace);
+    NewBid.m_MaxTokens = 4096;
+    if (const auto Row = m_Rows.find(NewBid.m_Class); Row != m_Rows.end()) {
+      NewBid.m_UntilTarget = Row->second.m_FirstTokenTarget;
+      NewBid.m_UntilLimit = Row->second.m_TotalLimit;
     }
     if (Change)
-      Change(Made);
-    m_Service[Made.m_Request] = Service;
-    Outcome &New = m_Outcomes[Made.m_Request];
-    New.m_Class = Made.m_Class;
-    New.m_Workspace = Made.m_Workspace;
+      Change(NewBid);
+    m_Service[NewBid.m_Request] = Service;
+    Outcome &New = m_Outcomes[NewBid.m_Request];
+    New.m_Class = NewBid.m_Class;
+    New.m_Workspace = NewBid.m_Workspace;
     New.m_Asked = m_Clock.now();
-    New.m_Target = m_Clock.now() + Made.m_UntilTarget;
-    bid(Made);
-    return Made.m_Request;
+    New.m_Target = m_Clock.now() + NewBid.m_UntilTarget;
+    bid(NewBid);
+    return NewBid.m_Request;
   }
 
-  void bid(const Bid &What) {
-    m_Waiting[What.m_Request] = {What, m_Clock.now() + What.m_UntilLimit};
-    send(What);
+  void bid(const Bid &NewBid) {
+    m_Waiting[NewBid.m_Request] = {NewBid, m_Clock.now() + NewBid.m_UntilLimit};
+    send(NewBid);
   }
 
   void withdraw(const RequestId &Id) {
@@ -133,33 +133,33 @@
 
   void loseEntry(InstanceId Entry) {
     std::erase_if(m_Waiting,
-                  [&](auto &One) { return One.first.m_Entry == Entry; });
+                  [&](auto &Item) { return Item.first.m_Entry == Entry; });
     std::erase_if(m_Running,
-                  [&](auto &One) { return One.first.m_Entry == Entry; });
+                  [&](auto &Item) { return Item.first.m_Entry == Entry; });
     send(EntryLost{Entry});
   }
 
-  void end(RequestId Id, WorkEnd How) {
-    const auto At = m_Running.find(Id);
-    if (At == m_Running.end())
+  void end(RequestId Id, WorkEnd End) {
+    const auto It = m_Running.find(Id);
+    if (It == m_Running.end())
       return;
-    const Work Done = At->second;
-    m_Running.erase(At);
+    const Work Done = It->second;
+    m_Running.erase(It);
     const Duration Took = m_Clock.now() - Done.m_Since;
     const Duration PerToken = scaled(m_TokenTime, Done.m_Upstream);
     const auto Tokens = static_cast<std::uint32_t>(
-        How == WorkEnd::ConnectFailed ? 0 : Took / PerToken);
-    if (How == WorkEnd::Finished)
+        End == WorkEnd::ConnectFailed ? 0 : Took / PerToken);
+    if (End == WorkEnd::Finished)
       m_Outcomes[Id].m_Finished = true;
     m_Tokens[Done.m_Bid.m_Class] += Tokens;
-    if (How == WorkEnd::UpstreamLeaving)
+    if (End == WorkEnd::UpstreamLeaving)
       m_SaidLeaving.insert(Done.m_Upstream);
-    send(WorkEnded{Id, Done.m_Upstream, How, Tokens, Took});
-    if (How == WorkEnd::Finished || How == WorkEnd::Cancelled)
+    send(WorkEnded{Id, Done.m_Upstream, End, Tokens, Took});
+    if (End == WorkEnd::Finished || End == WorkEnd::Cancelled)
       return;
     Bid Again = Done.m_Bid;
     Again.m_DoneTokens += Tokens;
-    Again.m_IsRetry = How == WorkEnd::Failed || How == WorkEnd::ConnectFailed;
+    Again.m_IsRetry = End == WorkEnd::Failed || End == WorkEnd::ConnectFailed;
     if (Again.m_IsRetry)
       Again.m_Avoid = Done.m_Upstream;
     const TimePoint Target = m_Outcomes[Id].m_Target;
@@ -168,11 +168,11 @@
     bid(Again);
   }
 
-  void send(const Event &What) {
+  void send(const Event &NextEvent) {
     std::vector<Action> Actions;
-    m_Decider.handle(What, m_Clock.now(), Actions);
-    for (const Action &One : Actions)
-      std::visit([this](const auto &Real) { obey(Real); }, One);
+    m_Decider.handle(NextEvent, m_Clock.now(), Actions);
+    for (const Action &NextAction : Actions)
+      std::visit([this](const auto &Actual) { obey(Actual); }, NextAction);
     m_Log.insert(m_Log.end(), Actions.begin(), Actions.end());
     const auto Next = m_Decider.nextDeadline();
     promise(!Next || *Next > m_Clock.now(), "a deadline lies in the past");
@@ -204,14 +204,14 @@
     m_Clock.advance(Until - m_Clock.now());
   }
 
-  void at(Duration In, std::function<void()> Do) {
-    m_Timers.emplace(m_Clock.now() + In, std::move(Do));
+  void at(Duration Delay, std::function<void()> Callback) {
+    m_Timers.emplace(m_Clock.now() + Delay, std::move(Callback));
   }
 
   [[nodiscard]] std::uint32_t running(ClassId Class) const {
     std::uint32_t Found = 0;
-    for (const auto &[Id, One] : m_Running)
-      Found += One.m_Bid.m_Class == Class ? 1 : 0;
+    for (const auto &[Id, Running] : m_Running)
+      Found += Running.m_Bid.m_Class == Class ? 1 : 0;
     return Found;
   }
 
@@ -241,59 +241,60 @@
   std::function<void(const RequestId &)> m_OnGrant; ///< May end it early.
 
 private:
-  void obey(const Grant &What) {
-    if (const auto Again = m_Running.find(What.m_Request);
+  void obey(const Grant &Granted) {
+    if (const auto Again = m_Running.find(Granted.m_Request);
         Again != m_Running.end()) {
-      promise(Again->second.m_Upstream == What.m_Upstream,
+      promise(Again->second.m_Upstream == Granted.m_Upstream,
               "granted again elsewhere");
       return;
     }
-    const auto At = m_Waiting.find(What.m_Request);
-    promise(At != m_Waiting.end(), "grant for a bid that doesn't wait");
-    checkUpstream(What.m_Upstream);
-    const Bid Asked = At->second.first;
-    m_Waiting.erase(At);
-    m_Running[What.m_Request] = {Asked, What.m_Upstream, m_Clock.now(),
-                                 ++m_Attempts};
-    ++m_Outcomes[What.m_Request].m_Grants;
-    checkLimits(Asked, What.m_Upstream);
-    serve(What.m_Request, What.m_Upstream);
+    const auto It = m_Waiting.find(Granted.m_Request);
+    promise(It != m_Waiting.end(), "grant for a bid that doesn't wait");
+    checkUpstream(Granted.m_Upstream);
+    const Bid Asked = It->second.first;
+    m_Waiting.erase(It);
+    m_Running[Granted.m_Request] = {Asked, Granted.m_Upstream, m_Clock.now(),
+                                    ++m_Attempts};
+    ++m_Outcomes[Granted.m_Request].m_Grants;
+    checkLimits(Asked, Granted.m_Upstream);
+    serve(Granted.m_Request, Granted.m_Upstream);
   }
 
   void checkUpstream(UpstreamId Id) const {
-    const auto At = m_Upstreams.find(Id);
-    promise(At != m_Upstreams.end(), "grant to an upstream that has gone");
-    promise(!At->second.m_Leaving && !m_SaidLeaving.contains(Id) &&
+    const auto It = m_Upstreams.find(Id);
+    promise(It != m_Upstreams.end(), "grant to an upstream that has gone");
+    promise(!It->second.m_Leaving && !m_SaidLeaving.contains(Id) &&
                 !wasLeaving(Id),
             "grant to a leaving upstream");
     promise(!m_Drained.contains(Id), "grant to a drained upstream");
   }
 
-  void checkLimits(const Bid &Asked, UpstreamId Where) const {
-    const auto Count = [this](const auto &Fits) {
+  void checkLimits(const Bid &Asked, UpstreamId Target) const {
+    const auto Count = [this](const auto &Matches) {
       std::uint32_t Found = 0;
-      for (const auto &[Id, One] : m_Running)
-        Found += Fits(One) ? 1 : 0;
+      for (const auto &[Id, Running] : m_Running)
+        Found += Matches(Running) ? 1 : 0;
       return Found;
     };
     const Contract &Row = m_Rows.at(Asked.m_Class);
-    const auto &Kind = std::get<Engine>(m_Upstreams.at(Where).m_Kind);
-    promise(Count([&](const Work &One) { return One.m_Upstream == Where; }) <=
-                Kind.m_Slots,
+    const auto &Kind = std::get<Engine>(m_Upstreams.at(Target).m_Kind);
+    promise(Count([&](const Work &Running) {
+              return Running.m_Upstream == Target;
+            }) <= Kind.m_Slots,
             "more running than slots");
     const std::uint32_t OfClass = running(Asked.m_Class);
     promise(Row.m_MaxConcurrent == 0 || OfClass <= Row.m_MaxConcurrent,
             "over the class's concurrency");
-    const std::uint32_t OfWorkspace = Count([&](const Work &One) {
-      return One.m_Bid.m_Class == Asked.m_Class &&
-             One.m_Bid.m_Workspace == Asked.m_Workspace;
+    const std::uint32_t OfWorkspace = Count([&](const Work &Running) {
+      return Running.m_Bid.m_Class == Asked.m_Class &&
+             Running.m_Bid.m_Workspace == Asked.m_Workspace;
     });
     promise(Row.m_WorkspaceConcurrent == 0 ||
                 OfWorkspace <= Row.m_WorkspaceConcurrent,
             "over the workspace's concurrency");
   }
 
-  void serve(const RequestId &Id, UpstreamId Where) {
+  void serve(const RequestId &Id, UpstreamId Target) {
     if (m_OnGrant) {
       const std::uint64_t Attempt = m_Attempts;
       at(1ms, [this, Id, Attempt] {
@@ -302,21 +303,21 @@
       });
     }
     const std::uint64_t Attempt = m_Attempts;
-    at(scaled(m_FirstTokenTime, Where), [this, Id, Attempt] {
+    at(scaled(m_FirstTokenTime, Target), [this, Id, Attempt] {
       if (!isCurrent(Id, Attempt))
         return;
-      Outcome &Of = m_Outcomes[Id];
-      Of.m_First = Of.m_First.value_or(m_Clock.now());
+      Outcome &Result = m_Outcomes[Id];
+      Result.m_First = Result.m_First.value_or(m_Clock.now());
       send(FirstToken{Id, m_Clock.now() - m_Running[Id].m_Since});
     });
-    at(scaled(m_FirstTokenTime + m_Service[Id], Where), [this, Id, Attempt] {
+    at(scaled(m_FirstTokenTime + m_Service[Id], Target), [this, Id, Attempt] {
       if (isCurrent(Id, Attempt))
         end(Id, WorkEnd::Finished);
     });
   }
 
-  [[nodiscard]] Duration scaled(Duration Usual, UpstreamId Where) const {
-    const auto Slow = m_Slow.find(Where);
+  [[nodiscard]] Duration scaled(Duration Usual, UpstreamId Id) const {
+    const auto Slow = m_Slow.find(Id);
     const double Factor = Slow == m_Slow.end() ? 1.0 : Slow->second;
     return std::chrono::duration_cast<Duration>(Usual * Factor);
   }
@@ -327,21 +328,23 @@
     return At != m_Running.end() && At->second.m_Attempt == Attempt;
   }
 
-  void obey(const Refuse &What) {
-    const auto At = m_Waiting.find(What.m_Request);
-    promise(At != m_Waiting.end(), "refusal of a bid that doesn't wait");
-    promise(What.m_Reason != RefusalReason::None, "refusal without a reason");
-    promise(What.m_RetryAfter >= Duration::zero() && What.m_RetryAfter <= 60s,
+  void obey(const Refuse &Refused) {
+    const auto It = m_Waiting.find(Refused.m_Request);
+    promise(It != m_Waiting.end(), "refusal of a bid that doesn't wait");
+    promise(Refused.m_Reason != RefusalReason::None,
+            "refusal without a reason");
+    promise(Refused.m_RetryAfter >= Duration::zero() &&
+                Refused.m_RetryAfter <= 60s,
             "time to come back out of range");
-    const Bid Asked = At->second.first;
-    m_Waiting.erase(At);
-    Outcome &Of = m_Outcomes[What.m_Request];
-    promise(!Of.m_Refused, "refused twice");
-    Of.m_Refused = What.m_Reason;
-    Of.m_RetryAfter = What.m_RetryAfter;
-    if (What.m_Reason != RefusalReason::TargetUnreachable)
+    const Bid Asked = It->second.first;
+    m_Waiting.erase(It);
+    Outcome &Result = m_Outcomes[Refused.m_Request];
+    promise(!Result.m_Refused, "refused twice");
+    Result.m_Refused = Refused.m_Reason;
+    Result.m_RetryAfter = Refused.m_RetryAfter;
+    if (Refused.m_Reason != RefusalReason::TargetUnreachable)
       return;
-    promise(What.m_RetryAfter > Duration::zero(), "no time to come back");
+    promise(Refused.m_RetryAfter > Duration::zero(), "no time to come back");
     checkRefusal(Asked);
   }
 
@@ -353,12 +356,12 @@
       return;
     const std::uint8_t Tier = tierOf(Refused.m_Class);
     std::size_t Before = 0;
-    for (const auto &[Id, One] : m_Waiting)
-      Before += tierOf(One.first.m_Class) <= Tier ? 1 : 0;
-    std::size_t Takeable = 0;
-    for (const auto &[Id, One] : m_Running)
-      Takeable += isTakeable(One, Tier) ? 1 : 0;
-    promise(Takeable == 0 || Takeable <= Before,
+    for (const auto &[Id, Waiting] : m_Waiting)
+      Before += tierOf(Waiting.first.m_Class) <= Tier ? 1 : 0;
+    std::size_t Preemptible = 0;
+    for (const auto &[Id, Running] : m_Running)
+      Preemptible += isTakeable(Running, Tier) ? 1 : 0;
+    promise(Preemptible == 0 || Preemptible <= Before,
             "refused while lower work runs");
     checkFloors(Tier);
   }
@@ -370,27 +373,28 @@
     for (const auto &[Id, Row] : m_Rows)
       Weights += Row.m_Weight;
     double Slots = 0;
-    for (const auto &[Id, One] : m_Upstreams)
-      Slots += mayGetWork(Id) ? std::get<Engine>(One.m_Kind).m_Slots : 0;
+    for (const auto &[Id, Listing] : m_Upstreams)
+      Slots += mayGetWork(Id) ? std::get<Engine>(Listing.m_Kind).m_Slots : 0;
     for (const auto &[Id, Row] : m_Rows) {
       double Kept = 0;
-      for (const auto &[Request, One] : m_Running)
-        Kept += One.m_Bid.m_Class == Id && isTakeable(One, Tier) ? 1 : 0;
+      for (const auto &[Request, Running] : m_Running)
+        Kept +=
+            Running.m_Bid.m_Class == Id && isTakeable(Running, Tier) ? 1 : 0;
       promise(Kept < 2 * Slots * Row.m_Weight / Weights + 2,
               "refused while lower work runs beyond its floor");
     }
   }
 
-  [[nodiscard]] bool isTakeable(const Work &One, std::uint8_t Above) const {
-    const Contract &Row = m_Rows.at(One.m_Bid.m_Class);
-    return !One.m_Stopping && Row.m_Tier > Above && Row.m_Preemptible &&
-           mayGetWork(One.m_Upstream);
+  [[nodiscard]] bool isTakeable(const Work &Running, std::uint8_t Above) const {
+    const Contract &Row = m_Rows.at(Running.m_Bid.m_Class);
+    return !Running.m_Stopping && Row.m_Tier > Above && Row.m_Preemptible &&
+           mayGetWork(Running.m_Upstream);
   }
 
   /// No work of a tier below \p Tier may hold a slot that would serve.
-  void checkNoVictim(std::uint8_t Tier, const std::string &What) const {
-    for (const auto &[Id, One] : m_Running)
-      promise(!isTakeable(One, Tier), What);
+  void checkNoVictim(std::uint8_t Tier, const std::string &Message) const {
+    for (const auto &[Id, Running] : m_Running)
+      promise(!isTakeable(Running, Tier), Message);
   }
 
   /// A list that lags may name an upstream as leaving and then not; that is
@@ -408,30 +412,30 @@
            !m_Failing.contains(Id);
   }
 
-  void obey(const Preempt &What) {
-    const auto At = m_Running.find(What.m_Request);
-    promise(At != m_Running.end(), "preemption of work that doesn't run");
-    promise(At->second.m_Upstream == What.m_Upstream, "preempted elsewhere");
-    const Contract &Row = m_Rows.at(At->second.m_Bid.m_Class);
+  void obey(const Preempt &Order) {
+    const auto It = m_Running.find(Order.m_Request);
+    promise(It != m_Running.end(), "preemption of work that doesn't run");
+    promise(It->second.m_Upstream == Order.m_Upstream, "preempted elsewhere");
+    const Contract &Row = m_Rows.at(It->second.m_Bid.m_Class);
     promise(Row.m_Preemptible && Row.m_Repeatable, "not preemptible");
     bool HasUrgent = false;
-    for (const auto &[Id, One] : m_Waiting)
-      HasUrgent = HasUrgent || tierOf(One.first.m_Class) < Row.m_Tier;
+    for (const auto &[Id, Waiting] : m_Waiting)
+      HasUrgent = HasUrgent || tierOf(Waiting.first.m_Class) < Row.m_Tier;
     promise(HasUrgent, "preempted for no more urgent bid");
     checkNoVictim(Row.m_Tier, "preempted while lower work runs");
-    At->second.m_Stopping = true;
-    const std::uint64_t Attempt = At->second.m_Attempt;
-    at(m_StopTime, [this, Id = What.m_Request, Attempt] {
+    It->second.m_Stopping = true;
+    const std::uint64_t Attempt = It->second.m_Attempt;
+    at(m_StopTime, [this, Id = Order.m_Request, Attempt] {
       if (isCurrent(Id, Attempt))
         end(Id, WorkEnd::Preempted);
     });
   }
 
-  void obey(const EjectionChanged &What) {
-    if (What.m_Ejected)
-      m_Ejected.insert(What.m_Upstream);
+  void obey(const EjectionChanged &Change) {
+    if (Change.m_Ejected)
+      m_Ejected.insert(Change.m_Upstream);
     else
-      m_Ejected.erase(What.m_Upstream);
+      m_Ejected.erase(Change.m_Upstream);
     promise(m_Ejected.empty() || m_Ejected.size() < m_Upstreams.size(),
             "all upstreams ejected");
   }
