--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -1,4 +1,4 @@
-/// Admission of bids.
+/// Admission of bids: limits, queue space and refusal of hopeless bids.
 #include "decision/admission_func.h"
 
 #include "decision/estimate_func.h"
@@ -12,19 +12,19 @@
 
 namespace {
 
-/// A bid on its way in.
+/// A bid that is being admitted.
 struct Arrival {
   const Bid &m_Bid;           ///< As sent.
   ClassState &m_Class;        ///< Its row; part of the pool.
-  WorkspaceUse &m_Use;        ///< Its workspace's account in the class.
-  bool m_IsExempt;            ///< Bids again by our doing.
-  double m_Tokens;            ///< Output to reserve.
-  std::uint8_t m_Preemptions; ///< Carried over.
+  WorkspaceUse &m_Use;        ///< Usage of the class by its workspace.
+  bool m_IsExempt;            ///< Bids again after the pool took its slot.
+  double m_Tokens;            ///< Output tokens to reserve.
+  std::uint8_t m_Preemptions; ///< Carried over from earlier attempts.
 };
 
-/// A limit that stands against a bid.
+/// Result of a check: the reason for a refusal, if any.
 struct CheckResult {
-  RefusalReason m_Reason = RefusalReason::None; ///< None: taken in.
+  RefusalReason m_Reason = RefusalReason::None; ///< None: the bid passes.
   Duration m_RetryAfter{};                      ///< As in Refuse.
 };
 
@@ -55,9 +55,10 @@
   return Longest;
 }
 
-/// Refuses the last bid of the workspace that has most of a full queue, unless
-/// that is the newcomer's. Else one workspace's flood would fill the queue and
-/// every other one's bids would be refused at its door.
+/// Makes room in a full queue: refuses the last bid of the workspace with the
+/// longest flow, unless that is the new bid's own. Otherwise one workspace
+/// could fill the queue and every other workspace's bids would be refused on
+/// arrival.
 bool makeRoom(Pool &P, const Arrival &New) {
   Lane &Target = New.m_Class.m_OnTime.m_ByDeadline.empty()
                      ? New.m_Class.m_Late
@@ -79,7 +80,7 @@
 }
 
 /// Refuses a waiting bid of the least urgent tier, if that is less urgent than
-/// the newcomer's.
+/// the new bid's. Returns whether it did.
 bool displace(Pool &P, const Arrival &New) {
   for (auto It = P.m_Queue.tiers().rbegin(); It != P.m_Queue.tiers().rend();
        ++It) {
@@ -106,10 +107,10 @@
   return {};
 }
 
-/// Refuses a bid that would be late beyond its limit. The estimates count the
-/// slots that can be taken back from lower tiers, so what is refused could not
-/// be served by any of them: bids ahead of it would take them all. What lower
-/// tiers hold beyond their floors is taken back first.
+/// Refuses a bid that would have to wait beyond its limit. The estimates count
+/// the slots that preemption can free, so none of these could serve a refused
+/// bid: the bids before it would take them all. Work of lower tiers beyond
+/// their floors is stopped first.
 CheckResult checkWait(Pool &P, const Arrival &New) {
   if (P.isBaseline() || P.isRebuilding() || New.m_Bid.m_DoneTokens > 0)
     return {};
@@ -165,8 +166,8 @@
   Added.m_Preemptions = New.m_Preemptions;
   Added.m_IsKept = New.m_IsExempt || NewBid.m_DoneTokens > 0;
   Added.m_Limit = P.m_Now + NewBid.m_UntilLimit;
-  // A caller that has tokens already waits for no first one: its rest goes to
-  // the head of its workspace's flow.
+  // A caller that has tokens already does not wait for the first one: the rest
+  // of its answer goes to the head of its workspace's flow.
   const bool HasTarget = NewBid.m_DoneTokens == 0 && !P.isBaseline();
   const TimePoint Target = P.m_Now + NewBid.m_UntilTarget;
   Added.m_FlowKey = HasTarget ? Target : P.m_Now;
@@ -175,15 +176,15 @@
   P.m_Queue.push(Added, false);
 }
 
-/// Tells whether \p Again is the bid of the running attempt, sent twice, and
-/// not one for a next attempt whose end was not heard.
+/// Tells whether \p Repeated was sent twice for the running attempt, and is not
+/// a bid for the next attempt after an end that was not reported.
 bool isSameAttempt(const Request &Known, const Bid &Repeated) {
   return Known.m_Bid.m_IsRetry == Repeated.m_IsRetry &&
          Known.m_Bid.m_Avoid == Repeated.m_Avoid &&
          Known.m_Bid.m_DoneTokens == Repeated.m_DoneTokens;
 }
 
-/// Handles a bid whose id is known; returns true when that was all.
+/// Handles a bid with a known id; returns true if nothing is left to do.
 bool handleKnown(Pool &P, Request &Known, const Bid &Repeated) {
   switch (Known.m_State) {
   case RequestState::Waiting:
--- a/src/decision/admission_func.h
+++ b/src/decision/admission_func.h
@@ -1,4 +1,4 @@
-/// What happens to a bid on arrival: limits, budgets and early refusal.
+/// Admission of bids: limits, budgets and early refusal.
 #ifndef CROWSTEP_DECISION_ADMISSION_FUNC_H
 #define CROWSTEP_DECISION_ADMISSION_FUNC_H
 
@@ -6,13 +6,13 @@
 
 namespace crowstep::decision {
 
-/// Takes a bid in: refuses it, or gives it a place in the queue.
+/// Refuses \p NewBid, or queues it.
 void admit(Pool &P, const Bid &NewBid);
 
-/// Returns the reason for which a waiting bid can't be served in time.
+/// Returns why \p Waiting can't be served before its limit.
 RefusalReason lateReason(const Request &Waiting);
 
-/// Returns when coming back can help one that is refused for that reason.
+/// Returns after which time a retry of a refused bid of \p Class can succeed.
 Duration comeBackAfter(const Pool &P, const ClassState &Class);
 
 } // namespace crowstep::decision
--- a/src/decision/class.cpp
+++ b/src/decision/class.cpp
@@ -1,4 +1,4 @@
-/// What a class answers about itself.
+/// Queries on the state of a class.
 #include "decision/class_base.h"
 
 #include <algorithm>
--- a/src/decision/class_base.h
+++ b/src/decision/class_base.h
@@ -1,4 +1,5 @@
-/// A class of request in one pool: its contract, queues, limits and history.
+/// The state of one request class in one pool: its contract, queues, limits and
+/// statistics.
 #ifndef CROWSTEP_DECISION_CLASS_BASE_H
 #define CROWSTEP_DECISION_CLASS_BASE_H
 
@@ -16,88 +17,104 @@
 
 /// What one workspace uses of one class.
 struct WorkspaceUse {
-  std::uint32_t m_Running = 0;                ///< Granted and not ended.
-  TokenBucket m_Rate;                         ///< Column workspace_rate.
-  TokenBucket m_Tokens;                       ///< Column workspace_tokens.
-  Quantile m_Lengths{tuning::LengthQuantile}; ///< Of whole answers.
+  std::uint32_t m_Running = 0; ///< Granted and not ended.
+  TokenBucket m_Rate;          ///< Column workspace_rate.
+  TokenBucket m_Tokens;        ///< Column workspace_tokens.
+  /// Tokens of whole answers.
+  Quantile m_Lengths{tuning::LengthQuantile};
 };
 
-/// One row of the table at work.
+/// The state of one row of the operators' table.
 struct ClassState {
-  Contract m_Contract;         ///< The row in force.
-  bool m_Listed = true;        ///< False: the row is gone, its work runs out.
-  bool m_MayProbe = false;     ///< Its bids may try an ejected upstream.
-  Tier *m_Tier = nullptr;      ///< Null while the row is no part of the pool.
-  Lane m_OnTime;               ///< Bids that can still meet their targets.
-  Lane m_Late;                 ///< Bids that only wait for their limit.
+  Contract m_Contract; ///< The row in force.
+  /// False: no longer in the table; its work runs to its end.
+  bool m_Listed = true;
+  bool m_MayProbe = false; ///< Its bids may probe an ejected upstream.
+  Tier *m_Tier = nullptr;  ///< Null while the row is not part of the pool.
+  Lane m_OnTime;           ///< Bids that can still meet their targets.
+  Lane m_Late; ///< Bids past their targets, served until their limits.
   std::uint32_t m_Running = 0; ///< Granted and not ended.
-  VictimQueue m_Victims; ///< Running work, the least wasteful to stop first.
-  std::unordered_map<WorkspaceId, WorkspaceUse> m_Workspaces; ///< By use.
+  /// Running work not ordered to stop, the least wasteful to stop first.
+  VictimQueue m_Victims;
+  /// Created on first use.
+  std::unordered_map<WorkspaceId, WorkspaceUse> m_Workspaces;
 
   TokenBucket m_Rate;    ///< Column rate.
   TokenBucket m_Tokens;  ///< Column tokens.
   RetryBudget m_Retries; ///< Column retry_percent.
 
-  Quantile m_Lengths{tuning::LengthQuantile};         ///< Of whole answers.
+  /// Tokens of whole answers.
+  Quantile m_Lengths{tuning::LengthQuantile};
   Quantile m_FirstTokens{tuning::FirstTokenQuantile}; ///< Milliseconds.
-  Duration m_Allowance{}; ///< To be left before a target for the first token;
-                          ///< never more than half the target.
-  Mean m_FirstTokenMean;  ///< Seconds from the grant.
-  Mean m_TokenMean;       ///< Seconds a generated token.
-  Mean m_Service{tuning::ServiceGain};         ///< Seconds that a slot is held.
-  RateMeter m_Offered{tuning::OfferedSeconds}; ///< Bids within limits.
-
-  std::vector<Serving *> m_Eligible; ///< Upstreams with its model.
-  double m_Slots = 0.0;              ///< Of the eligible ones that are in use.
-  double m_FloorSlots = 0.0;         ///< Its share of them.
-  double m_Debt = 0.0; ///< Slot-seconds of the floor not served, >= 0.
-
-  mutable double m_FreeRate = 0.0; ///< See freeRate(); as of the stamp.
-  mutable std::uint64_t m_FreeRateStamp = 0; ///< Fleet::changes() then.
+  /// Time reserved for the first token: bids are late this long before their
+  /// targets. At most half the target.
+  Duration m_Allowance{};
+  Mean m_FirstTokenMean; ///< Seconds from the grant.
+  Mean m_TokenMean;      ///< Seconds per generated token.
+  /// Seconds for which a slot is held.
+  Mean m_Service{tuning::ServiceGain};
+  /// Arrivals within the limits.
+  RateMeter m_Offered{tuning::OfferedSeconds};
+
+  /// Listed upstreams that have its model.
+  std::vector<Serving *> m_Eligible;
+  double m_Slots = 0.0;      ///< Of the eligible upstreams in use.
+  double m_FloorSlots = 0.0; ///< Guaranteed to it by its weight.
+  /// Slot-seconds of the floor that it did not get, >= 0.
+  double m_Debt = 0.0;
+
+  mutable double m_FreeRate = 0.0; ///< Cache of releaseRate().
+  /// Fleet::changeCount() at that time.
+  mutable std::uint64_t m_FreeRateStamp = 0;
 
   [[nodiscard]] std::size_t waiting() const {
     return m_OnTime.m_ByDeadline.size() + m_Late.m_ByDeadline.size();
   }
 
-  /// Returns how many waiting bids a free slot could serve just now.
+  /// Returns how many waiting bids may start now, within the limits on running
+  /// work.
   [[nodiscard]] std::size_t demand() const;
 
-  /// Returns the slots that it may keep ahead of more urgent bids: its floor,
-  /// and up to half as much again while it is owed for long.
+  /// Returns the slots that the class may keep ahead of more urgent bids: its
+  /// floor, and up to as much again (tuning::FloorCatchUpShare) while it has
+  /// been below it.
   [[nodiscard]] double floorNow() const;
 
-  /// Returns the account of \p Workspace; a new one starts with full buckets.
+  /// Returns the usage of \p Workspace; a new one starts with full buckets.
   WorkspaceUse &useOf(WorkspaceId Workspace, TimePoint Now);
 
-  /// Tells whether running work of the class may be taken back.
+  /// Tells whether running work of the class may be stopped for urgent bids.
   [[nodiscard]] bool isPreemptible() const {
     return m_Contract.m_Preemptible && m_Contract.m_Repeatable;
   }
 
-  /// Takes in the time from a grant to a first token.
+  /// Records the time from a grant to the first token.
   void learnFirstToken(Duration Latency);
 
-  /// Returns what must be left before the deadlines of a lane: late bids have
-  /// no target left to meet.
+  /// Returns the time that must be left before the deadlines of \p L; zero for
+  /// late bids, which have missed their targets.
   [[nodiscard]] Duration allowanceOf(const Lane &L) const {
     return &L == &m_OnTime ? m_Allowance : Duration::zero();
   }
 
-  /// Works out m_Allowance from what is learned and the row.
+  /// Recomputes m_Allowance from the observed first-token times and the
+  /// contract.
   void updateAllowance();
 
-  /// Returns the seconds that a slot is held; 0 while unknown.
+  /// Returns the mean seconds for which a slot is held; 0 while unknown.
   [[nodiscard]] double serviceSeconds() const { return m_Service.value(); }
 };
 
-/// Classes of equal urgency and the workspaces' accounts among them.
+/// Classes of equal urgency and the workspaces' shares among them.
 struct Tier {
-  std::uint8_t m_Number = 1;           ///< 1 is the most urgent.
-  double m_Virtual = 0.0;              ///< Of the flow served last, at most.
-  double m_Offered = 0.0;              ///< Slots that its arrivals ask for.
-  double m_OfferedTo = 0.0;            ///< The same with all more urgent tiers.
+  std::uint8_t m_Number = 1; ///< 1 is the most urgent.
+  double m_Virtual = 0.0;    ///< Highest of the flows served so far.
+  double m_Offered = 0.0;    ///< Slots that its arrivals need.
+  /// The same, with all more urgent tiers.
+  double m_OfferedTo = 0.0;
   std::vector<ClassState *> m_Classes; ///< In the order of the table.
-  std::unordered_map<WorkspaceId, WorkspaceShare> m_Shares; ///< By use.
+  /// Created on first use.
+  std::unordered_map<WorkspaceId, WorkspaceShare> m_Shares;
 };
 
 using TierMap = std::map<std::uint8_t, Tier>;
--- a/src/decision/decider.cpp
+++ b/src/decision/decider.cpp
@@ -1,4 +1,4 @@
-/// The Decider: takes events in, one step of the decisions after each.
+/// The Decider: handles an event, then expiry, grants and preemption.
 #include "decision/decider.h"
 
 #include "decision/admission_func.h"
@@ -18,7 +18,7 @@
   m_Stats.m_Refused.resize(static_cast<std::size_t>(RefusalReason::Count));
 }
 
-/// Visitor of the events.
+/// Handlers of the events.
 class Decider::Impl {
 public:
   explicit Impl(const DeciderConfig &Config) : m_Pool(Config) {}
@@ -119,7 +119,7 @@
 
   void on(const WorkEnded &End) {
     Request *Granted = find(End.m_Request, RequestState::Granted);
-    // An end at another upstream is that of an earlier attempt.
+    // An end reported by another upstream belongs to an earlier attempt.
     if (Granted != nullptr &&
         Granted->m_Serving->m_Upstream.m_Id == End.m_Upstream)
       finish(m_Pool, *Granted, End);
@@ -183,7 +183,7 @@
     reviewEjections(m_Pool);
   }
 
-  Pool m_Pool; ///< All state.
+  Pool m_Pool;
 };
 
 Decider::Decider(const DeciderConfig &Config)
--- a/src/decision/decider.h
+++ b/src/decision/decider.h
@@ -1,7 +1,8 @@
-/// The deciding library: admission, order, placement, preemption of one pool.
+/// Decides on the requests of one pool: admission, order, placement,
+/// preemption.
 ///
-/// This header and decision_type.h are all that a driver needs; docs/DECIDER.md
-/// describes how anyone drives it.
+/// Callers need only this header and decision_type.h; docs/DECIDER.md describes
+/// how to drive it.
 #ifndef CROWSTEP_DECISION_DECIDER_H
 #define CROWSTEP_DECISION_DECIDER_H
 
@@ -13,34 +14,38 @@
 
 namespace crowstep::decision {
 
-/// How a Decider orders and places; the baselines exist to be measured against.
+/// How a Decider orders and places requests; the baselines serve for
+/// comparison.
 enum class PolicyKind : std::uint8_t {
-  Crowstep,      ///< The table's promises.
-  RoundRobin,    ///< First come, first served, upstreams in turn.
-  LeastInFlight, ///< First come, first served, least known in flight.
+  Crowstep,   ///< By the operators' table.
+  RoundRobin, ///< First come, first served, upstreams in turn.
+  /// First come, first served, to the upstream with the fewest grants.
+  LeastInFlight,
 };
 
-/// Figures that are no part of the operators' table.
+/// Settings that are not part of the operators' table.
 struct DeciderConfig {
-  PolicyKind m_Policy = PolicyKind::Crowstep;         ///< See above.
+  PolicyKind m_Policy = PolicyKind::Crowstep;         ///< Order and placement.
   Duration m_GrantValidity = std::chrono::seconds(2); ///< > 0.
   double m_MaxEjectedShare = 0.25; ///< Of a pool's upstreams, 0 to 0.5.
-  std::uint64_t m_Seed = 1;        ///< Breaks ties; same seed, same choices.
-  Duration m_RebuildWindow{}; ///< From the first event on a new owner grants
-                              ///< nothing, to hear first what runs already.
+  /// Breaks ties; the same seed gives the same choices.
+  std::uint64_t m_Seed = 1;
+  /// After the first event a new owner grants nothing for this long, so that
+  /// reports of running work arrive first.
+  Duration m_RebuildWindow{};
 };
 
 /// Counters and gauges of one Decider.
 struct DeciderStats {
-  std::uint64_t m_Waiting = 0;          ///< Bids in the queue now.
-  std::uint64_t m_Running = 0;          ///< Grants not ended now.
+  std::uint64_t m_Waiting = 0;          ///< Bids in the queue.
+  std::uint64_t m_Running = 0;          ///< Grants that have not ended.
   std::uint64_t m_Granted = 0;          ///< Grants since the start.
   std::uint64_t m_Preempted = 0;        ///< Preemptions since the start.
-  std::uint64_t m_Ejected = 0;          ///< Upstreams ejected now.
+  std::uint64_t m_Ejected = 0;          ///< Upstreams that are ejected.
   std::vector<std::uint64_t> m_Refused; ///< By RefusalReason.
 };
 
-/// Decides for one pool. Not thread-safe; one loop drives it.
+/// Decides for one pool. Not thread-safe; drive it from one thread.
 class Decider {
 public:
   explicit Decider(const DeciderConfig &Config);
@@ -48,16 +53,17 @@
   Decider(const Decider &) = delete;
   Decider &operator=(const Decider &) = delete;
 
-  /// Takes one event at the time \p Now, which never goes back, and appends
-  /// what is to be done to \p Actions in the order in which it is to be done.
-  /// \throws DecisionError when the event breaks a stated precondition.
+  /// Handles one event at the time \p Now, which must not decrease between
+  /// calls, and appends the resulting actions to \p Actions, to be carried out
+  /// in this order.
+  /// \throws DecisionError when the event violates a documented precondition.
   void handle(const Event &NextEvent, TimePoint Now,
               std::vector<Action> &Actions);
 
-  /// Returns when the next Tick is due, or nothing while there is none.
+  /// Returns when the next Tick is due; empty if none is.
   [[nodiscard]] std::optional<TimePoint> nextDeadline() const;
 
-  /// Returns the present counters.
+  /// Returns the current counters and gauges.
   [[nodiscard]] DeciderStats stats() const;
 
 private:
--- a/src/decision/decision_error.h
+++ b/src/decision/decision_error.h
@@ -1,4 +1,4 @@
-/// Failures of driving a Decider against its stated preconditions.
+/// Errors thrown when the preconditions of Decider are violated.
 #ifndef CROWSTEP_DECISION_DECISION_ERROR_H
 #define CROWSTEP_DECISION_DECISION_ERROR_H
 
@@ -9,19 +9,19 @@
 
 namespace crowstep::decision {
 
-/// Base of the deciding library's failures.
+/// Base class of the errors of src/decision.
 class DecisionError : public Error {
 public:
   using Error::Error;
 };
 
-/// The time handed in lies before the last one.
+/// An event's time lies before that of the previous event.
 class TimeWentBackError : public DecisionError {
 public:
   TimeWentBackError() : DecisionError("the time handed in went back") {}
 };
 
-/// A table older than the one in force was handed in.
+/// A table is older than the one in force.
 class TableVersionError : public DecisionError {
 public:
   TableVersionError(std::uint64_t InForce, std::uint64_t Received)
--- a/src/decision/decision_type.h
+++ b/src/decision/decision_type.h
@@ -1,8 +1,8 @@
-/// Events and actions of the deciding library: its whole narrow interface.
+/// Events and actions: the whole interface of the Decider.
 ///
-/// The library owns no socket, file, thread, clock or random source. Whoever
-/// drives it (a daemon, a property test, a bench) hands in one typed event
-/// with the time and carries out the typed actions that come back.
+/// The Decider owns no socket, file, thread, clock or random source. Its driver
+/// (a daemon, a test or a benchmark) passes in one event at a time together
+/// with the current time, and carries out the returned actions.
 #ifndef CROWSTEP_DECISION_DECISION_TYPE_H
 #define CROWSTEP_DECISION_DECISION_TYPE_H
 
@@ -21,55 +21,56 @@
 
 namespace crowstep::decision {
 
-/// Names a request: the entry that holds it and that entry's own number.
+/// Identifies a request by the entry that holds it and a number of that entry.
 struct RequestId {
   InstanceId m_Entry;         ///< The entry that the caller reached.
-  std::uint64_t m_Number = 0; ///< Unique within one start of that entry.
+  std::uint64_t m_Number = 0; ///< Unique within one incarnation of the entry.
 
   // NOLINTNEXTLINE(modernize-use-nullptr,readability-identifier-naming)
   auto operator<=>(const RequestId &) const = default;
 };
 
-/// How much of a prompt's prefix an upstream may hold; hints only.
+/// Hash of a prompt's prefix; identifies what an upstream's cache may hold.
 using PrefixHash = std::uint64_t;
 
 // ---- Events -----------------------------------------------------------------
 
-/// The table in force changed. Running and waiting work keeps its place.
+/// The table in force changed. Running and waiting requests keep their places.
 struct TableChanged {
-  ContractTable m_Table; ///< Version must not be lower than the last one.
+  ContractTable m_Table; ///< Its version must not be lower than the last one.
 };
 
-/// The upstreams of the pool, whole; one that is missing has gone.
+/// The full list of the pool's upstreams; those missing from it are removed.
 struct UpstreamsChanged {
   std::vector<Upstream> m_Upstreams; ///< Of this pool only.
 };
 
-/// A request asks for a slot. Sent again with the same id it is idempotent: a
-/// waiting request keeps its place and a granted one is granted again.
+/// A request asks for a slot. Idempotent: bid again with the same id, a waiting
+/// request keeps its place and a granted one is granted again.
 struct Bid {
-  RequestId m_Request;                ///< Who asks.
-  ClassId m_Class;                    ///< Row of the table.
-  WorkspaceId m_Workspace;            ///< For fairness and limits.
-  std::uint32_t m_PromptTokens = 0;   ///< Estimated from the prompt's length.
-  std::uint32_t m_MaxTokens = 0;      ///< Longest output asked for.
-  std::uint32_t m_DoneTokens = 0;     ///< Tokens that the caller already has.
-  std::vector<PrefixHash> m_Prefixes; ///< Hashes of growing prompt prefixes.
-  AvailabilityZone m_Zone;            ///< Zone of the entry.
-  Duration m_UntilTarget{};           ///< Left of the first token's target.
-  Duration m_UntilLimit{};            ///< Left of the longest wait.
-  bool m_IsRetry = false;             ///< Counts against the class's budget.
-  std::optional<UpstreamId> m_Avoid;  ///< Upstream that just failed it.
-};
-
-/// A waiting or granted request no longer needs its place (caller gone).
+  RequestId m_Request;              ///< Requesting id.
+  ClassId m_Class;                  ///< Row of the table.
+  WorkspaceId m_Workspace;          ///< For fairness and limits.
+  std::uint32_t m_PromptTokens = 0; ///< Estimated from the prompt's length.
+  std::uint32_t m_MaxTokens = 0;    ///< Longest output requested.
+  std::uint32_t m_DoneTokens = 0; ///< Tokens that the caller already received.
+  /// Hashes of prefixes, the shortest first.
+  std::vector<PrefixHash> m_Prefixes;
+  AvailabilityZone m_Zone;           ///< Zone of the entry.
+  Duration m_UntilTarget{};          ///< Time left for the first token.
+  Duration m_UntilLimit{};           ///< Time left for the longest wait.
+  bool m_IsRetry = false;            ///< Counts against the retry budget.
+  std::optional<UpstreamId> m_Avoid; ///< Upstream that just failed it.
+};
+
+/// A waiting or granted request no longer needs its place: the caller is gone.
 struct BidWithdrawn {
   RequestId m_Request; ///< Unknown ones are ignored.
 };
 
-/// A new owner hears of work that an earlier owner granted.
+/// Reports to a new owner a request that a previous owner granted.
 struct WorkRunning {
-  Bid m_Bid;                  ///< As it was first sent.
+  Bid m_Bid;                  ///< As first sent.
   UpstreamId m_Upstream;      ///< Where it runs.
   std::uint32_t m_Tokens = 0; ///< Generated so far.
 };
@@ -83,55 +84,56 @@
 /// How granted work ended.
 enum class WorkEnd : std::uint8_t {
   Finished,        ///< Whole answer.
-  Cancelled,       ///< The caller went away; the engine was told.
+  Cancelled,       ///< The caller went away; the engine was notified.
   Failed,          ///< The upstream failed or closed early.
   ConnectFailed,   ///< No connection to the upstream; nothing was sent.
-  UpstreamRefused, ///< It said that it did not run the call.
-  UpstreamLeaving, ///< It said that it is leaving.
-  Unused,          ///< The grant was not used (expired, claim lost).
-  Preempted,       ///< Stopped on our order.
+  UpstreamRefused, ///< It answered that it did not run the call.
+  UpstreamLeaving, ///< It answered that it is draining.
+  Unused,          ///< The grant was not used: expired, or the claim failed.
+  Preempted,       ///< Stopped by a Preempt action.
 };
 
 /// Granted work ended and its slot is free.
 struct WorkEnded {
   RequestId m_Request;   ///< A granted request; unknown ones are ignored.
   UpstreamId m_Upstream; ///< Where it ran.
-  WorkEnd m_End = WorkEnd::Finished; ///< How.
-  std::uint32_t m_Tokens = 0;        ///< Really generated in this attempt.
+  WorkEnd m_End = WorkEnd::Finished; ///< Cause of the end.
+  std::uint32_t m_Tokens = 0;        ///< Generated in this attempt.
   Duration m_Elapsed{};              ///< From the grant to the end.
 };
 
-/// An upstream's own account of its load; late, and possibly out of order.
+/// An upstream's own report of its load; may be late and out of order.
 struct LoadReport {
-  UpstreamId m_Upstream;               ///< Who reports.
-  std::uint64_t m_Sequence = 0;        ///< Grows with each report of one start.
-  Duration m_Age{};                    ///< Time since it was true, at least.
+  UpstreamId m_Upstream; ///< Reporting upstream.
+  /// Increases with each report of one incarnation.
+  std::uint64_t m_Sequence = 0;
+  Duration m_Age{};                    ///< Least age of the report.
   std::uint32_t m_Running = 0;         ///< Sequences in its batch.
   std::uint32_t m_Waiting = 0;         ///< Sequences in its own queue.
-  std::uint32_t m_FreeCacheBlocks = 0; ///< Room for prefixes.
+  std::uint32_t m_FreeCacheBlocks = 0; ///< Free blocks of the prefix cache.
   bool m_Leaving = false;              ///< It takes no new work.
 };
 
-/// An engine's cache gained or lost a prefix; late and with gaps.
+/// An engine's cache added or evicted a prefix; late, and some may be lost.
 struct CacheEvent {
-  UpstreamId m_Upstream;        ///< Whose cache.
+  UpstreamId m_Upstream;        ///< Owner of the cache.
   std::uint64_t m_Sequence = 0; ///< A jump means that events were lost.
-  PrefixHash m_Prefix = 0;      ///< Which prefix.
+  PrefixHash m_Prefix = 0;      ///< Prefix concerned.
   bool m_Added = true;          ///< False: evicted.
 };
 
-/// An entry is gone: its waiting bids are dropped, its running work ends.
+/// An entry is gone: its waiting bids are dropped and its running work ends.
 struct EntryLost {
   InstanceId m_Entry; ///< Removed from the membership.
 };
 
-/// Operators (or the platform) drain an upstream, or take that back.
+/// Operators (or the platform) drain an upstream, or end its draining.
 struct UpstreamDrained {
   UpstreamId m_Upstream; ///< Unknown ones are ignored.
   bool m_Drained = true; ///< False: it may get work again.
 };
 
-/// The time given by Decider::nextDeadline() has come.
+/// The time returned by Decider::nextDeadline() was reached.
 struct Tick {};
 
 using Event = std::variant<TableChanged, UpstreamsChanged, Bid, BidWithdrawn,
@@ -140,31 +142,32 @@
 
 // ---- Actions ----------------------------------------------------------------
 
-/// The request may be sent to the upstream before the grant lapses.
+/// The request may be sent to the upstream until the grant expires.
 struct Grant {
-  RequestId m_Request;         ///< Which bid.
-  UpstreamId m_Upstream;       ///< Where to send it.
-  Duration m_ValidFor{};       ///< Unused after this long it must be bid again.
+  RequestId m_Request;   ///< Granted bid.
+  UpstreamId m_Upstream; ///< Where to send it.
+  /// If unused for this long, the request must bid again.
+  Duration m_ValidFor{};
   std::uint8_t m_Priority = 0; ///< For the engine; 0 is the most urgent.
 };
 
-/// The request is refused for good, at once.
+/// The request is refused; this answer is final.
 struct Refuse {
-  RequestId m_Request;                          ///< Which bid.
+  RequestId m_Request;                          ///< Refused bid.
   RefusalReason m_Reason = RefusalReason::None; ///< Never None.
-  Duration m_RetryAfter{}; ///< When coming back can help; 0: it can't.
+  Duration m_RetryAfter{}; ///< When a retry can succeed; 0: never.
 };
 
-/// Running work must stop; its entry bids again with the tokens it has.
+/// Running work must stop; its entry bids again, stating the tokens received.
 struct Preempt {
   RequestId m_Request;   ///< A granted request.
   UpstreamId m_Upstream; ///< Where it runs.
 };
 
-/// An upstream was judged a straggler, or is back.
+/// An upstream was ejected as a straggler, or restored.
 struct EjectionChanged {
-  UpstreamId m_Upstream;  ///< Whose state changed.
-  bool m_Ejected = false; ///< True: gets probes only.
+  UpstreamId m_Upstream;  ///< Upstream concerned.
+  bool m_Ejected = false; ///< True: it gets probes only.
 };
 
 using Action = std::variant<Grant, Refuse, Preempt, EjectionChanged>;
--- a/src/decision/dispatch.cpp
+++ b/src/decision/dispatch.cpp
@@ -1,4 +1,4 @@
-/// The order of service.
+/// Matching of waiting bids with free slots, in the order of service.
 #include "decision/dispatch_func.h"
 
 #include "decision/floor_func.h"
@@ -24,8 +24,9 @@
   return Limit != 0 && Class.m_Running >= Limit;
 }
 
-/// The first flows' heads; later flows only when an earlier bid avoids the one
-/// upstream that is free, so that it doesn't hold up the others.
+/// Tries the bids at the head of the first flows. A later flow's bid is tried
+/// only when an earlier one avoids the only free upstream, so that it does not
+/// block the others.
 Match matchLane(Pool &P, Lane &L) {
   unsigned Scanned = 0;
   for (Flow &F : L.m_Ready) {
--- a/src/decision/dispatch_func.h
+++ b/src/decision/dispatch_func.h
@@ -1,4 +1,4 @@
-/// Giving free slots to waiting bids.
+/// Assignment of free slots to waiting bids.
 #ifndef CROWSTEP_DECISION_DISPATCH_FUNC_H
 #define CROWSTEP_DECISION_DISPATCH_FUNC_H
 
@@ -6,7 +6,7 @@
 
 namespace crowstep::decision {
 
-/// Grants while there are free slots and bids that they can serve.
+/// Grants waiting bids as long as free slots can serve them.
 void dispatch(Pool &P);
 
 } // namespace crowstep::decision
--- a/src/decision/estimate.cpp
+++ b/src/decision/estimate.cpp
@@ -1,4 +1,4 @@
-/// Estimated waits from the queue ahead and the learned service times.
+/// Estimated waits, from the bids ahead and the observed service times.
 #include "decision/estimate_func.h"
 
 #include "decision/placement_func.h"
@@ -9,12 +9,14 @@
 
 namespace {
 
-/// What stands before a bid.
+/// Bids ahead of a bid, and load that will overtake it.
 struct QueueAhead {
-  double m_Bids = 0.0;           ///< Waiting bids.
-  double m_SlotSeconds = 0.0;    ///< Slot-seconds that they will take.
-  double m_HigherTierLoad = 0.0; ///< Slots that more urgent arrivals ask for.
-  double m_SameTierLoad = 0.0; ///< The same of its own tier, if they overtake.
+  double m_Bids = 0.0;        ///< Waiting bids.
+  double m_SlotSeconds = 0.0; ///< Slot-seconds that they need.
+  /// Offered load of more urgent tiers, in slots.
+  double m_HigherTierLoad = 0.0;
+  /// The same of its own tier, if later arrivals there overtake it.
+  double m_SameTierLoad = 0.0;
 };
 
 void addBids(QueueAhead &Total, const ClassState &Class, std::size_t Bids) {
@@ -35,8 +37,9 @@
   return Found;
 }
 
-/// Running work that a bid of the tier could have stopped. Without it an
-/// urgent bid would be refused for a queue that preemption clears at once.
+/// Counts the running requests that a bid of the tier could preempt. Without
+/// them an urgent bid would be refused because of a queue that preemption
+/// clears at once.
 double countPreemptible(const Pool &P, std::uint8_t Number) {
   double Found = 0.0;
   for (const auto &[Other, Tier] : P.m_Queue.tiers())
@@ -46,8 +49,8 @@
   return Found;
 }
 
-/// The share of the slots that is left to the queue by what arrives meanwhile
-/// and goes before it. More urgent tiers leave at least the floor.
+/// Returns the share of the slots that serves the queue, without those used by
+/// arrivals that overtake it. More urgent tiers leave at least the floor.
 double drainShare(const ClassState &Class, const QueueAhead &Ahead) {
   const double Floor = Class.m_FloorSlots / Class.m_Slots;
   const double Above = Ahead.m_HigherTierLoad / Class.m_Slots;
@@ -97,8 +100,8 @@
     addBids(SameTier, *Other, Other->m_OnTime.m_ByDeadline.size());
     Flows += Other->m_OnTime.m_Ready.size();
   }
-  // A workspace waits for its own bids and as many of each other workspace;
-  // the rest of a large one's queue is served after it.
+  // A workspace waits for its own bids and for as many of each other workspace;
+  // the rest of a longer flow is served after it.
   const auto Own = Class.m_OnTime.m_Flows.find(Workspace);
   const std::size_t OwnCount =
       Own == Class.m_OnTime.m_Flows.end() ? 0 : Own->second.m_Queue.size();
--- a/src/decision/estimate_func.h
+++ b/src/decision/estimate_func.h
@@ -1,4 +1,4 @@
-/// How long a bid would wait.
+/// Estimated waiting times.
 #ifndef CROWSTEP_DECISION_ESTIMATE_FUNC_H
 #define CROWSTEP_DECISION_ESTIMATE_FUNC_H
 
@@ -6,16 +6,18 @@
 
 namespace crowstep::decision {
 
-/// Returns the wait of a bid that joins the on-time lane of \p Class now:
-/// behind more urgent tiers and its workspace's fair share of its own.
+/// Returns the estimated wait of a bid of \p Workspace that joins the on-time
+/// lane of \p Class now. It is served after more urgent tiers and after its
+/// workspace's fair share of its own tier.
 Duration waitOnTime(const Pool &P, const ClassState &Class,
                     WorkspaceId Workspace);
 
-/// Returns the wait of a bid that joins the late lane of \p Class now: behind
-/// everything at its tier or above, and what still arrives there.
+/// Returns the estimated wait of a bid that joins the late lane of \p Class
+/// now. It is served after all bids of its tier and of more urgent ones, those
+/// that arrive later included.
 Duration waitLate(const Pool &P, const ClassState &Class);
 
-/// Returns the slots that the upstreams of \p Class free a second.
+/// Returns how many slots per second the upstreams of \p Class release.
 double freeRate(const Pool &P, const ClassState &Class);
 
 } // namespace crowstep::decision
--- a/src/decision/expiry.cpp
+++ b/src/decision/expiry.cpp
@@ -1,4 +1,4 @@
-/// Targets, limits and lapses.
+/// Targets, limits and expired grants.
 #include "decision/expiry_func.h"
 
 #include "decision/admission_func.h"
@@ -42,7 +42,7 @@
     refuseLate(P, *L.m_ByDeadline.begin());
 }
 
-/// Tells whether a bid that is late now can still be served before its limit.
+/// Tells whether a late bid can still be served before its limit.
 bool canMeetLimit(Pool &P, const Request &Late) {
   if (Late.m_IsKept || P.isRebuilding())
     return true;
@@ -65,7 +65,7 @@
   }
 }
 
-/// Keeps the earliest of the times that lie ahead.
+/// The earliest of the added times that lie in the future.
 class Earliest {
 public:
   explicit Earliest(TimePoint Now) : m_Now(Now) {}
@@ -82,7 +82,7 @@
 
 private:
   TimePoint m_Now;                      ///< Only later times count.
-  TimePoint m_Found = TimePoint::max(); ///< The earliest; max(): none.
+  TimePoint m_Found = TimePoint::max(); ///< TimePoint::max() if there is none.
 };
 
 void addClassTimes(Earliest &Next, const Pool &P, const ClassState &Class) {
@@ -99,8 +99,8 @@
     Next.add(*Check);
 }
 
-/// While bids wait, an upstream that is paused, probed or loaded by others may
-/// come back without any event.
+/// While bids wait, an upstream that is paused, ejected, draining or loaded by
+/// others may become available without an event.
 void addUpstreamTimes(Earliest &Next, const Pool &P) {
   for (const auto &[Id, State] : P.m_Fleet.all()) {
     if (State.m_SaysLeaving)
--- a/src/decision/expiry_func.h
+++ b/src/decision/expiry_func.h
@@ -1,4 +1,4 @@
-/// What the clock alone brings about.
+/// Transitions caused by time alone: expired grants, targets and limits.
 #ifndef CROWSTEP_DECISION_EXPIRY_FUNC_H
 #define CROWSTEP_DECISION_EXPIRY_FUNC_H
 
@@ -8,11 +8,13 @@
 
 namespace crowstep::decision {
 
-/// Frees lapsed grants, forgets returning requests, moves bids whose target
-/// can't be met any more to the late lane, and refuses those at their limit.
+/// Frees grants that show no sign of use, forgets requests whose rebid window
+/// has passed, moves bids that can no longer meet their target to the late
+/// lane, and refuses those that have reached their limit.
 void expire(Pool &P);
 
-/// Returns when expire(), a preemption or a probe is due next.
+/// Returns when expire(), a preemption or a probe is due next; empty if none
+/// is.
 std::optional<TimePoint> nextDue(const Pool &P);
 
 } // namespace crowstep::decision
--- a/src/decision/fleet.cpp
+++ b/src/decision/fleet.cpp
@@ -21,8 +21,8 @@
     WasListed[Id] = std::exchange(State.m_Listed, false);
   for (const Upstream &Listing : Listed) {
     Serving &State = findOrMake(Listing.m_Id);
-    // One that was gone for a while is a new start. One that flickers in a
-    // list that lags is not, and stays without new work.
+    // An upstream that was missing for some time is a new incarnation. One that
+    // was missing only from a lagging list is not, and gets no new work.
     if (!WasListed[Listing.m_Id] && !isHeldDraining(State, Now))
       State.m_SaysLeaving = State.m_IsOwnWord = false;
     State.m_Upstream = Listing;
@@ -33,7 +33,7 @@
       State.m_LeavingSince = Now;
     }
   }
-  // What still runs on one that left keeps its account until it has ended.
+  // An upstream that left the list is kept until its work has ended.
   std::erase_if(m_Servings, [Now](const auto &Entry) {
     const Serving &State = Entry.second;
     return !State.m_Listed && State.m_Used == 0 && !isHeldDraining(State, Now);
@@ -81,8 +81,8 @@
   Serving *State = find(Report.m_Upstream);
   if (State == nullptr)
     return;
-  // A lower number is an older report that came late, unless nothing was heard
-  // for so long that it must be a new start of the upstream.
+  // A lower number is an older report that arrived late, unless the upstream
+  // was silent for so long that it must be a new incarnation.
   if (State->m_ReportSequence &&
       Report.m_Sequence <= *State->m_ReportSequence &&
       Now - State->m_ReportAt < tuning::LeavingMemory)
@@ -96,8 +96,9 @@
     State->m_SaysLeaving = State->m_IsOwnWord = false;
   if (Report.m_Age >= tuning::ReportLifetime)
     return;
-  // Only load beyond all that we may have had running then is someone else's:
-  // a late report must not undo, nor count twice, what we granted since.
+  // Only load beyond the most that the pool may have had running at that time
+  // is external: a late report must neither undo nor count twice what was
+  // granted since.
   const std::uint32_t Reported = Report.m_Running + Report.m_Waiting;
   const std::uint32_t OwnPeak = State->m_Peak.peak(Now);
   State->m_External = Reported > OwnPeak ? Reported - OwnPeak : 0;
@@ -110,8 +111,8 @@
     return;
   const bool HasGap =
       State->m_CacheSequence && Event.m_Sequence != *State->m_CacheSequence + 1;
-  // A lost event may have been an eviction; with the old hints, bids would go
-  // on to a busy engine for a prefix that it dropped.
+  // A lost event may have been an eviction. With the old hints, bids would
+  // still go to a busy engine for a prefix that it has evicted.
   if (HasGap)
     State->m_HintTag = m_NextTag++;
   State->m_CacheSequence = Event.m_Sequence;
--- a/src/decision/floor.cpp
+++ b/src/decision/floor.cpp
@@ -1,4 +1,4 @@
-/// Floor shares and their debts.
+/// Floors and their deficits.
 #include "decision/floor_func.h"
 
 #include "decision/estimate_func.h"
@@ -12,8 +12,9 @@
 namespace {
 
 /// Tells whether the first and the last bid of a lane still get slots in time
-/// from those that come free without taking any back, when \p Bids stand
-/// before the last; and with time left to take one back if that fails.
+/// from those expected to be released without preemption, with time left to
+/// preempt if these are not released. \p Bids counts the last bid and all
+/// before it.
 bool canSpareSlot(const Pool &P, const ClassState &Class, const Lane &L,
                   double Bids) {
   if (L.m_ByDeadline.empty())
@@ -34,8 +35,8 @@
          canSpareSlot(P, Class, Class.m_Late, Bids);
 }
 
-/// Tells whether a free slot may go to lower tiers ahead of this one's bids:
-/// it is overloaded, and what it was admitted still keeps its targets.
+/// Tells whether a free slot may go to lower tiers ahead of the bids of \p T:
+/// the tier is overloaded, and its admitted bids still meet their targets.
 bool canYieldSlot(const Pool &P, const Tier &T, double Bids) {
   return std::all_of(
       T.m_Classes.begin(), T.m_Classes.end(), [&](const ClassState *Class) {
@@ -45,7 +46,8 @@
       });
 }
 
-/// Seconds of its floor that a class is behind, or 0 when nothing is owed.
+/// Returns the floor deficit in seconds of the full floor, or 0 if the class
+/// has no claim to a slot now.
 double secondsBelowFloor(const ClassState &Class) {
   const auto Running = static_cast<double>(Class.m_Running);
   if (Class.m_Debt <= 0.0 || Class.demand() == 0 || Running >= Class.floorNow())
@@ -53,7 +55,7 @@
   return Class.m_Debt / Class.m_FloorSlots;
 }
 
-/// Returns the least urgent tier that is owed; 0: none.
+/// Returns the least urgent tier with a class below its floor; 0: none.
 std::uint8_t lastTierBelowFloor(const Pool &P) {
   std::uint8_t Last = 0;
   for (const ClassState *Class : P.m_Queue.classes())
@@ -65,7 +67,7 @@
 } // namespace
 
 void updateOffered(Pool &P) {
-  // Rates change over tens of seconds; working them out for each event would
+  // Rates change over tens of seconds; recomputing them for each event would
   // cost more than the rest of the decision.
   if (P.m_Now < P.m_OfferedUntil)
     return;
@@ -101,7 +103,8 @@
   if (Seconds <= 0.0)
     return;
   for (ClassState *Class : P.m_Queue.classes()) {
-    // Without waiting bids nothing is owed: the class has what it asked for.
+    // Without waiting bids there is no deficit: the class has all that it asked
+    // for.
     if (Class->demand() == 0) {
       Class->m_Debt = 0.0;
       continue;
@@ -125,7 +128,7 @@
   for (const auto &[Number, Tier] : P.m_Queue.tiers()) {
     if (Number > Last)
       break;
-    // Without bids before it a tier needs no floor: it is the next to serve.
+    // Without bids before it a tier needs no floor: it is served next anyway.
     for (ClassState *Class : Tier.m_Classes) {
       const double Seconds = Bids > 0.0 ? secondsBelowFloor(*Class) : 0.0;
       if (Seconds <= Longest || !hasPlace(P, *Class))
--- a/src/decision/floor_func.h
+++ b/src/decision/floor_func.h
@@ -1,4 +1,4 @@
-/// Floor shares: what each class is owed from its weight.
+/// Floors: the slots guaranteed to each class by its weight.
 #ifndef CROWSTEP_DECISION_FLOOR_FUNC_H
 #define CROWSTEP_DECISION_FLOOR_FUNC_H
 
@@ -6,22 +6,24 @@
 
 namespace crowstep::decision {
 
-/// Recomputes each class's upstreams, slots and floor from the weights.
+/// Recomputes the upstreams, slots and floor of each class.
 void updateFloors(Pool &P);
 
-/// Adds what classes with waiting bids were owed and got since the last event.
+/// Adds the floor slots that classes with waiting bids did not get since the
+/// last event to their deficits.
 void accrueFloors(Pool &P, Duration Elapsed);
 
-/// Tells whether the tier of \p Class and more urgent ones ask for clearly more
-/// slots than there are, so that some of their bids are refused whatever is
-/// done. Only then do floors of lower tiers stand against their bids.
+/// Tells whether arrivals at the tier of \p Class and more urgent ones need
+/// clearly more slots than there are, so that some bids must be refused. Only
+/// then do the floors of lower tiers take precedence over them.
 bool isOverloaded(const ClassState &Class);
 
-/// Renews what the tiers' arrivals ask for, when it is no longer fresh.
+/// Recomputes the offered load of each tier once it has expired.
 void updateOffered(Pool &P);
 
-/// Returns the class that is owed most and may have a free slot ahead of more
-/// urgent bids without making one of them miss its target; or null.
+/// Returns the class that is furthest below its floor among those that may have
+/// a free slot before more urgent bids without making one of them miss its
+/// target, or null.
 ClassState *owedClass(const Pool &P);
 
 } // namespace crowstep::decision
--- a/src/decision/learned.cpp
+++ b/src/decision/learned.cpp
@@ -1,4 +1,4 @@
-/// Learned means, quantiles and rates.
+/// Moving averages, quantiles and rates.
 #include "decision/learned.h"
 
 #include <algorithm>
@@ -9,11 +9,12 @@
 
 namespace {
 
-constexpr unsigned Bins = 54;           ///< Three a doubling.
-constexpr double LowestSample = 0.25;   ///< Lower ones count as this.
-constexpr double HighestSample = 65536; ///< Higher ones count as this.
-constexpr double MaxSeconds = 86400.0;  ///< Seconds of a day.
-constexpr double MinMeterAge = 2.0;     ///< Seconds; no rate is told of less.
+constexpr unsigned Bins = 54;           ///< Three per doubling.
+constexpr double LowestSample = 0.25;   ///< Lower samples count as this.
+constexpr double HighestSample = 65536; ///< Higher samples count as this.
+constexpr double MaxSeconds = 86400.0;  ///< One day.
+/// Seconds added to the age of a rate meter, which bounds early rates.
+constexpr double MinMeterAge = 2.0;
 
 } // namespace
 
@@ -24,7 +25,7 @@
 }
 
 void Mean::add(double Sample) {
-  // The first samples weigh as in a plain mean, so that the start is quick.
+  // The first samples have the weight of a plain mean, for a quick start.
   const double Plain = 1.0 / (static_cast<double>(m_Count) + 1.0);
   const double Gain = std::max(m_Gain, Plain);
   m_Value = m_Count == 0 ? Sample : m_Value + Gain * (Sample - m_Value);
@@ -41,8 +42,8 @@
   m_Weight += 1.0;
   if (m_Count < std::numeric_limits<std::uint32_t>::max())
     ++m_Count;
-  // Without this the estimate would stay where an hour of long answers put it.
-  // Halving the weights lets as many new samples outvote the old ones.
+  // Without this a long run of long answers would determine the estimate for as
+  // long again. With halved weights as many new samples outweigh the old ones.
   if (m_Weight > tuning::HistogramWindow) {
     m_Histogram *= 0.5;
     m_Weight *= 0.5;
@@ -75,8 +76,9 @@
 double RateMeter::perSecond(TimePoint Now) const {
   if (!m_First)
     return 0.0;
-  // Of a meter that is younger than its time constant, only part of the weight
-  // is there yet; a burst right after the start would go unseen.
+  // A meter younger than its time constant has accumulated only part of its
+  // weight; without a correction, a burst right after the start would be
+  // missed.
   const double Age = toSeconds(Now - *m_First) + MinMeterAge;
   return decayed(Now) / (1.0 - std::exp(-Age / m_Seconds));
 }
--- a/src/decision/learned.h
+++ b/src/decision/learned.h
@@ -1,7 +1,7 @@
-/// What the decisions learn from past work: lengths, times and rates.
+/// Statistics of past work: lengths, times and rates.
 ///
-/// All of it forgets: a run of unusual answers changes an estimate for a while
-/// and then no longer.
+/// All of them weight recent samples higher, so that a run of unusual answers
+/// affects the estimates only for a while.
 #ifndef CROWSTEP_DECISION_LEARNED_H
 #define CROWSTEP_DECISION_LEARNED_H
 
@@ -27,7 +27,7 @@
 /// Returns \p Seconds as a duration, at most a day.
 Duration fromSeconds(double Seconds);
 
-/// A mean in which old samples fade.
+/// A moving average: plain at first, later with a constant gain.
 class Mean {
 public:
   explicit Mean(double Gain = tuning::MeanGain) : m_Gain(Gain) {}
@@ -38,18 +38,18 @@
   [[nodiscard]] std::uint32_t count() const { return m_Count; }
 
 private:
-  double m_Gain;             ///< Share of a new sample, 0 to 1.
+  double m_Gain;             ///< Weight of a new sample, 0 to 1.
   double m_Value = 0.0;      ///< Meaningless while m_Count is 0.
   std::uint32_t m_Count = 0; ///< Samples since the last reset.
 };
 
-/// A quantile of positive samples over a sliding window of fading weight.
+/// A quantile of positive samples; older samples weigh less.
 class Quantile {
 public:
   explicit Quantile(double Share);
 
   void add(double Sample);
-  /// Returns the quantile; 0 before the first sample.
+  /// Returns the quantile; 0 without samples.
   [[nodiscard]] double value() const { return m_Value; }
   [[nodiscard]] std::uint32_t count() const { return m_Count; }
 
@@ -63,14 +63,14 @@
 
   [[nodiscard]] double compute() const;
 
-  double m_Share;            ///< 0 to 1.
-  Histogram m_Histogram;     ///< Weights by logarithmic bins.
-  double m_Weight = 0.0;     ///< Sum of the histogram.
+  double m_Share;            ///< Quantile to compute, 0 to 1.
+  Histogram m_Histogram;     ///< Weights in logarithmic bins.
+  double m_Weight = 0.0;     ///< Sum of the histogram's weights.
   double m_Value = 0.0;      ///< The quantile as of the last sample.
   std::uint32_t m_Count = 0; ///< Samples ever, saturating.
 };
 
-/// Events a second, averaged over the last \p Seconds or so.
+/// Events per second, as a moving average with a time constant of \p Seconds.
 class RateMeter {
 public:
   explicit RateMeter(double Seconds) : m_Seconds(Seconds) {}
@@ -81,7 +81,7 @@
   [[nodiscard]] double decayed(TimePoint Now) const;
 
   double m_Seconds;                 ///< Time constant, > 0.
-  double m_Rate = 0.0;              ///< As of m_At.
+  double m_Rate = 0.0;              ///< At m_At.
   TimePoint m_At;                   ///< Time of the last event.
   std::optional<TimePoint> m_First; ///< Time of the first event.
 };
--- a/src/decision/placement.cpp
+++ b/src/decision/placement.cpp
@@ -1,4 +1,4 @@
-/// Placement by load, prefix hints, zone and health.
+/// Placement by load, prefix hints, availability zone and health.
 #include "decision/placement_func.h"
 
 #include "decision/straggler_func.h"
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// One upstream that could take the bid.
+/// An upstream that could take the bid.
 struct Candidate {
   Serving *m_Serving = nullptr; ///< Never null.
-  double m_Load = 0.0;          ///< Comparable among the candidates.
-  double m_Match = 0.0;         ///< Share of the prompt's prefixes, 0 to 1.
+  double m_Load = 0.0;          ///< Relative to the other candidates.
+  double m_Match = 0.0; ///< Matched part of the prompt's prefixes, 0 to 1.
 };
 
 using Candidates = boost::container::small_vector<Candidate, 16>;
@@ -26,8 +26,8 @@
       [Now](const Serving *State) { return State->isHealthy(Now); });
 }
 
-/// Tells whether \p One may get a bid at all. When nobody is healthy, paused
-/// and ejected upstreams serve too: a slow answer is better than none.
+/// Tells whether \p State may get a bid. If no upstream is healthy, paused and
+/// ejected ones serve too: a slow answer is better than none.
 bool mayServe(const ClassState &Class, const Serving &State, bool AnyHealthy,
               TimePoint Now) {
   if (!State.isUsable())
@@ -42,7 +42,7 @@
   return Value ^ (Value >> 31);
 }
 
-/// Expected output of an average grant among the candidates; 1 while idle.
+/// Returns the mean expected output of the candidates' grants; 1 without any.
 double meanOutstanding(const Candidates &Options) {
   double Tokens = 0.0;
   double Grants = 0.0;
@@ -53,12 +53,12 @@
   return Tokens > 0.0 && Grants > 0.0 ? Tokens / Grants : 1.0;
 }
 
-/// Load as half slots, half expected tokens in units of average grants, and
-/// dearer on slow upstreams.
+/// Computes loads: one half by used slots, the other by expected tokens in
+/// units of the mean grant; multiplied by the slowness of slow upstreams.
 void computeLoads(const Pool &P, Candidates &Options) {
   constexpr double Half = 0.5;
-  constexpr double Idle = 0.05; // Even an idle slow upstream costs something.
-  constexpr double Noise = 1.5; // Slowness below this is chance.
+  constexpr double Idle = 0.05; // Gives an idle slow upstream a cost, too.
+  constexpr double Noise = 1.5; // Slowness up to this is random variation.
   const double Average = meanOutstanding(Options);
   for (Candidate &C : Options) {
     const Serving &State = *C.m_Serving;
@@ -86,8 +86,9 @@
   }
 }
 
-/// A hint may be wrong and must never build up a queue: a whole match is worth
-/// a fixed part of a batch, so beyond that much more load it is passed by.
+/// Returns the cost of a candidate. A hint may be wrong and must never build up
+/// a queue, so a full match is worth a fixed share of a batch and is ignored
+/// beyond that much more load.
 double costOf(const Candidate &C, const Bid &NewBid) {
   double Cost = C.m_Load - tuning::AffinityWeight * C.m_Match;
   if (C.m_Serving->m_Upstream.m_Zone != NewBid.m_Zone)
@@ -115,7 +116,7 @@
 }
 
 Serving *nextRoundRobin(Pool &P, const Candidates &Options) {
-  // Turns go over all upstreams by id; full ones are skipped.
+  // The order is by id; full upstreams are skipped.
   const auto Next =
       std::find_if(Options.begin(), Options.end(), [&P](const Candidate &C) {
         return C.m_Serving->m_Upstream.m_Id > P.m_LastTurn;
--- a/src/decision/placement_func.h
+++ b/src/decision/placement_func.h
@@ -1,4 +1,4 @@
-/// Which upstream a bid goes to.
+/// Choice of the upstream for a bid.
 #ifndef CROWSTEP_DECISION_PLACEMENT_FUNC_H
 #define CROWSTEP_DECISION_PLACEMENT_FUNC_H
 
@@ -6,16 +6,16 @@
 
 namespace crowstep::decision {
 
-/// Returns the best upstream with a free slot for \p Bid, or null.
+/// Returns the best upstream with a free slot for \p Waiting, or null.
 Serving *chooseUpstream(Pool &P, const Request &Waiting);
 
-/// Tells whether any upstream could take a bid of \p Class just now.
+/// Tells whether any upstream can take a bid of \p Class now.
 bool hasPlace(const Pool &P, const ClassState &Class);
 
-/// Tells whether \p Where would be used for \p Class if it had a free slot.
+/// Tells whether \p State would be used for \p Class if it had a free slot.
 bool wouldServe(const Pool &P, const ClassState &Class, const Serving &State);
 
-/// Tells whether any upstream that may get work can run \p Class.
+/// Tells whether any usable upstream can run \p Class.
 bool hasUpstream(const ClassState &Class);
 
 } // namespace crowstep::decision
--- a/src/decision/preemption.cpp
+++ b/src/decision/preemption.cpp
@@ -1,4 +1,4 @@
-/// Which running work is stopped, and when.
+/// Choice and timing of the work to preempt.
 #include "decision/preemption_func.h"
 
 #include "decision/estimate_func.h"
@@ -23,13 +23,14 @@
   return nullptr;
 }
 
-/// Tells whether the class keeps its floor when it loses one slot. Work that
-/// was ordered to stop no longer counts.
+/// Tells whether the class keeps its floor if it loses one slot. Work already
+/// ordered to stop does not count.
 bool isAboveFloor(const ClassState &Class) {
   return static_cast<double>(Class.m_Victims.size()) >= Class.floorNow() + 1.0;
 }
 
-/// The least urgent tier gives first, and in it the classes above their floor.
+/// Returns the request to preempt: the least urgent tier comes first, and
+/// within it the classes above their floors.
 Request *findVictim(const Pool &P, const ClassState &Urgent) {
   const TierMap &Tiers = P.m_Queue.tiers();
   for (auto It = Tiers.rbegin(); It != Tiers.rend(); ++It) {
@@ -59,8 +60,8 @@
       Preempt{Victim.m_Bid.m_Request, Victim.m_Serving->m_Upstream.m_Id});
 }
 
-/// Time left before a bid of the lane must have a slot, less the time to take
-/// one back, in seconds.
+/// Returns the seconds until a bid of the lane must have a slot, less the time
+/// for a preemption.
 double slackOf(const Pool &P, const ClassState &Class, const Lane &L,
                const Request &Waiting) {
   const Duration Left = Waiting.m_Deadline - Class.allowanceOf(L) - P.m_Now;
@@ -81,8 +82,9 @@
       return;
 }
 
-/// Stops as much as is missing beyond the slots that come free in time, for the
-/// first bid and for the last with \p Bids before it.
+/// Preempts as many slots as are missing beyond those expected to be released
+/// in time, for the first bid of the lane and for the last one, \p Bids
+/// counting it and all bids before it.
 void stopForLane(Pool &P, const ClassState &Class, const Lane &L, double Bids,
                  std::size_t Limit) {
   if (L.m_ReadyCount == 0)
@@ -90,8 +92,9 @@
   const double Rate = freeRate(P, Class);
   const DeadlineQueue &Queue = L.m_ByDeadline;
   const double First = slackOf(P, Class, L, *Queue.begin());
-  // The last bid has more slack than the first: if all fit into that, none is
-  // missing. It spares a look at one more request, which is cold memory.
+  // The last bid has more slack than the first, so if all fit into the first
+  // one's, no slot is missing. This saves access to another request, whose
+  // memory is not in the cache.
   if (tuning::PreemptTrust * Rate * First >= std::max(1.0, Bids))
     return;
   const double Last = slackOf(P, Class, L, *Queue.rbegin());
@@ -102,7 +105,7 @@
   stopUntil(P, Class, Limit, Missing(tuning::FloorTrust), stopAny);
 }
 
-/// Returns the least urgent tier with work that could be stopped; 0: none.
+/// Returns the least urgent tier with preemptible work; 0: none.
 std::uint8_t lastWithVictims(const Pool &P) {
   std::uint8_t Last = 0;
   for (const ClassState *Class : P.m_Queue.classes())
@@ -151,9 +154,9 @@
     if (It == P.m_Requests.end() || !It->second.m_Stopping ||
         It->second.m_Since != OrderedAt)
       continue;
-    // The order was lost, or its entry is stuck. Waiting for this one slot
-    // would let urgent bids miss their targets beside others that can be had;
-    // it goes back among them, as the last to be asked.
+    // The order was lost, or the entry does not respond. Waiting for this slot
+    // would let urgent bids miss their targets while others could be preempted.
+    // The request becomes preemptible again, as a last resort.
     constexpr std::uint8_t LastResort = 4;
     Request &Unstopped = It->second;
     Unstopped.m_Stopping = false;
--- a/src/decision/preemption_func.h
+++ b/src/decision/preemption_func.h
@@ -1,4 +1,4 @@
-/// Taking slots back from lower tiers.
+/// Preemption of work of lower tiers.
 #ifndef CROWSTEP_DECISION_PREEMPTION_FUNC_H
 #define CROWSTEP_DECISION_PREEMPTION_FUNC_H
 
@@ -9,18 +9,20 @@
 namespace crowstep::decision {
 
 /// Stops running work of lower tiers where a waiting bid would otherwise miss
-/// its target, or its limit once it is late.
+/// its target, or its limit if it is late.
 void preemptWhereNeeded(Pool &P);
 
-/// Stops one piece of lower work for a bid of \p Class that would be refused
-/// else, unless its tier is overloaded and lower tiers hold no more than their
-/// floors. Returns whether it did.
+/// Stops one request of a lower tier for a bid of \p Class that would otherwise
+/// be refused; not if the tier of \p Class is overloaded and all lower classes
+/// are within their floors. Returns whether it did.
 bool stopAboveFloor(Pool &P, const ClassState &Class);
 
-/// Gives orders to stop again that were not followed for too long.
+/// Makes requests that did not obey an order to stop within
+/// tuning::StopOrderTimeout preemptible again.
 void repeatStops(Pool &P);
 
-/// Returns when a bid of \p Class next needs a look by the clock alone.
+/// Returns when time alone requires the next check of \p Class for preemption;
+/// empty if never.
 std::optional<TimePoint> nextPreemptionCheck(const Pool &P,
                                              const ClassState &Class);
 
--- a/src/decision/prefix_index.cpp
+++ b/src/decision/prefix_index.cpp
@@ -1,4 +1,4 @@
-/// Prefix hints.
+/// Index of prefix hints.
 #include "decision/prefix_index.h"
 
 #include "decision/tuning.h"
--- a/src/decision/prefix_index.h
+++ b/src/decision/prefix_index.h
@@ -1,4 +1,5 @@
-/// Which upstreams may hold which prompt prefixes: hints, never promises.
+/// Index of the upstreams that may hold a prompt's prefix. Entries are hints,
+/// not guarantees.
 #ifndef CROWSTEP_DECISION_PREFIX_INDEX_H
 #define CROWSTEP_DECISION_PREFIX_INDEX_H
 
@@ -10,8 +11,8 @@
 
 namespace crowstep::decision {
 
-/// Bounded map from a prefix to the tags of its latest holders. An upstream
-/// that takes a new tag has all its hints dropped without a walk.
+/// Bounded map from a prefix to the tags of the upstreams that held it last.
+/// Giving an upstream a new tag drops all its hints at once.
 class PrefixIndex {
 public:
   static constexpr std::size_t MaxHolders = 4;
@@ -19,11 +20,12 @@
 
   void add(PrefixHash Prefix, std::uint32_t Tag);
   void remove(PrefixHash Prefix, std::uint32_t Tag);
-  /// Returns the holders of \p Prefix, or null.
+  /// Returns the holders of \p Prefix, or null if it is unknown.
   [[nodiscard]] const Holders *find(PrefixHash Prefix) const;
 
 private:
-  std::unordered_map<PrefixHash, Holders> m_Holders; ///< Bounded in size.
+  /// At most tuning::MaxPrefixes.
+  std::unordered_map<PrefixHash, Holders> m_Holders;
   std::deque<PrefixHash> m_Age; ///< Keys of m_Holders, the oldest first.
 };
 
--- a/src/decision/queue.cpp
+++ b/src/decision/queue.cpp
@@ -1,4 +1,4 @@
-/// Lanes, flows and the workspaces' accounts.
+/// Lanes, flows and the workspaces' shares.
 #include "decision/queue.h"
 
 #include <algorithm>
@@ -111,7 +111,8 @@
   if (Class.m_Tier == nullptr)
     return;
   WorkspaceShare &Share = Class.m_Tier->m_Shares[Workspace];
-  // Sorted sets must not see a key change underneath them.
+  // The key of an element in a sorted set must not change, so the flows are
+  // unlinked meanwhile.
   std::vector<Flow *> Ready;
   for (Flow *F : Share.m_Flows)
     if (isReady(*F))
@@ -177,7 +178,8 @@
 }
 
 void Queue::rebuildTiers(const std::map<ClassId, std::uint8_t> &Numbers) {
-  // Accounts of a tier outlive the change; only the lists of rows are renewed.
+  // A tier's shares outlive a change of the table; only its list of rows is
+  // rebuilt.
   for (auto &[Number, T] : m_Tiers)
     T.m_Classes.clear();
   m_PoolClasses.clear();
--- a/src/decision/queue.h
+++ b/src/decision/queue.h
@@ -10,31 +10,34 @@
 
 namespace crowstep::decision {
 
-/// Keeps the order of service. Every change costs a logarithm of the lengths
-/// of one lane; nothing walks over all waiting bids but a change of the table.
+/// Keeps the order of service. Each change costs the logarithm of one lane's
+/// length; only a change of the table visits all waiting bids.
 class Queue {
 public:
-  /// Takes over the rows. Rows of another service than \p Service are no part
-  /// of the pool, unless it is empty (not known yet). With \p IsFlat all rows
-  /// stand in one tier, for the baselines. Bids keep their places; those of
-  /// rows that left the pool are appended to \p Homeless and taken out.
+  /// Applies \p Table. Rows of a service other than \p Service are not part of
+  /// the pool, unless \p Service is empty (not known yet). With \p IsFlat all
+  /// rows are in one tier, for the baselines. Bids keep their places; those of
+  /// rows that left the pool are taken out and appended to \p Removed.
   void setTable(const ContractTable &Table, const std::string &Service,
                 bool IsFlat, TimePoint Now, std::vector<Request *> &Removed);
 
-  /// Returns the row \p Id, or null when the table has none.
+  /// Returns the state of row \p Id, or null if the table has no such row.
   [[nodiscard]] ClassState *find(ClassId Id);
 
   void push(Request &Waiting, bool IsLate);
   void remove(Request &Waiting);
 
-  /// Adds \p Tokens to the account of \p Workspace in the tier of \p Class.
+  /// Adds \p Tokens to the virtual time of \p Workspace in the tier of \p
+  /// Class.
   void charge(ClassState &Class, WorkspaceId Workspace, double Tokens);
 
-  /// Notes that a flow is served: later arrivals start from its account, so
-  /// that a workspace can't save up service while it asks for none.
+  /// Advances the tier's virtual time to that of the flow being served.
+  /// Workspaces that become active start from it, so that an idle one saves up
+  /// no service.
   static void noteServed(const Request &Waiting);
 
-  /// Counts running work, and blocks or unblocks the workspace's flows.
+  /// Adds \p Change to the count of running work, and blocks or unblocks the
+  /// workspace's flows.
   static void addRunning(ClassState &Class, WorkspaceId Workspace, int Change,
                          TimePoint Now);
 
@@ -46,18 +49,19 @@
   [[nodiscard]] std::size_t size() const { return m_Size; }
 
 private:
-  /// A bid on its way from one tier to another.
+  /// A waiting bid that moves from one tier to another.
   struct Displacement {
     Request *m_Bid; ///< Never null; in no lane.
-    bool m_IsLate;  ///< Which lane it comes from and goes to.
+    bool m_IsLate;  ///< In the late lane, before and after.
   };
 
   void rebuildTiers(const std::map<ClassId, std::uint8_t> &Numbers);
   void takeOut(ClassState &Class, std::vector<Displacement> &Moved);
 
-  std::map<ClassId, ClassState> m_Classes; ///< All rows ever; never erased.
+  /// All rows ever listed; never erased.
+  std::map<ClassId, ClassState> m_Classes;
   std::vector<ClassState *> m_PoolClasses; ///< Rows of the pool's service.
-  TierMap m_Tiers;                         ///< Of the pool's rows.
+  TierMap m_Tiers;                         ///< Tiers of the pool's rows.
   std::size_t m_Size = 0;                  ///< Waiting bids.
 };
 
--- a/src/decision/serving.cpp
+++ b/src/decision/serving.cpp
@@ -1,4 +1,4 @@
-/// What an upstream answers about itself.
+/// Queries on the state of an upstream.
 #include "decision/serving_base.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
   while (!m_Samples.empty() && m_Samples.back().second <= Used)
     m_Samples.pop_back();
   m_Samples.emplace_back(Now, Used);
-  // A value holds until the next one's time, so one older sample is kept.
+  // A value holds until the time of the next one, so one older sample is kept.
   while (m_Samples.size() > 1 &&
          m_Samples[1].first + tuning::OwnLoadWindow <= Now)
     m_Samples.pop_front();
--- a/src/decision/serving_base.h
+++ b/src/decision/serving_base.h
@@ -1,4 +1,4 @@
-/// An upstream as the pool serves with it: slots, load, health.
+/// The state of one upstream in the pool: slots, load, health.
 #ifndef CROWSTEP_DECISION_SERVING_BASE_H
 #define CROWSTEP_DECISION_SERVING_BASE_H
 
@@ -12,7 +12,7 @@
 
 namespace crowstep::decision {
 
-/// The highest number of own grants over a sliding window.
+/// The highest number of slots used by the pool over a sliding window.
 class PeakWindow {
 public:
   void add(std::uint32_t Used, TimePoint Now);
@@ -20,43 +20,54 @@
 
 private:
   using Sample = std::pair<TimePoint, std::uint32_t>;
-  std::deque<Sample> m_Samples; ///< By time; each value lower than the last.
+  std::deque<Sample> m_Samples; ///< In order of time; values strictly decrease.
 };
 
-/// One upstream. Lives on after it left the list until its work has ended.
+/// One upstream. It is kept after it left the list until its work has ended.
 struct Serving {
-  Upstream m_Upstream;       ///< As listed last.
+  Upstream m_Upstream;       ///< As last listed.
   std::uint32_t m_Slots = 0; ///< From its kind.
-  bool m_Listed = false;     ///< In the list just now.
+  bool m_Listed = false;     ///< In the current list.
   bool m_Drained = false;    ///< By operators.
-  bool m_IsOwnWord = false;  ///< m_SaysLeaving is its own word, not the list's.
-  bool m_SaysLeaving = false;  ///< By the list, its refusals or reports.
-  TimePoint m_LeavingSince;    ///< When it said so last.
-  std::uint32_t m_HintTag = 0; ///< Names its prefix hints; a new one drops all.
+  /// m_IsDraining was reported by the upstream itself, not by the list.
+  bool m_IsOwnWord = false;
+  /// According to the list, its answers or its load reports.
+  bool m_SaysLeaving = false;
+  TimePoint m_LeavingSince; ///< When that was last reported.
+  /// Identifies its prefix hints; a new tag drops them all.
+  std::uint32_t m_HintTag = 0;
 
-  std::uint32_t m_Used = 0;   ///< Grants not ended, those stopping included.
-  double m_Outstanding = 0.0; ///< Output tokens expected of them, >= 0.
-  double m_FreeRate = 0.0;    ///< Slots that come free a second, expected.
-  PeakWindow m_Peak;          ///< Of m_Used.
+  /// Grants not ended, including those ordered to stop.
+  std::uint32_t m_Used = 0;
+  /// Output tokens expected of these grants, >= 0.
+  double m_Outstanding = 0.0;
+  double m_FreeRate = 0.0; ///< Slots expected to be released per second.
+  PeakWindow m_Peak;       ///< Of m_UsedSlots.
 
-  std::uint32_t m_External = 0; ///< Load that isn't ours, as reported.
-  TimePoint m_ExternalUntil;    ///< Believed until then.
-  std::optional<std::uint64_t> m_ReportSequence; ///< Of the last one taken.
-  TimePoint m_ReportAt;                          ///< When that was.
-  std::optional<std::uint64_t> m_CacheSequence;  ///< Of the last cache event.
+  /// Reported load that the pool did not grant.
+  std::uint32_t m_External = 0;
+  TimePoint m_ExternalUntil; ///< End of the report's lifetime.
+  /// Of the last accepted load report.
+  std::optional<std::uint64_t> m_ReportSequence;
+  TimePoint m_ReportAt; ///< When that report arrived.
+  /// Of the last cache event.
+  std::optional<std::uint64_t> m_CacheSequence;
 
-  std::uint32_t m_Failures = 0;       ///< In a row.
-  Duration m_Backoff{};               ///< Last pause; 0 after a success.
-  TimePoint m_BackoffUntil;           ///< Avoided until then.
-  Mean m_Slowness{tuning::SpeedGain}; ///< Times against the class's means.
-  bool m_Ejected = false;             ///< A straggler; gets probes only.
-  bool m_ProbeRunning = false;        ///< One at a time.
-  std::uint32_t m_GoodProbes = 0;     ///< In a row.
+  /// Failed calls since the last success.
+  std::uint32_t m_Failures = 0;
+  Duration m_Backoff{};     ///< Last pause; 0 after a success.
+  TimePoint m_BackoffUntil; ///< Not used before, if others are healthy.
+  /// Ratio of its times to the means of the classes.
+  Mean m_Slowness{tuning::SpeedGain};
+  bool m_Ejected = false;      ///< A straggler: gets probes only.
+  bool m_ProbeRunning = false; ///< At most one probe at a time.
+  /// Good probes since the last bad one.
+  std::uint32_t m_GoodProbes = 0;
   Duration m_ProbePause{}; ///< Until the next probe, after a bad one.
-  TimePoint m_NextProbe;   ///< Not before.
-  TimePoint m_LastProbe;   ///< Start of the last one, or the ejection.
+  TimePoint m_NextProbe;   ///< Earliest time of the next probe.
+  TimePoint m_LastProbe;   ///< Start of the last probe, or the ejection.
 
-  /// Tells whether it may get any work at all.
+  /// Tells whether it may get any work.
   [[nodiscard]] bool isUsable() const {
     return m_Listed && !m_Drained && !m_SaysLeaving;
   }
@@ -69,14 +80,15 @@
   [[nodiscard]] bool hasFreeSlot(TimePoint Now) const {
     return m_Used + external(Now) < m_Slots;
   }
-  /// Returns its load as a share of its slots.
+  /// Returns its load as a fraction of its slots.
   [[nodiscard]] double load(TimePoint Now) const;
 };
 
-/// Tells whether \p Of can run the model; an empty list of models means any.
+/// Tells whether \p Candidate can run \p Model. An empty list of models, or an
+/// empty name, means any; so does a plain service.
 bool hasModel(const Upstream &Candidate, const std::string &Model);
 
-/// Tells whether stopped work can go on elsewhere from its tokens.
+/// Tells whether stopped work of \p State can resume elsewhere from its tokens.
 bool canResume(const Serving &State);
 
 } // namespace crowstep::decision
--- a/src/decision/straggler.cpp
+++ b/src/decision/straggler.cpp
@@ -1,4 +1,4 @@
-/// Ejection of stragglers and their way back.
+/// Ejection of stragglers and their restoration.
 #include "decision/straggler_func.h"
 
 #include "decision/floor_func.h"
@@ -17,7 +17,8 @@
          State.m_Slowness.count() >= tuning::StragglerSamples;
 }
 
-/// Median slowness of the other judged upstreams; 0 when they are too few.
+/// Returns the median slowness of the other upstreams that can be judged; 0 if
+/// they are too few.
 double medianOfPeers(const Fleet &F, const Serving &Excluded) {
   boost::container::small_vector<double, 32> Peers;
   std::size_t Usable = 0;
@@ -35,8 +36,8 @@
 }
 
 struct Counts {
-  std::size_t m_Usable = 0;  ///< May get work, but for ejection.
-  std::size_t m_Ejected = 0; ///< Of those.
+  std::size_t m_Usable = 0;  ///< Usable, including ejected ones.
+  std::size_t m_Ejected = 0; ///< Ejected ones among them.
 };
 
 Counts count(const Fleet &F) {
@@ -50,7 +51,7 @@
   return Result;
 }
 
-/// How many of the usable upstreams may be ejected at once; never all.
+/// Returns how many of the usable upstreams may be ejected at once; never all.
 std::size_t maxEjected(const Pool &P, std::size_t Usable) {
   const auto Share = P.m_Config.m_MaxEjectedShare * static_cast<double>(Usable);
   const auto Limit = static_cast<std::size_t>(std::floor(Share));
@@ -111,7 +112,8 @@
     State.m_Slowness.add(Slowness);
     checkStraggler(P, State);
   } else if (IsProbe) {
-    // Work that was granted before the ejection says nothing of the present.
+    // Only probes count: work granted before the ejection does not reflect the
+    // present speed.
     checkProbe(P, State, Slowness);
   }
 }
--- a/src/decision/straggler_func.h
+++ b/src/decision/straggler_func.h
@@ -1,4 +1,4 @@
-/// Upstreams that are slower than their peers.
+/// Detection of upstreams that are slower than their peers.
 #ifndef CROWSTEP_DECISION_STRAGGLER_FUNC_H
 #define CROWSTEP_DECISION_STRAGGLER_FUNC_H
 
@@ -6,26 +6,30 @@
 
 namespace crowstep::decision {
 
-/// A measured time against the mean of its class, both in seconds.
+/// A measured time and the mean of its class, both in seconds.
 struct SpeedSample {
-  double m_Seconds;   ///< Measured.
-  double m_Mean;      ///< Of the class; 0: unknown.
-  double m_MinExcess; ///< Below this above the mean nothing is slow.
+  double m_Seconds; ///< Measured.
+  double m_Mean;    ///< Of the class; 0: unknown.
+  /// Times that exceed the mean by less than this do not count as slow.
+  double m_MinExcess;
 };
 
-/// Judges \p Where by one more sample: ejects a straggler, or counts a probe.
+/// Records a sample of \p State: ejects it if it is a straggler, or evaluates a
+/// probe.
 void addSpeed(Pool &P, Serving &State, const SpeedSample &Sample, bool IsProbe);
 
-/// Ends a probe that brought no sample.
+/// Ends a probe, with or without a sample.
 void endProbe(Pool &P, Serving &State);
 
-/// Takes ejected upstreams back when the pool has shrunk below the ceiling.
+/// Restores ejected upstreams when the pool has shrunk so far that more than
+/// the allowed share is ejected.
 void reviewEjections(Pool &P);
 
-/// Returns an upstream's slowness against its peers' median; 1 while unknown.
+/// Returns an upstream's slowness relative to the median of its peers; 1 while
+/// unknown.
 double relativeSlowness(const Pool &P, const Serving &State);
 
-/// Tells whether a bid of \p Class may try the ejected \p Where now.
+/// Tells whether a bid of \p Class may probe the ejected upstream now.
 bool mayProbe(const Serving &State, const ClassState &Class, TimePoint Now);
 
 } // namespace crowstep::decision
--- a/src/decision/token_bucket.cpp
+++ b/src/decision/token_bucket.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr double PerCent = 0.01;
-/// Absorbs the rounding of seconds, so that the time named by until() is
-/// enough; a millionth of a request.
+/// Absorbs rounding of seconds, so that the time returned by timeUntil()
+/// suffices; a millionth of a request.
 constexpr double Rounding = 1e-6;
 
 } // namespace
--- a/src/decision/token_bucket.h
+++ b/src/decision/token_bucket.h
@@ -1,4 +1,4 @@
-/// Rate limits of the table: token buckets and retry budgets.
+/// Rate limits of the operators' table: token buckets and retry budgets.
 #ifndef CROWSTEP_DECISION_TOKEN_BUCKET_H
 #define CROWSTEP_DECISION_TOKEN_BUCKET_H
 
@@ -8,21 +8,22 @@
 
 namespace crowstep::decision {
 
-/// A limit a second. A rate of 0 is no limit. The level may fall below zero
-/// when work took more than was reserved; later work pays for it.
+/// A limit per second; a rate of 0 means no limit. The level becomes negative
+/// when work took more than was reserved; later work waits for it to recover.
 class TokenBucket {
 public:
-  /// Takes over a rate from the table. The level stays, so that a change of an
-  /// unrelated cell doesn't hand out a second burst.
+  /// Sets the rate. The level is kept, so that a change of an unrelated cell of
+  /// the table does not allow a second burst.
   void setRate(std::uint32_t PerSecond, TimePoint Now);
 
-  /// Tells whether \p Amount, or as much as the bucket can ever hold, is there.
+  /// Tells whether \p Amount, or a full bucket if that is less, is available.
   [[nodiscard]] bool has(double Amount, TimePoint Now) const;
 
-  /// Takes \p Amount, also when it isn't there; negative amounts give back.
+  /// Takes \p Amount, also if it is not available. A negative amount is
+  /// returned to the bucket.
   void take(double Amount, TimePoint Now);
 
-  /// Returns how long it takes until has(\p Amount).
+  /// Returns the time until canTake(\p Amount).
   [[nodiscard]] Duration until(double Amount, TimePoint Now) const;
 
 private:
@@ -31,19 +32,19 @@
 
   double m_PerSecond = 0.0; ///< 0: no limit.
   double m_Level = 0.0;     ///< As of m_At; at most capacity().
-  TimePoint m_At;           ///< When m_Level was true.
+  TimePoint m_At;           ///< Time of m_Level.
 };
 
-/// Retries allowed as a share of first attempts.
+/// Budget of retries, as a percentage of first attempts.
 class RetryBudget {
 public:
   RetryBudget();
   void earn(std::uint32_t Percent);
-  /// Takes one retry; returns false when the budget is used up.
+  /// Takes one retry; returns false if the budget is used up.
   [[nodiscard]] bool spend();
 
 private:
-  double m_Level; ///< Retries left, 0 to tuning::RetryBurst.
+  double m_Level; ///< Retries available, 0 to tuning::RetryBurst.
 };
 
 } // namespace crowstep::decision
--- a/src/decision/tuning.h
+++ b/src/decision/tuning.h
@@ -1,7 +1,8 @@
-/// Figures that shape the decisions but are no part of the operators' table.
+/// Parameters of the decisions that are not part of the operators' table.
 ///
-/// They stand in one place so that an experiment changes one line; each says
-/// what gets worse when it is set too low or too high.
+/// They are kept in one place, so that an experiment changes one line. Where it
+/// matters, the comment says what gets worse when a value is too low or too
+/// high.
 #ifndef CROWSTEP_DECISION_TUNING_H
 #define CROWSTEP_DECISION_TUNING_H
 
@@ -16,144 +17,157 @@
 
 // ---- Limits and retries -----------------------------------------------------
 
-/// Seconds of a rate that may come at once; low refuses ordinary jitter.
+/// Seconds' worth of a rate that may arrive at once. Too low, ordinary jitter
+/// is refused.
 inline constexpr double BurstSeconds = 1.0;
-/// Retries a class may make at once; about one engine's batch, so that the
-/// work of one crashed engine can be repeated.
+/// Retries that a class may make at once; about one engine's batch, so that the
+/// work of one crashed engine can be retried.
 inline constexpr double RetryBurst = 20.0;
-/// How long a request whose attempt ended by our doing may bid again free of
-/// limits and budgets.
+/// Time for which a request that the pool took its slot from may bid again
+/// without limits and budgets.
 inline constexpr Duration ReturnWindow = 10s;
-/// Bids that one pool holds; beyond it lower tiers give up their places.
+/// Bids that one pool holds; beyond this lower tiers are displaced.
 inline constexpr std::size_t MaxWaiting = 200'000;
 
 // ---- Learned lengths and times ----------------------------------------------
 
-/// Quantile of the output length that is charged before the true one is known.
+/// Quantile of the output length that is charged before the length is known.
 inline constexpr double LengthQuantile = 0.7;
-/// Quantile of grant-to-first-token that must still fit before a target.
+/// Quantile of the time from grant to first token that must remain before a
+/// target.
 inline constexpr double FirstTokenQuantile = 0.9;
-/// Samples that a histogram holds before their weight is halved.
+/// Samples in a histogram after which all weights are halved.
 inline constexpr double HistogramWindow = 256.0;
-/// Samples before a workspace's own lengths are believed over its class's.
+/// Samples from which a workspace's own lengths are used instead of its
+/// class's.
 inline constexpr std::uint32_t MinSamples = 8;
-/// Output tokens assumed while a class has no samples.
+/// Output tokens assumed without samples.
 inline constexpr std::uint32_t UnknownLength = 128;
-/// Share of a new sample in a learned mean.
+/// Weight of a new sample in a moving average.
 inline constexpr double MeanGain = 0.1;
-/// The same for the time that a slot is held, which varies widely; a higher one
-/// makes estimated waits jump with every long answer.
+/// The same for the time for which a slot is held, which varies widely; a
+/// higher gain makes estimated waits jump with every long answer.
 inline constexpr double ServiceGain = 0.01;
-/// Time over which arrival rates are averaged.
+/// Time constant of the arrival rates.
 inline constexpr double OfferedSeconds = 30.0;
+/// Time for which the computed offered load is reused.
 inline constexpr Duration OfferedLifetime = 20ms;
-/// Cost of a prompt token against a generated one; prompts are read at once.
+/// Cost of a prompt token relative to a generated one; a prompt is processed in
+/// parallel.
 inline constexpr double PromptTokenCost = 0.1;
 
 // ---- Refusals ---------------------------------------------------------------
 
-/// Bounds of the time to come back that a refusal names.
+/// Bounds of the retry delay stated in a refusal.
 inline constexpr Duration MinRetryAfter = 100ms;
 inline constexpr Duration MaxRetryAfter = 60s;
-/// Named when nothing is known of when an upstream comes back.
+/// Retry delay when there is no upstream, or the retry budget is used up.
 inline constexpr Duration NoUpstreamRetryAfter = 1s;
-/// Times an estimated wait that must fit before a target, where the wait can't
-/// go on beyond it: what is admitted in overload is then served in time, and
+/// Factor on an estimated wait that must fit before the target, where a bid
+/// can't wait longer. Under overload what is admitted is then served in time,
 /// with slack for a floor slot.
 inline constexpr double WaitSafety = 2.0;
-/// Slots that arrivals ask for, against those there are, from which a pool is
-/// overloaded: some bids are refused whatever is done. Lower takes chance for
-/// overload, and refuses or gives away slots that bids could have used.
+/// Ratio of offered load to slots from which a pool counts as overloaded: some
+/// bids must be refused. Lower values mistake random peaks for overload, and
+/// refuse bids or give away slots that bids could have used.
 inline constexpr double Overload = 1.1;
-/// Share of a pool that is left to a queue while more arrives than is served:
-/// short of overload, and in it, where waiting is hopeless.
+/// Least share of a pool that serves a queue while more arrives than is served:
+/// short of overload, and under overload, where waiting is hopeless.
 inline constexpr double BusyDrainShare = 0.1;
 inline constexpr double OverloadDrainShare = 0.02;
 
 // ---- Floor and preemption ---------------------------------------------------
 
-/// Longest time for which an unserved floor share is owed.
+/// Longest time for which a floor deficit accumulates.
 inline constexpr double FloorSeconds = 60.0;
-/// Share above the floor that a class may have ahead of more urgent bids while
-/// it is this far behind: without it what preemption took would stay unserved.
+/// Share above its floor that a class may use ahead of more urgent bids when it
+/// is FloorCatchUpSeconds behind; without it, slots lost to preemption would
+/// never be made up for.
 inline constexpr double FloorCatchUp = 1.0;
 inline constexpr double FloorCatchUpSeconds = 10.0;
-/// Slack that a more urgent bid must keep when a floor slot is given.
+/// Slack that a more urgent bid must keep when a floor slot is granted.
 inline constexpr Duration FloorMargin = 50ms;
-/// No floor slot is given for this long after a preemption; else one slot
-/// would be given and taken back in turns, and each turn reads the prompt.
+/// No floor slot is granted for this long after a preemption; otherwise one
+/// slot would be granted and preempted in turns, with a prefill each time.
 inline constexpr Duration FloorPause = 200ms;
-/// Share of the slots expected to come free that is relied on before work
-/// beyond its class's floor is stopped. Lower stops work that needn't be;
-/// higher lets queues of urgent bids grow that can't be caught up with.
+/// Share of the expected slot releases that is relied on before work beyond its
+/// class's floor is stopped. Lower values stop work needlessly; higher ones let
+/// queues of urgent bids grow too long to be caught up with.
 inline constexpr double PreemptTrust = 0.4;
-/// The same before work within a floor is stopped, or a floor slot is given
-/// ahead of more urgent bids. Equal, so that what is given isn't taken back.
+/// The same before work within its floor is stopped, and before a floor slot is
+/// granted ahead of more urgent bids. Both use one value, so that a slot
+/// granted this way is not preempted at once.
 inline constexpr double FloorTrust = 0.8;
-/// Time from an order to stop until the slot is free, before it is learned.
+/// Time from an order to stop until the slot is free, until it is measured.
 inline constexpr Duration FirstPreemptDelay = 50ms;
-/// Added to the learned delay: the two messages and the loop's jitter.
+/// Added to the measured delay for the two messages and the event loop's
+/// jitter.
 inline constexpr Duration PreemptMargin = 30ms;
-/// An order to stop that was not followed by then is given again.
+/// After this long, work that did not obey an order to stop is preemptible
+/// again.
 inline constexpr Duration PreemptPatience = 2s;
-/// Preemptions after which a request is stopped only when nothing else is.
+/// Preemptions from which a request is stopped only as a last resort.
 inline constexpr std::uint8_t PreemptionsBeforeLast = 3;
-/// Victims looked at in one class, and preemptions in one event.
+/// Running requests examined in one class, and preemptions per event.
 inline constexpr unsigned MaxVictimScan = 32;
 inline constexpr unsigned MaxPreemptionsAtOnce = 16;
-/// Flows of a class looked at when the first one's bid avoids the free slot.
+/// Flows of a lane examined when the bids of earlier ones avoid the only free
+/// upstream.
 inline constexpr unsigned MaxFlowScan = 4;
 
 // ---- Grants -----------------------------------------------------------------
 
-/// A grant without any sign of use is freed this long after it lapsed.
+/// A grant without a sign of use is freed this long after its validity ended.
 inline constexpr Duration UnusedGrantMargin = 1s;
-/// Times the learned first-token quantile that a used grant may stay silent.
+/// Factor on the first-token quantile for which a grant in use may be silent.
 inline constexpr int SilentFirstTokens = 4;
 
 // ---- Placement --------------------------------------------------------------
 
-/// What a whole prefix match is worth, as a share of a batch: an upstream that
-/// is busier by more than this doesn't get the bid for it.
+/// Value of a full prefix match as a share of an upstream's slots: an upstream
+/// that is busier by more than this does not get the bid.
 inline constexpr double AffinityWeight = 0.3;
-/// Weight of being in another zone: breaks ties between equal loads only.
+/// Cost of another availability zone: breaks ties between equal loads only.
 inline constexpr double OtherZoneCost = 0.02;
-/// Prefix hints that a pool holds, and upstreams remembered for each.
+/// Prefixes with hints that a pool keeps.
 inline constexpr std::size_t MaxPrefixes = 65'536;
-/// A report is believed for this long.
+/// Age up to which a load report counts.
 inline constexpr Duration ReportLifetime = 5s;
-/// Own load is compared with a report at its highest over this long, because
-/// a report's age is only known to be at least what it says.
+/// A load report is compared with the pool's own highest load over this time,
+/// because a report states only its least age.
 inline constexpr Duration OwnLoadWindow = 5s;
-/// An upstream that said that it is leaving is believed again when its reports
-/// have denied it for this long.
+/// An upstream that was last reported to be draining this long ago may count as
+/// available again. Also the silence after which a lower report number means a
+/// new incarnation.
 inline constexpr Duration LeavingMemory = 10s;
 
 // ---- Stragglers and failures ------------------------------------------------
 
-/// Times the peers' median at which an upstream is a straggler.
+/// Multiple of the peers' median slowness from which an upstream is a
+/// straggler.
 inline constexpr double StragglerFactor = 3.0;
-/// Times the median at which a probe counts as good.
+/// Multiple of the median up to which a probe is good.
 inline constexpr double RecoveredFactor = 1.7;
-/// Difference from the median below which nobody is a straggler.
+/// Differences from the mean below these are never slow.
 inline constexpr double StragglerMinTokenSeconds = 0.005;
 inline constexpr double StragglerMinFirstTokenSeconds = 0.05;
-/// Samples before an upstream is judged, and good probes before it is back.
+/// Samples before an upstream is judged, and good probes before it is restored.
 inline constexpr std::uint32_t StragglerSamples = 5;
 inline constexpr std::uint32_t GoodProbes = 2;
-/// Share of a new sample in an upstream's speed.
+/// Weight of a new sample in an upstream's slowness.
 inline constexpr double SpeedGain = 0.25;
-/// Output tokens below which a call says nothing of the time a token.
+/// Calls with fewer output tokens yield no sample of the time per token.
 inline constexpr std::uint32_t MinSpeedTokens = 8;
-/// Pause between probes; doubled after each bad one.
+/// Interval between probes; doubled after each bad one.
 inline constexpr Duration FirstProbePause = 2s;
 inline constexpr Duration MaxProbePause = 16s;
-/// After this long without a probe any class's bid may be one.
+/// After this long without a probe, bids of any class may probe.
 inline constexpr Duration ProbeByAnyAfter = 10s;
-/// Pause after a connection failed; doubled while failures go on.
+/// Pause after a failed connection; doubled with each further failure.
 inline constexpr Duration FirstBackoff = 500ms;
 inline constexpr Duration MaxBackoff = 8s;
-/// Answers in a row that an upstream may break off before it is paused.
+/// Consecutive failed calls before an upstream is paused; a failed connection
+/// pauses it at once.
 inline constexpr std::uint32_t FailuresBeforeBackoff = 2;
 
 } // namespace crowstep::decision::tuning
--- a/src/decision/work.cpp
+++ b/src/decision/work.cpp
@@ -1,4 +1,4 @@
-/// Grants, ends, and the accounts that they change.
+/// Grants and ends of work, and the accounts that they change.
 #include "decision/work_func.h"
 
 #include "decision/floor_func.h"
@@ -12,8 +12,8 @@
 
 constexpr double MillisecondsPerSecond = 1000.0;
 
-/// How much stopping it wastes: work that can't be resumed, and work that was
-/// stopped often before, is stopped last.
+/// Returns the cost of stopping the work: work that can't be resumed, and work
+/// that was stopped often, is stopped last.
 std::uint8_t wasteRank(const Request &Work, const Serving &State) {
   const int Preempted =
       Work.m_Preemptions >= tuning::PreemptionsBeforeLast ? 2 : 0;
@@ -31,9 +31,10 @@
   const ClassState &Class = *Work.m_Class;
   const Duration Unused =
       P.m_Config.m_GrantValidity + tuning::UnusedGrantMargin;
-  // Silence may also be a long prefill or a slow plain call. Freeing its slot
-  // too early would overfill the upstream, so a grant that may be in use gets
-  // several times the usual first-token time, or the whole limit if unknown.
+  // A silent grant may also be in a long prefill, or a slow call of a plain
+  // service. Freeing its slot too early would overload the upstream, so it gets
+  // several times the usual time to the first token, or the whole limit if that
+  // time is unknown.
   if (Class.m_FirstTokens.count() < tuning::MinSamples)
     return Unused + Class.m_Contract.m_TotalLimit;
   return Unused +
@@ -89,7 +90,7 @@
   --P.m_Running;
 }
 
-/// Replaces what was reserved and charged for the work by what it took.
+/// Replaces the reserved and charged tokens by those generated.
 void settle(Pool &P, Request &Work, std::uint32_t Tokens) {
   ClassState &Class = *Work.m_Class;
   const double Taken = static_cast<double>(Tokens);
@@ -105,7 +106,8 @@
 void learnLengths(Pool &P, const Request &Work, std::uint32_t Tokens) {
   if (Tokens == 0)
     return;
-  // Samples are whole answers, so that a resumed rest counts as no short one.
+  // Samples are whole answers, so that the rest of a resumed one does not count
+  // as a short answer.
   const double Whole = static_cast<double>(Tokens + Work.m_Bid.m_DoneTokens);
   Work.m_Class->m_Lengths.add(Whole);
   Work.m_Class->useOf(Work.m_Bid.m_Workspace, P.m_Now).m_Lengths.add(Whole);
@@ -116,7 +118,7 @@
   const double Seconds = toSeconds(End.m_Elapsed);
   Class.m_Service.add(Seconds);
   if (!Work.m_SawToken) {
-    // A plain service's answer is its first token.
+    // The answer of a plain service counts as its first token.
     noteFirstToken(P, Work, End.m_Elapsed);
   }
   if (End.m_Tokens < tuning::MinSpeedTokens)
@@ -153,8 +155,8 @@
   }
 }
 
-/// Tells whether the attempt ended by our doing, so that bidding again is no
-/// retry of the caller's.
+/// Tells whether the attempt ended without fault of the caller or the upstream,
+/// so that the next bid is not a retry and is exempt from limits.
 bool isExemptEnd(WorkEnd End) {
   return End == WorkEnd::Preempted || End == WorkEnd::UpstreamLeaving ||
          End == WorkEnd::Unused;
--- a/src/decision/work_func.h
+++ b/src/decision/work_func.h
@@ -1,4 +1,4 @@
-/// Work from its grant to its end, and what is learned from it.
+/// Granted work: grant, first token, end, and the statistics it yields.
 #ifndef CROWSTEP_DECISION_WORK_FUNC_H
 #define CROWSTEP_DECISION_WORK_FUNC_H
 
@@ -6,37 +6,37 @@
 
 namespace crowstep::decision {
 
-/// Returns the output tokens that \p For is expected still to take.
+/// Returns the output tokens that \p NewBid is expected to need still.
 std::uint32_t expectedTokens(ClassState &Class, const Bid &NewBid,
                              TimePoint Now);
 
-/// Gives \p Where's slot to a waiting request and says so.
+/// Grants a slot of \p State to a waiting request.
 void grant(Pool &P, Request &Waiting, Serving &State);
 
-/// Says again where a granted request runs.
+/// Repeats the grant of a running request.
 void grantAgain(Pool &P, Request &Granted);
 
-/// Counts a request as running at \p Where without a grant of ours.
+/// Counts a request that an earlier owner granted as running at \p State.
 void adopt(Pool &P, Request &Running, Serving &State);
 
-/// Notes that a granted request's first token came.
+/// Records the first token of a granted request.
 void noteFirstToken(Pool &P, Request &Granted, Duration Latency);
 
-/// Takes in how granted work ended, frees its slot and forgets the request,
-/// or keeps it as returning.
+/// Handles the end of granted work: frees its slot and forgets the request, or
+/// keeps it in state AwaitingRebid.
 void finish(Pool &P, Request &Granted, const WorkEnded &End);
 
-/// Frees the slot of work of which no end was reported, and forgets it.
+/// Frees the slot of work whose end was not reported, and forgets it.
 void abandon(Pool &P, Request &Granted);
 
-/// Takes a waiting request out of the queue and forgets it.
+/// Removes a waiting request from the queue and forgets it.
 void dropWaiting(Pool &P, Request &Waiting);
 
-/// Takes a waiting request out of the queue, refuses and forgets it.
+/// Removes a waiting request from the queue, refuses it and forgets it.
 void refuseWaiting(Pool &P, Request &Waiting, RefusalReason Reason,
                    Duration RetryAfter);
 
-/// Says that \p Id is refused.
+/// Emits the refusal of \p Id.
 void refuse(Pool &P, const RequestId &Id, RefusalReason Reason,
             Duration RetryAfter);
 
--- a/tests/benchmark/decision_benchmark.cpp
+++ b/tests/benchmark/decision_benchmark.cpp
@@ -1,6 +1,6 @@
-/// Time of a decision and memory of a waiting request, against the number of
-/// waiting requests: 16 engines of 16 slots, 12 classes in 6 tiers, 220
-/// workspaces. docs/DECIDER.md has the figures and the command.
+/// Time per decision and memory per waiting request by the number of waiting
+/// requests, with 16 engines of 16 slots, 12 classes in 6 tiers and 220
+/// workspaces. docs/DECIDER.md has results and the command.
 #include "decision/decider.h"
 
 #include <benchmark/benchmark.h>
@@ -23,7 +23,7 @@
 constexpr unsigned Workspaces = 220;
 constexpr auto LongestWait = std::chrono::hours(10);
 
-/// A pool that is full, with bids waiting.
+/// A full pool with waiting bids.
 class FullPool {
 public:
   explicit FullPool(std::size_t Waiting) : m_Decider(DeciderConfig{}) {
@@ -44,7 +44,8 @@
       bid();
     m_BytesPerBid = static_cast<double>(mallinfo2().uordblks - Before) /
                     static_cast<double>(Waiting);
-    // Service times and lengths are learned before anything is measured.
+    // Lets the pool learn service times and output lengths before the
+    // measurement.
     for (int I = 0; I < 2000; ++I) {
       end();
       bid();
@@ -66,7 +67,7 @@
     send(NewBid);
   }
 
-  /// Ends the oldest work; its slot goes to a waiting bid.
+  /// Ends the oldest running request; its slot goes to a waiting bid.
   void end() {
     const Grant Oldest = m_Running.front();
     m_Running.pop_front();
@@ -102,14 +103,14 @@
     return Row;
   }
 
-  Decider m_Decider;                     ///< Measured.
-  TimePoint m_Now{1s};                   ///< Moves on with each event.
+  Decider m_Decider;                     ///< Under test.
+  TimePoint m_Now{1s};                   ///< Advances with each event.
   std::vector<Action> m_Actions;         ///< Of the last event.
   std::deque<Grant> m_Running;           ///< The oldest first.
   std::mt19937 m_Random{20261202};       ///< Fixed seed.
   std::uint64_t m_Number = 0;            ///< Of the last request.
-  std::chrono::nanoseconds m_Duration{}; ///< By the last event.
-  double m_BytesPerBid = 0.0;            ///< Heap for each waiting request.
+  std::chrono::nanoseconds m_Duration{}; ///< Of the last event.
+  double m_BytesPerBid = 0.0;            ///< Heap memory per waiting request.
 };
 
 void report(benchmark::State &State, std::vector<std::int64_t> &Durations) {
@@ -124,7 +125,7 @@
   State.counters["p99_ns"] = At(0.99);
 }
 
-/// Work ends and the best waiting bid is granted its slot.
+/// A request ends and the best waiting bid is granted its slot.
 void grantNext(benchmark::State &State) {
   FullPool Pool(static_cast<std::size_t>(State.range(0)));
   std::vector<std::int64_t> Durations;
--- a/tests/unit/decision_basic_test.cpp
+++ b/tests/unit/decision_basic_test.cpp
@@ -1,4 +1,5 @@
-/// The Decider's smallest promises: slots, order of tiers, one answer a bid.
+/// Basic guarantees of the Decider: use of slots, order of tiers, one answer
+/// per bid.
 #define BOOST_TEST_MODULE decision_basic
 #include "decision/decider.h"
 
@@ -42,7 +43,7 @@
     return NewBid;
   }
 
-  ManualClock m_Clock;                ///< Stands still.
+  ManualClock m_Clock;                ///< Advanced by the tests only.
   Decider m_Decider{DeciderConfig{}}; ///< Under test.
 };
 
--- a/tests/unit/decision_fleet_test.cpp
+++ b/tests/unit/decision_fleet_test.cpp
@@ -1,5 +1,5 @@
-/// Upstreams that are slow, leaving, failing, or that report late; and owners
-/// of a pool that are new.
+/// Upstreams that are slow, draining or failing, or that report late; and new
+/// owners of a pool.
 #define BOOST_TEST_MODULE decision_fleet
 #include "decision_world.h"
 
@@ -48,8 +48,8 @@
 
 } // namespace
 
-// Reports come 2 s late. One that tells of our own grants must not be counted
-// on top of them, an older one must not come after a newer one, and load that
+// Load reports arrive 2 s late. The pool's own grants in them must not be
+// counted twice, an older report must not replace a newer one, and load that
 // others put on the upstream must count.
 BOOST_AUTO_TEST_CASE(LateReportsNeitherUndoNorDoubleOwnGrants) {
   FourEngines Sim;
@@ -69,9 +69,9 @@
   BOOST_TEST(Sim.m_Waiting.empty());
 }
 
-// One engine runs at a tenth of its speed. It is found against its peers, gets
-// probes only, and comes back when it is well; a second one stays, as the
-// ceiling allows one of four.
+// One engine runs at a tenth of its speed. It is detected by comparison with
+// its peers, gets only probes, and is restored once it has recovered. A second
+// slow one is not ejected, as at most one of four may be.
 BOOST_AUTO_TEST_CASE(StragglerIsEjectedProbedAndTakenBack) {
   FourEngines Sim;
   Sim.m_Slow[UpstreamId(2)] = 10;
@@ -87,9 +87,9 @@
   BOOST_TEST(Sim.m_Ejected.empty());
 }
 
-// An engine refuses a call because it is leaving, while the list goes on to
-// name it and a report from before still denies it. World fails the test when
-// it is granted anything again.
+// An engine answers that it is draining while the list still contains it, and
+// an earlier report denies it. The simulation fails the test if it is granted
+// anything again.
 BOOST_AUTO_TEST_CASE(LeavingUpstreamGetsNothingWhateverTheListSays) {
   FourEngines Sim;
   const RequestId First = Sim.ask(1, 1, 1s);
@@ -104,8 +104,8 @@
   BOOST_TEST(Sim.m_Outcomes[First].m_Finished);
 }
 
-// An engine has crashed and the list still names it. It looks idle, so every
-// bid would go there first; it must be paused after a failed connection.
+// A crashed engine is still listed. It looks idle, so every bid would go there
+// first; it must be paused after a failed connection.
 BOOST_AUTO_TEST_CASE(CrashedUpstreamDrawsNoTraffic) {
   FourEngines Sim;
   Sim.m_Failing.insert(UpstreamId(4));
@@ -119,9 +119,9 @@
     BOOST_TEST(!Result.m_Refused);
 }
 
-// Prompts share a prefix: they follow it while its engine is about as free as
-// others, not beyond; and after a gap in the events the hint is dropped, as one
-// of the lost ones may have been an eviction.
+// Prompts with a shared prefix go to the engine that holds it while that is
+// about as free as the others, not beyond. After a gap in the cache events the
+// hint is dropped, as a lost event may have been an eviction.
 BOOST_AUTO_TEST_CASE(PrefixHintsAreFollowedWithinBoundsAndDroppedOnAGap) {
   for (const bool HasGap : {false, true}) {
     FourEngines Sim(8);
@@ -145,8 +145,9 @@
   }
 }
 
-// A dispatcher takes over while work runs. In its rebuild window it grants
-// nothing; what entries tell it then counts, so that no engine is overfilled.
+// A dispatcher takes over while work runs. It grants nothing within its rebuild
+// window, and then counts the work that entries reported, so that no engine is
+// overloaded.
 BOOST_AUTO_TEST_CASE(NewOwnerHearsFirstWhatRuns) {
   DeciderConfig Config;
   Config.m_RebuildWindow = 1s;
@@ -166,8 +167,8 @@
   BOOST_TEST(Sim.m_Running.size() == 4U);
 }
 
-// An entry falls silent after a grant and nobody says so. The slot must not
-// stay taken for ever, and a lost entry's slots come back at once.
+// An entry becomes silent after a grant, and its loss is not reported. The slot
+// must be freed after some time.
 BOOST_AUTO_TEST_CASE(SilentGrantLapses) {
   FourEngines Sim(1);
   Sim.m_FirstTokenTime = 1h;
--- a/tests/unit/decision_limits_test.cpp
+++ b/tests/unit/decision_limits_test.cpp
@@ -1,4 +1,4 @@
-/// Limits of the table, retry budgets and learned lengths.
+/// Limits of the operators' table, retry budgets and estimated output lengths.
 #define BOOST_TEST_MODULE decision_limits
 #include "decision/learned.h"
 #include "decision_world.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// One class on one large engine.
+/// One class on one large engine and one of a single slot.
 struct OneClass : World {
   explicit OneClass(const std::function<void(Contract &)> &Change,
                     std::uint32_t Slots = 1000) {
@@ -43,7 +43,8 @@
       continue;
     }
     RC_ASSERT(Sim.refused(Id) == RefusalReason::WorkspaceRate);
-    // Another workspace is not concerned, and coming back when told helps.
+    // Other workspaces are not affected, and a retry after the stated delay
+    // succeeds.
     RC_ASSERT(!Sim.refused(Sim.ask(1, 2 + Admitted.size(), 1ms)));
     Sim.advance(Sim.m_Outcomes[Id].m_RetryAfter);
     RC_ASSERT(!Sim.refused(Sim.ask(1, 1, 1ms)));
@@ -55,8 +56,8 @@
                 Rate * toSeconds(Admitted[To] - Admitted[From]) + Rate + 1.01);
 }
 
-// Answers turn out ten times as long as learned. What they took beyond the
-// estimate is paid for by later bids, so the rate holds in the end.
+// Answers become ten times as long as estimated. Tokens beyond the estimate are
+// charged to later bids, so that the rate holds on average.
 BOOST_AUTO_TEST_CASE(TokensAreChargedAsGenerated) {
   OneClass Sim([](Contract &Row) { Row.m_MaxTokenRate = 500; });
   for (int I = 0; I < 1200; ++I) {
@@ -82,8 +83,8 @@
   BOOST_TEST(Length.value() < 1.5 * Usual);
 }
 
-// A flood fills the class's queue. A neighbour's bid must not be refused at its
-// door: the flood's last bid gives up its place.
+// One workspace fills the class's queue. A bid of another one must not be
+// refused on arrival: the last bid of the first gives up its place.
 BOOST_AUTO_TEST_CASE(FullQueueTakesFromTheLargestWorkspace) {
   OneClass Sim([](Contract &Row) { Row.m_MaxQueue = 10; }, 1);
   std::vector<RequestId> Flood;
@@ -97,8 +98,8 @@
   BOOST_TEST(Sim.m_Waiting.size() == 10U);
 }
 
-// Every attempt fails. Beyond the budget the upstreams must not be asked again
-// and again: retries end when the class's share is used up.
+// Every attempt fails. Retries must end when the class's budget is used up, so
+// that they do not overload the upstreams.
 BOOST_AUTO_TEST_CASE(RetriesEndWithTheBudget) {
   OneClass Sim([](Contract &Row) { Row.m_RetryPercent = 10; });
   Sim.m_OnGrant = [&Sim](const RequestId &Id) { Sim.end(Id, WorkEnd::Failed); };
@@ -113,8 +114,8 @@
   BOOST_TEST(Grants <= 500U + 50U + 20U);
 }
 
-// Preempted guides bid again, dozens of times. That is our doing, not theirs:
-// neither a retry budget of nothing nor a rate limit may refuse them.
+// Preempted work bids again, dozens of times. As the pool caused this, neither
+// a retry budget of zero nor a rate limit may refuse it.
 BOOST_AUTO_TEST_CASE(PreemptedWorkIsChargedForNoRetry) {
   World Sim;
   Contract Batch = row(3, 5, 20s, 90s, true);
--- a/tests/unit/decision_order_test.cpp
+++ b/tests/unit/decision_order_test.cpp
@@ -1,8 +1,8 @@
 /// Order of service under load: tiers, floors, workspaces, late bids.
 ///
-/// What callers see: pass checks are in time whatever else is asked for; long
-/// work goes on at its floor; a neighbour's flood changes nothing for a small
-/// workspace. Arrivals are random with a fixed seed; World checks each action.
+/// Urgent requests are in time whatever else is submitted, long work continues
+/// at its floor, and a flood of one workspace does not affect a small one.
+/// Arrivals are random with a fixed seed; the simulation checks each action.
 #define BOOST_TEST_MODULE decision_order
 #include "decision_world.h"
 
@@ -26,13 +26,14 @@
 
 /// One stream of arrivals.
 struct Stream {
-  std::uint16_t m_Class;     ///< Asked for.
-  std::uint32_t m_Workspace; ///< By whom.
-  double m_Rate;             ///< A second.
-  double m_Service;          ///< Mean seconds of service.
+  std::uint16_t m_Class;     ///< Class of the requests.
+  std::uint32_t m_Workspace; ///< Their workspace.
+  double m_Rate;             ///< Requests per second.
+  double m_Service;          ///< Mean service time in seconds.
 };
 
-/// 16 slots; urgent work, intakes, and guides with a floor of 1.6 slots.
+/// 16 slots; urgent, interactive and batch work, the last with a floor of 1.6
+/// slots.
 struct LoadedPool : World {
   explicit LoadedPool(PolicyKind Policy = PolicyKind::Crowstep)
       : World({Policy}) {
@@ -73,7 +74,8 @@
     advance(Until - m_Clock.now());
   }
 
-  /// Share of targets met by \p Class, of one workspace or (0) of all.
+  /// Returns the share of first-token targets met by \p Class, of one workspace
+  /// or, if 0, of all.
   [[nodiscard]] double targetsMet(std::uint16_t Class,
                                   std::uint32_t Workspace = 0) {
     double Total = 0;
@@ -88,7 +90,7 @@
     return MetCount / Total;
   }
 
-  /// Least mean of guides' slots over any 60 s.
+  /// Returns the least mean of the batch class's slots over any 60 s.
   [[nodiscard]] double minBatchSlots() const {
     constexpr std::ptrdiff_t Window = 240;
     double Minimum = Engines * Slots;
@@ -105,9 +107,9 @@
 
 } // namespace
 
-// A guide flood fills the pool; then pass checks arrive at two thirds of its
-// slots. Each must find a slot in time, taken back from a guide if need be, and
-// guides must still get their floor, as both together fit.
+// Batch work fills the pool; then urgent requests arrive at two thirds of its
+// capacity. Each must get a slot in time, by preemption if need be, and batch
+// work must still get its floor, as both together fit.
 BOOST_AUTO_TEST_CASE(UrgentWorkIsInTimeUnderAFloodOfGuides) {
   LoadedPool Sim;
   Sim.run({{Urgent, 1, 40, 0.25}, {Batch, 1, 2, 8}}, 150);
@@ -115,9 +117,9 @@
   BOOST_TEST(Sim.minBatchSlots() >= 1.6);
 }
 
-// Pass checks come at one and a half times what the pool serves, for minutes.
-// What is admitted keeps its target; the rest is refused; and guides go on at
-// their floor instead of being refused one and all at their limit.
+// Urgent requests arrive at one and a half times the pool's capacity, for
+// minutes. The admitted ones meet their targets and the rest is refused; batch
+// work continues at its floor instead of being refused at its limit.
 BOOST_AUTO_TEST_CASE(FloorHoldsWhileUrgentWorkOverloadsThePool) {
   LoadedPool Sim;
   Sim.run({{Urgent, 1, 90, 0.25}, {Batch, 1, 2, 8}}, 180);
@@ -133,9 +135,10 @@
   BOOST_TEST(Late <= 30U);
 }
 
-// Pass checks and intakes fill nine tenths of the pool, and guides wait in
-// numbers. Near saturation a slot given away is hardly caught up with, so the
-// floor must not stand against bids that all fit, and guides are stopped early.
+// Urgent and interactive work fills nine tenths of the pool, with much batch
+// work waiting. Near saturation a slot given away is hardly made up for, so the
+// floor must not take precedence over bids that all fit, and batch work is
+// preempted early.
 BOOST_AUTO_TEST_CASE(GuidesCostIntakesLittleNearSaturation) {
   const std::vector<Stream> Both = {{Urgent, 1, 30, 0.25}, {2, 2, 5, 1.25}};
   std::vector<Stream> WithBatch = Both;
@@ -148,15 +151,15 @@
   BOOST_TEST(Sim.targetsMet(2) >= Alone.targetsMet(2) - 0.05);
 }
 
-// One workspace asks for twice the pool; another for a quarter. The small one
-// must not wait behind the large one's queue.
+// One workspace submits twice the pool's capacity, another one a quarter. The
+// small one must not wait behind the queue of the large one.
 BOOST_AUTO_TEST_CASE(LargeWorkspaceHoldsUpNoSmallOne) {
   LoadedPool Sim;
   Sim.run({{2, 1, 30, 1}, {2, 2, 4, 1}}, 120);
   BOOST_TEST(Sim.targetsMet(2, 2) >= 0.98);
 }
 
-// A bus arrives: three times what the pool serves, for 30 s. Served by target
+// A burst of three times the pool's capacity for 30 s. If served by target
 // alone, each answer would come just too late.
 BOOST_AUTO_TEST_CASE(BurstIsServedInTimeUpToCapacityAndBeatsFirstComeFirst) {
   LoadedPool Sim;
@@ -169,8 +172,8 @@
   BOOST_TEST(Sim.targetsMet(Urgent) >= 1.3 * Baseline.targetsMet(Urgent));
 }
 
-// Of two guides the younger has generated less, and only one engine can resume
-// its work: the stopped one must be that which wastes least.
+// Three batch requests run, one of them on an engine that can't resume work.
+// Preemption must stop the younger of the other two, which has generated least.
 BOOST_AUTO_TEST_CASE(PreemptionStopsWhatWastesLeast) {
   World Sim;
   Sim.setTable({row(Urgent, 1, 200ms, 2s), row(Batch, 5, 10s, 90s, true)});
--- a/tests/unit/decision_property_test.cpp
+++ b/tests/unit/decision_property_test.cpp
@@ -1,8 +1,8 @@
 /// Random schedules of bids, ends, losses, faults and changes of the table.
 ///
-/// What callers see: each bid is answered once, urgent ones are never given up
-/// for lower ones, and no limit is exceeded, whatever comes when. World checks
-/// each action as it is made; the properties check the end.
+/// Each bid is answered once, urgent bids are never given up for less urgent
+/// ones, and no limit is exceeded, whatever the order of events. The simulation
+/// checks each action when it is made; the properties check the final state.
 #define BOOST_TEST_MODULE decision_property
 #include "decision_world.h"
 
@@ -40,7 +40,7 @@
   return Rows;
 }
 
-/// Plays one number of a schedule; each is one step of some kind.
+/// Executes a schedule: each number encodes one step.
 class SchedulePlayer {
 public:
   explicit SchedulePlayer(World &Sim) : m_Sim(Sim) {
@@ -130,7 +130,7 @@
     m_Sim.send(UpstreamDrained{Target, Drained});
   }
 
-  World &m_Sim; ///< Played on.
+  World &m_Sim; ///< Simulation that the schedule drives.
 };
 
 std::string toText(const Action &Logged) {
@@ -157,7 +157,7 @@
   SchedulePlayer Player(Sim);
   for (const std::uint32_t Code : *schedules())
     Player.play(Code);
-  // Bids that outlive their limit would be held only to delay their answer.
+  // A bid held beyond its limit would only delay its answer.
   for (const auto &[Id, Waiting] : Sim.m_Waiting)
     RC_ASSERT(Waiting.second > Sim.m_Clock.now());
   Sim.advance(200s);
--- a/tests/unit/decision_world.h
+++ b/tests/unit/decision_world.h
@@ -1,5 +1,5 @@
-/// A small world around a Decider: entries that obey it, upstreams that serve,
-/// and an oracle that checks every action against what it was told.
+/// A simulation around a Decider: entries that carry out its actions, upstreams
+/// that serve, and checks of every action against the events it was sent.
 #ifndef CROWSTEP_TESTS_UNIT_DECISION_WORLD_H
 #define CROWSTEP_TESTS_UNIT_DECISION_WORLD_H
 
@@ -15,7 +15,7 @@
 
 using namespace std::chrono_literals;
 
-/// The oracle's finding.
+/// Thrown when an action violates an invariant.
 class BrokenPromise : public std::logic_error {
 public:
   using std::logic_error::logic_error;
@@ -26,7 +26,7 @@
     throw BrokenPromise(Message);
 }
 
-/// A row that the tests change to their needs.
+/// A row of the table; tests change it as needed.
 inline Contract row(std::uint16_t Id, std::uint8_t Tier, Duration Target,
                     Duration Limit, bool Preemptible = false) {
   Contract NewRow;
@@ -50,17 +50,17 @@
       std::chrono::duration<double>(Seconds));
 }
 
-/// What became of a bid.
+/// Outcome of a bid.
 struct Outcome {
-  ClassId m_Class;                        ///< As asked.
+  ClassId m_Class;                        ///< As submitted.
   WorkspaceId m_Workspace;                ///< As asked.
-  TimePoint m_Asked;                      ///< First bid.
+  TimePoint m_Asked;                      ///< Time of the first bid.
   TimePoint m_Target;                     ///< Of the first token.
-  std::optional<TimePoint> m_First;       ///< First token.
+  std::optional<TimePoint> m_First;       ///< Time of the first token.
   std::optional<RefusalReason> m_Refused; ///< Final refusal.
-  Duration m_RetryAfter{};                ///< Of the refusal.
-  bool m_Finished = false;                ///< Whole answer.
-  unsigned m_Grants = 0;                  ///< First grants of its attempts.
+  Duration m_RetryAfter{};                ///< Stated in the refusal.
+  bool m_Finished = false;                ///< Got the whole answer.
+  unsigned m_Grants = 0;                  ///< Not counting repeated grants.
 };
 
 class World {
@@ -70,11 +70,12 @@
         m_IsBaseline(Config.m_Policy != PolicyKind::Crowstep) {}
 
   struct Work {
-    Bid m_Bid;                   ///< As sent.
-    UpstreamId m_Upstream;       ///< Where it runs.
-    TimePoint m_Since;           ///< Grant.
-    std::uint64_t m_Attempt = 0; ///< Tells its timers from others'.
-    bool m_Stopping = false;     ///< Ordered to stop.
+    Bid m_Bid;             ///< As sent.
+    UpstreamId m_Upstream; ///< Where it runs.
+    TimePoint m_Since;     ///< Time of the grant.
+    /// Distinguishes its timers from those of earlier attempts.
+    std::uint64_t m_Attempt = 0;
+    bool m_Stopping = false; ///< Ordered to stop.
   };
 
   void setTable(const std::vector<Contract> &Rows) {
@@ -95,7 +96,7 @@
     send(UpstreamsChanged{All});
   }
 
-  /// Sends a new bid; the answer takes \p Service once it runs.
+  /// Sends a new bid; once it runs, its answer takes \p Service.
   RequestId ask(std::uint16_t Class, std::uint32_t Workspace, Duration Service,
                 const std::function<void(Bid &)> &Change = {}) {
     Bid NewBid;
@@ -182,7 +183,7 @@
             "the Decider's running work differs from ours");
   }
 
-  /// Lets time pass, with all timers and ticks in order.
+  /// Advances the clock; timers and ticks run in order.
   void advance(Duration Step) {
     const TimePoint Until = m_Clock.now() + Step;
     for (;;) {
@@ -219,24 +220,28 @@
     return m_Rows.at(Class).m_Tier;
   }
 
-  ManualClock m_Clock;                             ///< The only time there is.
-  Decider m_Decider;                               ///< Under test.
-  bool m_IsBaseline;                               ///< Keeps no order of tiers.
-  std::map<ClassId, Contract> m_Rows;              ///< In force.
-  std::map<UpstreamId, Upstream> m_Upstreams;      ///< Listed.
-  std::map<UpstreamId, TimePoint> m_ListedLeaving; ///< Last time.
-  std::set<UpstreamId> m_Drained;                  ///< By operators.
-  std::set<UpstreamId> m_SaidLeaving;              ///< By their own refusals.
-  std::map<UpstreamId, double> m_Slow; ///< Times the usual; absent: 1.
-  std::set<UpstreamId> m_Ejected;      ///< As told by the Decider.
-  std::set<UpstreamId> m_Failing;      ///< Left out of the check for victims.
-  std::map<RequestId, std::pair<Bid, TimePoint>> m_Waiting; ///< And limits.
-  std::map<RequestId, Work> m_Running;              ///< Granted, not ended.
+  ManualClock m_Clock;                        ///< Source of all times.
+  Decider m_Decider;                          ///< Under test.
+  bool m_IsBaseline;                          ///< The policy ignores tiers.
+  std::map<ClassId, Contract> m_Rows;         ///< In force.
+  std::map<UpstreamId, Upstream> m_Upstreams; ///< Listed.
+  /// When last listed as draining.
+  std::map<UpstreamId, TimePoint> m_ListedLeaving;
+  std::set<UpstreamId> m_Drained;     ///< By operators.
+  std::set<UpstreamId> m_SaidLeaving; ///< By their own answers.
+  /// Factors on their times; 1 if absent.
+  std::map<UpstreamId, double> m_Slow;
+  std::set<UpstreamId> m_Ejected; ///< By the Decider's last action.
+  /// Excluded from the checks for preemptible work.
+  std::set<UpstreamId> m_Failing;
+  /// With the times of their limits.
+  std::map<RequestId, std::pair<Bid, TimePoint>> m_Waiting;
+  std::map<RequestId, Work> m_Running;              ///< Granted and not ended.
   std::map<RequestId, Outcome> m_Outcomes;          ///< Of all bids.
   std::map<ClassId, std::uint64_t> m_Tokens;        ///< Generated.
   std::vector<Action> m_Log;                        ///< All actions.
   Duration m_FirstTokenTime = 20ms;                 ///< After a grant.
-  Duration m_TokenTime = 10ms;                      ///< A token.
+  Duration m_TokenTime = 10ms;                      ///< Per token.
   Duration m_StopTime = 15ms;                       ///< After an order to stop.
   std::function<void(const RequestId &)> m_OnGrant; ///< May end it early.
 
@@ -348,9 +353,8 @@
     checkRefusal(Asked);
   }
 
-  /// Each slot that could be taken back from a lower tier must be outnumbered
-  /// by bids that would get it before the refused one. The baselines promise
-  /// no such thing.
+  /// Bids that would be served before the refused one must outnumber the slots
+  /// that could be preempted. The baselines do not guarantee this.
   void checkRefusal(const Bid &Refused) const {
     if (m_IsBaseline)
       return;
@@ -366,8 +370,8 @@
     checkFloors(Tier);
   }
 
-  /// Lower tiers may keep their floors, and while they are behind as much
-  /// again; what they hold beyond is stopped before an urgent bid is refused.
+  /// Lower tiers may keep their floors, and as much again while they are below
+  /// them; work beyond that is stopped before an urgent bid is refused.
   void checkFloors(std::uint8_t Tier) const {
     double Weights = 0;
     for (const auto &[Id, Row] : m_Rows)
@@ -391,14 +395,14 @@
            mayGetWork(Running.m_Upstream);
   }
 
-  /// No work of a tier below \p Tier may hold a slot that would serve.
+  /// No work of a tier below \p Tier may hold a slot that could be preempted.
   void checkNoVictim(std::uint8_t Tier, const std::string &Message) const {
     for (const auto &[Id, Running] : m_Running)
       promise(!isTakeable(Running, Tier), Message);
   }
 
-  /// A list that lags may name an upstream as leaving and then not; that is
-  /// not believed for 10 s.
+  /// A lagging list may report an upstream as draining and then not; the latter
+  /// is ignored for 10 s.
   [[nodiscard]] bool wasLeaving(UpstreamId Id) const {
     const auto At = m_ListedLeaving.find(Id);
     return At != m_ListedLeaving.end() && m_Clock.now() < At->second + 10s;
@@ -440,10 +444,10 @@
             "all upstreams ejected");
   }
 
-  std::uint64_t m_Next = 1;                ///< Request numbers.
+  std::uint64_t m_Next = 1;                ///< Number of the next request.
   std::uint64_t m_Version = 0;             ///< Of the table.
-  std::uint64_t m_Attempts = 0;            ///< Grants so far.
-  std::map<RequestId, Duration> m_Service; ///< Left to serve.
+  std::uint64_t m_Attempts = 0;            ///< Number of grants.
+  std::map<RequestId, Duration> m_Service; ///< Service time left.
   std::multimap<TimePoint, std::function<void()>> m_Timers; ///< By time.
 };
 
