--- a/src/decision/decision_error.h
+++ b/src/decision/decision_error.h
@@ -18,7 +18,8 @@
 /// An event's time lies before that of the previous event.
 class TimeWentBackError : public DecisionError {
 public:
-  TimeWentBackError() : DecisionError("the time handed in went back") {}
+  TimeWentBackError()
+      : DecisionError("event time lies before that of the previous event") {}
 };
 
 /// A table is older than the one in force.
@@ -26,7 +27,8 @@
 public:
   TableVersionError(std::uint64_t InForce, std::uint64_t Received)
       : DecisionError("table version " + std::to_string(Received) +
-                      " is lower than " + std::to_string(InForce)) {}
+                      " is older than version " + std::to_string(InForce) +
+                      " in force") {}
 };
 
 } // namespace crowstep::decision
--- a/tests/unit/decision_world.h
+++ b/tests/unit/decision_world.h
@@ -176,11 +176,12 @@
       std::visit([this](const auto &Actual) { obey(Actual); }, NextAction);
     m_Log.insert(m_Log.end(), Actions.begin(), Actions.end());
     const auto Next = m_Decider.nextDeadline();
-    promise(!Next || *Next > m_Clock.now(), "a deadline lies in the past");
+    promise(!Next || *Next > m_Clock.now(),
+            "the next deadline is not in the future");
     promise(m_Decider.stats().m_Waiting == m_Waiting.size(),
             "the Decider's queue differs from the unanswered bids");
     promise(m_Decider.stats().m_Running == m_Running.size(),
-            "the Decider's running work differs from ours");
+            "the Decider's running work differs from the simulation's");
   }
 
   /// Advances the clock; timers and ticks run in order.
@@ -250,11 +251,11 @@
     if (const auto Again = m_Running.find(Granted.m_Request);
         Again != m_Running.end()) {
       promise(Again->second.m_Upstream == Granted.m_Upstream,
-              "granted again elsewhere");
+              "repeated grant names another upstream");
       return;
     }
     const auto It = m_Waiting.find(Granted.m_Request);
-    promise(It != m_Waiting.end(), "grant for a bid that doesn't wait");
+    promise(It != m_Waiting.end(), "grant of a bid that is not waiting");
     checkUpstream(Granted.m_Upstream);
     const Bid Asked = It->second.first;
     m_Waiting.erase(It);
@@ -267,10 +268,10 @@
 
   void checkUpstream(UpstreamId Id) const {
     const auto It = m_Upstreams.find(Id);
-    promise(It != m_Upstreams.end(), "grant to an upstream that has gone");
+    promise(It != m_Upstreams.end(), "grant to an upstream that is not listed");
     promise(!It->second.m_Leaving && !m_SaidLeaving.contains(Id) &&
                 !wasLeaving(Id),
-            "grant to a leaving upstream");
+            "grant to a draining upstream");
     promise(!m_Drained.contains(Id), "grant to a drained upstream");
   }
 
@@ -286,17 +287,17 @@
     promise(Count([&](const Work &Running) {
               return Running.m_Upstream == Target;
             }) <= Kind.m_Slots,
-            "more running than slots");
+            "more running requests than slots");
     const std::uint32_t OfClass = running(Asked.m_Class);
     promise(Row.m_MaxConcurrent == 0 || OfClass <= Row.m_MaxConcurrent,
-            "over the class's concurrency");
+            "class exceeds its limit on running requests");
     const std::uint32_t OfWorkspace = Count([&](const Work &Running) {
       return Running.m_Bid.m_Class == Asked.m_Class &&
              Running.m_Bid.m_Workspace == Asked.m_Workspace;
     });
     promise(Row.m_WorkspaceConcurrent == 0 ||
                 OfWorkspace <= Row.m_WorkspaceConcurrent,
-            "over the workspace's concurrency");
+            "workspace exceeds its limit on running requests");
   }
 
   void serve(const RequestId &Id, UpstreamId Target) {
@@ -335,21 +336,22 @@
 
   void obey(const Refuse &Refused) {
     const auto It = m_Waiting.find(Refused.m_Request);
-    promise(It != m_Waiting.end(), "refusal of a bid that doesn't wait");
+    promise(It != m_Waiting.end(), "refusal of a bid that is not waiting");
     promise(Refused.m_Reason != RefusalReason::None,
             "refusal without a reason");
     promise(Refused.m_RetryAfter >= Duration::zero() &&
                 Refused.m_RetryAfter <= 60s,
-            "time to come back out of range");
+            "retry delay out of range");
     const Bid Asked = It->second.first;
     m_Waiting.erase(It);
     Outcome &Result = m_Outcomes[Refused.m_Request];
-    promise(!Result.m_Refused, "refused twice");
+    promise(!Result.m_Refused, "bid refused twice");
     Result.m_Refused = Refused.m_Reason;
     Result.m_RetryAfter = Refused.m_RetryAfter;
     if (Refused.m_Reason != RefusalReason::TargetUnreachable)
       return;
-    promise(Refused.m_RetryAfter > Duration::zero(), "no time to come back");
+    promise(Refused.m_RetryAfter > Duration::zero(),
+            "refusal without a retry delay");
     checkRefusal(Asked);
   }
 
@@ -366,7 +368,7 @@
     for (const auto &[Id, Running] : m_Running)
       Preemptible += isTakeable(Running, Tier) ? 1 : 0;
     promise(Preemptible == 0 || Preemptible <= Before,
-            "refused while lower work runs");
+            "refused although work of a lower tier could be preempted");
     checkFloors(Tier);
   }
 
@@ -385,7 +387,7 @@
         Kept +=
             Running.m_Bid.m_Class == Id && isTakeable(Running, Tier) ? 1 : 0;
       promise(Kept < 2 * Slots * Row.m_Weight / Weights + 2,
-              "refused while lower work runs beyond its floor");
+              "refused although a lower class exceeds its floor");
     }
   }
 
@@ -418,15 +420,17 @@
 
   void obey(const Preempt &Order) {
     const auto It = m_Running.find(Order.m_Request);
-    promise(It != m_Running.end(), "preemption of work that doesn't run");
-    promise(It->second.m_Upstream == Order.m_Upstream, "preempted elsewhere");
+    promise(It != m_Running.end(), "preemption of work that is not running");
+    promise(It->second.m_Upstream == Order.m_Upstream,
+            "preemption names another upstream");
     const Contract &Row = m_Rows.at(It->second.m_Bid.m_Class);
-    promise(Row.m_Preemptible && Row.m_Repeatable, "not preemptible");
+    promise(Row.m_Preemptible && Row.m_Repeatable,
+            "preempted work is not preemptible");
     bool HasUrgent = false;
     for (const auto &[Id, Waiting] : m_Waiting)
       HasUrgent = HasUrgent || tierOf(Waiting.first.m_Class) < Row.m_Tier;
-    promise(HasUrgent, "preempted for no more urgent bid");
-    checkNoVictim(Row.m_Tier, "preempted while lower work runs");
+    promise(HasUrgent, "preempted without a more urgent bid waiting");
+    checkNoVictim(Row.m_Tier, "preempted although less urgent work is running");
     It->second.m_Stopping = true;
     const std::uint64_t Attempt = It->second.m_Attempt;
     at(m_StopTime, [this, Id = Order.m_Request, Attempt] {
