--- a/src/decision/work.cpp
+++ b/src/decision/work.cpp
@@ -103,7 +103,7 @@
   Work.m_Reserved = 0.0;
 }
 
-void learnLengths(Pool &P, const Request &Work, std::uint32_t Tokens) {
+void recordLengths(Pool &P, const Request &Work, std::uint32_t Tokens) {
   if (Tokens == 0)
     return;
   // Samples are whole answers, so that the rest of a resumed one does not count
@@ -113,7 +113,7 @@
   Work.m_Class->useOf(Work.m_Bid.m_Workspace, P.m_Now).m_Lengths.add(Whole);
 }
 
-void learnTimes(Pool &P, Request &Work, const WorkEnded &End) {
+void recordTimes(Pool &P, Request &Work, const WorkEnded &End) {
   ClassState &Class = *Work.m_Class;
   const double Seconds = toSeconds(End.m_Elapsed);
   Class.m_Service.add(Seconds);
@@ -170,14 +170,14 @@
   P.m_Returning.emplace_back(P.m_Now, Work.m_Bid.m_Request);
 }
 
-std::uint32_t guessTokens(const Pool &P, const Request &Work) {
+std::uint32_t estimateTokens(const Pool &P, const Request &Work) {
   const double PerToken = Work.m_Class->m_TokenMean.value();
   if (PerToken <= 0.0)
     return Work.m_Progress;
-  const double Guess = toSeconds(P.m_Now - Work.m_Since) / PerToken;
+  const double Estimate = toSeconds(P.m_Now - Work.m_Since) / PerToken;
   const double Limit = static_cast<double>(Work.m_Expected);
   return std::max(Work.m_Progress,
-                  static_cast<std::uint32_t>(std::min(Guess, Limit)));
+                  static_cast<std::uint32_t>(std::min(Estimate, Limit)));
 }
 
 void returnReserved(Pool &P, Request &Waiting) {
@@ -242,8 +242,8 @@
 
 void finish(Pool &P, Request &Granted, const WorkEnded &End) {
   if (End.m_End == WorkEnd::Finished) {
-    learnLengths(P, Granted, End.m_Tokens);
-    learnTimes(P, Granted, End);
+    recordLengths(P, Granted, End.m_Tokens);
+    recordTimes(P, Granted, End);
   }
   noteHealth(P, *Granted.m_Serving, End.m_End);
   settle(P, Granted, End.m_Tokens);
@@ -255,7 +255,7 @@
 }
 
 void abandon(Pool &P, Request &Granted) {
-  settle(P, Granted, guessTokens(P, Granted));
+  settle(P, Granted, estimateTokens(P, Granted));
   release(P, Granted);
   P.m_Requests.erase(RequestId(Granted.m_Bid.m_Request));
 }
--- a/tests/unit/decision_world.h
+++ b/tests/unit/decision_world.h
@@ -63,6 +63,7 @@
   unsigned m_Grants = 0;                  ///< Not counting repeated grants.
 };
 
+/// Drives a Decider on a manual clock and checks each of its actions.
 class World {
 public:
   explicit World(DeciderConfig Config = {})
