--- a/src/decision/class_base.h
+++ b/src/decision/class_base.h
@@ -112,7 +112,7 @@
   double m_Offered = 0.0;    ///< Slots that its arrivals need.
   /// The same, with all more urgent tiers.
   double m_OfferedTo = 0.0;
-  std::vector<ClassState *> m_Classes; ///< In the order of the table.
+  std::vector<ClassState *> m_Classes; ///< In the order of their ids.
   /// Created on first use.
   std::unordered_map<WorkspaceId, WorkspaceShare> m_Shares;
 };
--- a/src/decision/fleet.cpp
+++ b/src/decision/fleet.cpp
@@ -33,7 +33,8 @@
       State.m_LeavingSince = Now;
     }
   }
-  // An upstream that left the list is kept until its work has ended.
+  // An upstream that left the list is kept until its work has ended, and while
+  // it is held as draining.
   std::erase_if(m_Servings, [Now](const auto &Entry) {
     const Serving &State = Entry.second;
     return !State.m_Listed && State.m_Used == 0 && !isHeldDraining(State, Now);
--- a/src/decision/fleet.h
+++ b/src/decision/fleet.h
@@ -39,7 +39,7 @@
   void addWork(Serving &State, const Request &Work, TimePoint Now);
   void endWork(Serving &State, const Request &Work, TimePoint Now);
 
-  /// Returns the upstream, or null if it is neither listed nor has work.
+  /// Returns the upstream, or null if it is unknown.
   [[nodiscard]] Serving *find(UpstreamId Id);
 
   /// Returns the upstream; creates an unlisted one if it is unknown.
--- a/src/decision/pool_base.h
+++ b/src/decision/pool_base.h
@@ -33,7 +33,7 @@
   std::vector<Action> *m_Actions = nullptr;
   ContractTable m_Table; ///< In force; the version never decreases.
   std::string m_Service; ///< Of the upstreams; empty until known.
-  /// All known requests; the queues below refer to them.
+  /// All known requests. Must outlive the queues below, which link to them.
   RequestTable m_Requests;
   Queue m_Queue;                 ///< Waiting bids.
   Fleet m_Fleet;                 ///< Upstreams.
--- a/src/decision/serving_base.h
+++ b/src/decision/serving_base.h
@@ -23,7 +23,8 @@
   std::deque<Sample> m_Samples; ///< In order of time; values strictly decrease.
 };
 
-/// One upstream. It is kept after it left the list until its work has ended.
+/// One upstream. After it left the list it is kept until its work has ended and
+/// it is no longer held as draining.
 struct Serving {
   Upstream m_Upstream;       ///< As last listed.
   std::uint32_t m_Slots = 0; ///< From its kind.
