--- a/src/decision/serving.cpp
+++ b/src/decision/serving.cpp
@@ -1,4 +1,4 @@
-/// What an upstream answers about itself.
+/// Queries on the state of an upstream.
 #include "decision/serving_base.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
   while (!m_Samples.empty() && m_Samples.back().second <= Used)
     m_Samples.pop_back();
   m_Samples.emplace_back(Now, Used);
-  // A value holds until the next one's time, so one older sample is kept.
+  // A value holds until the time of the next one, so one older sample is kept.
   while (m_Samples.size() > 1 &&
          m_Samples[1].first + tuning::OwnLoadWindow <= Now)
     m_Samples.pop_front();
@@ -28,16 +28,16 @@
   return static_cast<double>(Busy) / static_cast<double>(std::max(1U, m_Slots));
 }
 
-bool hasModel(const Upstream &Of, const std::string &Model) {
-  const auto *Kind = std::get_if<Engine>(&Of.m_Kind);
+bool hasModel(const Upstream &Candidate, const std::string &Model) {
+  const auto *Kind = std::get_if<Engine>(&Candidate.m_Kind);
   if (Kind == nullptr || Model.empty() || Kind->m_Models.empty())
     return true;
   return std::find(Kind->m_Models.begin(), Kind->m_Models.end(), Model) !=
          Kind->m_Models.end();
 }
 
-bool canResume(const Serving &Where) {
-  const auto *Kind = std::get_if<Engine>(&Where.m_Upstream.m_Kind);
+bool canResume(const Serving &State) {
+  const auto *Kind = std::get_if<Engine>(&State.m_Upstream.m_Kind);
   return Kind != nullptr && Kind->m_CanResume;
 }
 
