--- a/src/gateway/admission.cpp
+++ b/src/gateway/admission.cpp
@@ -1,4 +1,4 @@
-/// Checks of a request before it is placed.
+/// Checks of a request before placement.
 #include "gateway/admission.h"
 
 namespace crowstep::gateway {
@@ -26,7 +26,7 @@
   if (std::holds_alternative<UnreadableHeader>(Read))
     return NotAdmitted{RefusalReason::MalformedHeader, {}};
   auto &Facts = std::get<RequestFacts>(Read);
-  // Without a table nobody can say that a route or key is not there.
+  // Without a table it is unknown whether a route or key exists.
   if (Table == nullptr)
     return NotAdmitted{RefusalReason::NotInForce, Facts.m_Id};
   const Route *Found = routeOf(Request, *Table);
--- a/src/gateway/admission.h
+++ b/src/gateway/admission.h
@@ -1,4 +1,4 @@
-/// Whether a request may be forwarded, and as what.
+/// Admission checks: route, API key and priority of a request.
 #ifndef CROWSTEP_GATEWAY_ADMISSION_H
 #define CROWSTEP_GATEWAY_ADMISSION_H
 
@@ -9,23 +9,23 @@
 
 namespace crowstep::gateway {
 
-/// A request that may be forwarded.
+/// A request that passed the checks.
 struct Admitted {
   RouteTablePtr m_Table;   ///< Keeps m_Route alive.
   const Route *m_Route;    ///< Never null.
-  std::string m_Workspace; ///< Whose key it bears; empty: none.
-  unsigned m_Turn = 0;     ///< See RouteTable::urgency().
+  std::string m_Workspace; ///< Of the checked key; empty: none.
+  unsigned m_Turn = 0;     ///< See RouteTable::queueRank().
   unsigned m_Urgency = 0;  ///< See RouteTable::engineRank().
-  RequestFacts m_Facts;    ///< What its headers say.
+  RequestFacts m_Facts;    ///< From its headers.
 };
 
-/// Why a request is not forwarded, with its id if it has one.
+/// A request that is refused before placement.
 struct NotAdmitted {
   RefusalReason m_Reason; ///< Never None.
-  std::string m_Id;       ///< Of the caller's attempt; may be empty.
+  std::string m_Id;       ///< Of the caller's attempt; empty if unreadable.
 };
 
-/// Checks \p Request against \p Table, which may be null: nothing is known yet.
+/// Checks \p Request against \p Table, which is null until one was received.
 std::variant<Admitted, NotAdmitted> admit(const IncomingRequest &Request,
                                           const RouteTablePtr &Table,
                                           const HeaderCodec &Codec);
--- a/src/gateway/crash_watch.cpp
+++ b/src/gateway/crash_watch.cpp
@@ -31,7 +31,7 @@
 void CrashWatch::probed(UpstreamId Which, ConnectOutcome Result) {
   auto Node = m_Probes.extract(Which);
   m_Ended.push_back(std::move(Node.mapped()));
-  // The probe itself is on the stack.
+  // The probe is on the call stack here.
   m_Sweep.start(Duration::zero(), [this] { m_Ended.clear(); });
   if (Result == ConnectOutcome::Refused)
     upstreamDown(Which, "refuses connections");
--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_watch.h
@@ -1,5 +1,5 @@
-/// Finds out whether an upstream where calls broke has gone down, and keeps the
-/// directory's list of quarantined requests.
+/// Detects whether an upstream where calls broke has gone down, and maintains
+/// the directory's list of quarantined requests.
 #ifndef CROWSTEP_GATEWAY_CRASH_WATCH_H
 #define CROWSTEP_GATEWAY_CRASH_WATCH_H
 
@@ -16,19 +16,19 @@
 
 class CrashWatch final : private balance::QuarantineListener {
 public:
-  /// A machine that is there answers a connection within this time.
+  /// A machine that is up accepts or refuses a connection within this time.
   static constexpr Duration ProbeLimit = std::chrono::milliseconds(500);
 
-  /// Between two looks for quarantined requests to list, where the last crash
-  /// was seen by another instance; that one lists them at once.
+  /// Interval of checks for quarantined requests that are not listed, where
+  /// another instance observed the last crash; that one lists them at once.
   static constexpr Duration ListAfter = std::chrono::seconds(1);
 
-  /// Until a request that is not seen on the list is written again: changes of
-  /// the list come seconds late.
+  /// Delay before a write that has not changed the list is repeated: changes
+  /// of the list arrive seconds late.
   static constexpr Duration ListAgainAfter = std::chrono::seconds(4);
 
-  /// The list is kept for this long after the last crash seen here: another
-  /// instance may see the crash that leads to the quarantine.
+  /// The list is checked for this long after the last crash observed here:
+  /// another instance may observe the crash that leads to the quarantine.
   static constexpr Duration KeepWatchFor = std::chrono::seconds(10);
 
   CrashWatch(const Clock &Time, Scheduler &Timers, balance::Balancer &Loads,
@@ -40,21 +40,22 @@
   /// \p List outlives this object.
   void start(Directory &List) { m_List = &List; }
 
-  /// A call's connection to \p Which broke.
+  /// Handles a broken connection of a call: probes the upstream, unless a probe
+  /// is running.
   void callBroken(UpstreamId Which, const Address &Where);
 
-  /// Takes the whole list of upstreams: those that have gone without leaving
-  /// went down.
+  /// Takes the whole list of upstreams. Those that are no longer listed and
+  /// were not draining count as down.
   void upstreamsChanged(const std::vector<Upstream> &All);
 
   /// Takes the whole list of quarantined requests.
   void quarantineChanged(const std::set<ContentHash> &Listed);
 
 private:
-  /// What is known of a listed upstream.
+  /// A listed upstream.
   struct Listed {
-    std::string m_Name;     ///< As it calls itself.
-    bool m_Leaving = false; ///< Its end is no crash.
+    std::string m_Name;     ///< Of the upstream.
+    bool m_Leaving = false; ///< Its removal is no crash.
   };
 
   void quarantined(const ContentHash &Request, std::size_t Crashes,
@@ -72,10 +73,10 @@
   Gauge &m_Quarantined;          ///< Requests.
   std::map<UpstreamId, std::unique_ptr<UpstreamProbe>> m_Probes; ///< Running.
   std::vector<std::unique_ptr<UpstreamProbe>> m_Ended; ///< To be destroyed.
-  std::map<UpstreamId, Listed> m_Upstreams;            ///< As listed last.
-  TimePoint m_LastCrash{};                             ///< That was seen here.
-  Timer m_KeepList; ///< Runs while the list may change.
-  Timer m_Sweep;    ///< Destroys what has ended.
+  std::map<UpstreamId, Listed> m_Upstreams;            ///< As last listed.
+  TimePoint m_LastCrash{};                             ///< Observed here.
+  Timer m_KeepList; ///< Next check of the list.
+  Timer m_Sweep;    ///< Destroys ended probes.
 };
 
 } // namespace crowstep::gateway
--- a/src/gateway/digest_codec.cpp
+++ b/src/gateway/digest_codec.cpp
@@ -1,4 +1,4 @@
-/// Digests as they go over links.
+/// Encoding of load digests on links.
 #include "gateway/digest_codec.h"
 
 #include <algorithm>
--- a/src/gateway/digest_codec.h
+++ b/src/gateway/digest_codec.h
@@ -1,4 +1,4 @@
-/// Digests as they go over links.
+/// Encoding of load digests on links.
 #ifndef CROWSTEP_GATEWAY_DIGEST_CODEC_H
 #define CROWSTEP_GATEWAY_DIGEST_CODEC_H
 
@@ -9,13 +9,13 @@
 
 namespace crowstep::gateway {
 
-/// Puts \p What where a frame's digest is assembled. Two digests of one loop
-/// iteration go out as one: the loads are those of the later, the rest
-/// adds up.
+/// Merges \p Digest into \p Into, the digest of a frame that is being filled.
+/// Two digests of one loop iteration are sent as one: the later one's loads
+/// replace the earlier ones, everything else is appended.
 void pack(const balance::LoadDigest &What,
           std::unique_ptr<wire::GatewayDigestT> &Into);
 
-/// Returns the digest; loads of an unknown urgency are left out.
+/// Returns the digest without loads of an unknown urgency.
 balance::LoadDigest unpacked(const wire::GatewayDigest &From);
 
 } // namespace crowstep::gateway
--- a/src/gateway/digest_exchange.cpp
+++ b/src/gateway/digest_exchange.cpp
@@ -1,4 +1,4 @@
-/// Digests among instances.
+/// Exchange of load digests among instances.
 #include "gateway/digest_exchange.h"
 
 #include "core/log.h"
@@ -12,14 +12,14 @@
 
 namespace {
 
-/// What a hub says of all other zones counts as one instance's.
+/// Id under which the load of all other zones counts, as a hub sums it up.
 InstanceId elsewhere() {
   static const InstanceId Id = instanceIdOf("/elsewhere");
   return Id;
 }
 
-/// What a hub says of its zone counts as one instance's. No instance's name
-/// begins like this.
+/// Id under which the load of a zone counts, as its hub sums it up. No
+/// instance's name begins like this.
 InstanceId idOf(const AvailabilityZone &Zone) {
   return instanceIdOf("/zone/" + Zone.m_Name);
 }
@@ -48,7 +48,7 @@
   dialAll();
 }
 
-/// One link a pair: the instance with the greater address opens it.
+/// Each pair has one link: the instance with the greater address dials.
 void DigestExchange::dialAll() {
   std::set<Address> Wanted;
   for (const auto *Peers : {&m_Plan.m_Near, &m_Plan.m_Far})
@@ -66,8 +66,8 @@
 
 // ---- Links ------------------------------------------------------------------
 
-/// A peer that this instance's list doesn't hold yet is near if it is of the
-/// same zone.
+/// A peer that is not in this instance's list yet is near if it is in the same
+/// zone.
 bool DigestExchange::isNear(const Linked &Which) const {
   return m_Plan.m_Near.contains(Which.m_Instance) ||
          Which.m_Zone == m_Self.m_Zone;
@@ -77,13 +77,13 @@
   const Linked Fresh = {Who.m_Instance, Who.m_Zone, false};
   m_Up[Link] = Fresh;
   if (!isNear(Fresh)) {
-    // What was told while the link was down is not told again.
+    // Sums sent while the link was down are not repeated, so known crashes are.
     if (m_Hub)
       pack(crashesKnown(), m_Links->outbox(Link).zone_sum);
     return;
   }
-  // One that has just started learns what engines keep; from the hub alone
-  // where there are many, since that is a long message.
+  // A peer that has just started needs to know the prefixes that engines hold.
+  // Among many instances only the hub sends them, as the message is long.
   if (m_Plan.m_Hubs.empty() || m_Hub)
     pack(m_Balancer.wholeDigest(m_Clock.now()), m_Links->outbox(Link).digest);
 }
@@ -119,7 +119,7 @@
 }
 
 void DigestExchange::dialFailed(const Address &, link::CloseReason) {
-  // Counted and logged by the links, which also try again.
+  // The links count, log and retry it.
 }
 
 // ---- The directory ----------------------------------------------------------
@@ -153,15 +153,15 @@
     else
       dropUpdate(From);
   }
-  // A new list of instances can end this very link, and with it From.
+  // A new list of instances can close this link, which destroys From.
   for (const DirectoryUpdate &Each : Taken) {
     m_Updates.add();
     m_OnUpdate(Each);
   }
 }
 
-/// Instances that have just started may know other readers than this one does;
-/// this one calls the directory itself then.
+/// Logs once a link. Instances that have just started may know other readers
+/// than this one does; this one then reads the directory itself.
 void DigestExchange::dropUpdate(Linked &From) {
   m_DroppedUpdates.add();
   if (std::exchange(From.m_Reported, true))
@@ -171,7 +171,7 @@
             {"zone", From.m_Zone.m_Name}});
 }
 
-// ---- Telling ----------------------------------------------------------------
+// ---- Sending ----------------------------------------------------------------
 
 Duration DigestExchange::interval() const {
   return std::max(Interval,
@@ -189,7 +189,7 @@
 }
 
 void DigestExchange::tellNear(const balance::LoadDigest &Own) {
-  // One empty digest ends what the last one said; more would say nothing.
+  // One empty digest clears the last one; further ones would change nothing.
   if (Own.empty() && m_ToldNothing)
     return;
   m_ToldNothing = Own.empty();
@@ -198,7 +198,7 @@
       pack(Own, m_Links->outbox(Link).digest);
 }
 
-/// The first of the zone's hubs that can be reached speaks for the zone.
+/// The first reachable one of the zone's hubs exchanges sums for the zone.
 bool DigestExchange::shouldBeHub() const {
   const InstanceId Self = instanceIdOf(m_Self.m_Name);
   for (const InstanceId Hub : m_Plan.m_Hubs) {
@@ -212,7 +212,7 @@
   return false;
 }
 
-/// What was heard in the other role would count twice.
+/// Clears the sums: load received in the other role would count twice.
 void DigestExchange::becomeHub(bool Hub) {
   if (Hub == m_Hub)
     return;
@@ -224,7 +224,7 @@
     m_Balancer.peerGone(idOf(Peer.m_Zone));
   if (!Hub)
     return;
-  // The hub before may have gone with news that it had not passed on.
+  // The previous hub may have failed before it relayed all crash reports.
   const balance::LoadDigest Known = crashesKnown();
   m_OwnZone.take(instanceIdOf(m_Self.m_Name), Known, m_Clock.now());
   m_OtherZones.take(elsewhere(), Known, m_Clock.now());
@@ -243,7 +243,7 @@
   const bool TellOthers = m_Ticks % TicksPerRelay == 0;
   const balance::LoadDigest Others =
       TellOthers ? m_OtherZones.takeSum(Now) : balance::LoadDigest();
-  // What was said before counts no more after a short time.
+  // Empty sums need not be sent: earlier ones expire after a short time.
   for (const auto &[Link, Peer] : m_Up) {
     if (!isNear(Peer) && !Zone.empty())
       pack(Zone, m_Links->outbox(Link).zone_sum);
--- a/src/gateway/digest_exchange.h
+++ b/src/gateway/digest_exchange.h
@@ -1,7 +1,8 @@
-/// Tells the other instances what this one has at the upstreams.
+/// Exchanges digests of the load at the upstreams with the other instances.
 ///
-/// Instances decide alone, and each sees a small part of the load: without the
-/// others' digests the engines that look idle to all get all of a burst.
+/// Each instance places calls by itself and sees only a small part of the load.
+/// Without the others' digests all instances would send a burst to the same
+/// engines, which look idle to each of them.
 #ifndef CROWSTEP_GATEWAY_DIGEST_EXCHANGE_H
 #define CROWSTEP_GATEWAY_DIGEST_EXCHANGE_H
 
@@ -20,7 +21,7 @@
 
 namespace crowstep::gateway {
 
-/// Takes what a reader of the own zone has read of the directory.
+/// Handles a directory update from a reader of this instance's zone.
 using TakeUpdate = std::function<void(const DirectoryUpdate &)>;
 
 /// Opens an instance's links once their \p Key is known.
@@ -29,20 +30,22 @@
 
 class DigestExchange final : private link::LinkListener {
 public:
-  /// How often a digest goes out while there is something to tell. A tenth of
-  /// a second is a small part of the shortest target and of the time in which
-  /// an engine reads a long prompt.
+  /// Interval of digests while there is load to report. A tenth of a second is
+  /// short against the shortest latency target and the time in which an engine
+  /// reads a long prompt.
   static constexpr Duration Interval = std::chrono::milliseconds(100);
 
-  /// With many links digests go out less often: at most 200 frames a second
-  /// cost an instance under half a hundredth of a core, whatever their number.
+  /// Minimum interval per link. It limits an instance to 200 frames a second,
+  /// which cost less than half a percent of a core, whatever the number of
+  /// links.
   static constexpr Duration IntervalPerLink = std::chrono::milliseconds(5);
 
-  /// A hub tells its zone of the others with every so many digests: that sum
-  /// has a line for each engine and goes to all of the zone.
+  /// Digest intervals between two sums of the other zones that a hub sends to
+  /// its own zone: such a sum has an entry for each engine and goes to every
+  /// instance of the zone.
   static constexpr unsigned TicksPerRelay = 2;
 
-  /// \p Self is where others reach this instance.
+  /// \p Self holds the address at which others open links to this instance.
   DigestExchange(PeerInstance Self, OpenLinks Open, const Clock &Time,
                  Scheduler &Timers, balance::Balancer &Loads, Metrics &Stats,
                  TakeUpdate OnUpdate);
@@ -50,22 +53,22 @@
   DigestExchange(const DigestExchange &) = delete;
   DigestExchange &operator=(const DigestExchange &) = delete;
 
-  /// Links up with \p Peers, which may hold this instance itself.
+  /// Connects to \p Peers, which may include this instance.
   void setPeers(const PeerList &Peers);
 
-  /// Returns what this instance does for its zone in reading the directory:
-  /// the zone's hubs read for the others.
+  /// Returns the role of this instance in reading the directory: the zone's
+  /// hubs read it for the others.
   [[nodiscard]] ReadingRole readingRole() const;
 
-  /// Passes on to the own zone what this instance has read.
+  /// Sends an update that this instance has read to its zone.
   void passOn(const DirectoryUpdate &Update);
 
 private:
-  /// A link that is up.
+  /// An established link.
   struct Linked {
-    InstanceId m_Instance;   ///< Whose.
-    AvailabilityZone m_Zone; ///< Where that is.
-    bool m_Reported = false; ///< Its dropped updates are in the log.
+    InstanceId m_Instance;   ///< The peer.
+    AvailabilityZone m_Zone; ///< The peer's.
+    bool m_Reported = false; ///< A dropped update was logged.
   };
 
   void linkUp(link::LinkId Link, const link::Peer &Who) override;
@@ -91,18 +94,18 @@
   const Clock &m_Clock;                 ///< Outlives this object.
   balance::Balancer &m_Balancer;        ///< Outlives this object.
   TakeUpdate m_OnUpdate;                ///< Never empty.
-  Counter &m_Updates;                   ///< Taken from readers.
-  Counter &m_DroppedUpdates;            ///< Of others, or unreadable.
+  Counter &m_Updates;                   ///< From readers.
+  Counter &m_DroppedUpdates;            ///< From others, or malformed.
   std::unique_ptr<link::Links> m_Links; ///< Null until the key is known.
-  ExchangePlan m_Plan;                  ///< By the last list.
-  std::set<Address> m_Dialled;          ///< Peers whose links we open.
-  std::map<link::LinkId, Linked> m_Up;  ///< Links that are up.
-  bool m_ToldNothing = true;            ///< The last digest was empty.
-  bool m_Hub = false;                   ///< It speaks for its zone.
-  unsigned m_Ticks = 0;                 ///< Digests so far.
-  balance::DigestSum m_OwnZone;         ///< For the other zones, as a hub.
-  balance::DigestSum m_OtherZones;      ///< For the own zone, as a hub.
-  Timer m_Tick;                         ///< The next digest.
+  ExchangePlan m_Plan;                  ///< For the last list of peers.
+  std::set<Address> m_Dialled;          ///< Peers that this instance dials.
+  std::map<link::LinkId, Linked> m_Up;  ///< Established links.
+  bool m_ToldNothing = true;            ///< Or none was sent yet.
+  bool m_Hub = false;                   ///< This instance is its zone's hub.
+  unsigned m_Ticks = 0;                 ///< Digest intervals so far.
+  balance::DigestSum m_OwnZone;         ///< A hub sends it to other zones.
+  balance::DigestSum m_OtherZones;      ///< A hub sends it to its zone.
+  Timer m_Tick;                         ///< Until the next digest.
 };
 
 } // namespace crowstep::gateway
--- a/src/gateway/directory.h
+++ b/src/gateway/directory.h
@@ -1,4 +1,4 @@
-/// What a gateway serves by: the table in force and the upstreams.
+/// The directory: route table in force, upstreams, instances and quarantine.
 #ifndef CROWSTEP_GATEWAY_DIRECTORY_H
 #define CROWSTEP_GATEWAY_DIRECTORY_H
 
@@ -16,61 +16,61 @@
 
 namespace crowstep::gateway {
 
-/// Another instance, or this one.
+/// An instance, this one included.
 struct PeerInstance {
   std::string m_Name;      ///< Of the instance.
-  Address m_Address;       ///< Where it takes links.
-  AvailabilityZone m_Zone; ///< Where it is.
-  double m_Weight = 1;     ///< What its machine can bear, beside the others.
+  Address m_Address;       ///< For links from other instances.
+  AvailabilityZone m_Zone; ///< Of the instance.
+  double m_Weight = 1;     ///< Capacity relative to others.
 };
 
-/// The instances that exist and what their links are authenticated by.
+/// The listed instances and the key that authenticates their links.
 struct PeerList {
   std::string m_Key;                     ///< Shared secret of all instances.
-  std::vector<PeerInstance> m_Instances; ///< In no order.
+  std::vector<PeerInstance> m_Instances; ///< In any order.
 };
 
-/// A version of the whole directory; each change has a higher one.
+/// Version of the whole directory; it increases with each change.
 using DirectoryVersion = StrongId<struct DirectoryVersionTag, std::uint64_t>;
 
 /// A row of one of the directory's tables.
 struct DirectoryRow {
   std::string m_Key;          ///< Unique in its table.
-  std::string m_Value;        ///< Decoded bytes; empty where it is gone.
+  std::string m_Value;        ///< Decoded bytes; empty if removed.
   DirectoryVersion m_Version; ///< Of its last change.
-  bool m_Gone = false;        ///< It was removed by that change.
+  bool m_Gone = false;        ///< That change removed it.
 };
 
-/// Changes of one table, as an instance that has read them passes them on.
+/// Changes of one table, as sent by an instance that has read them.
 struct DirectoryUpdate {
   std::string m_Table;        ///< Its name.
   DirectoryVersion m_After;   ///< The rows hold all changes after this one ...
   DirectoryVersion m_Version; ///< ... up to this one.
 
-  /// When the directory said that there are no others, by its own steady
-  /// clock; none: it may have been long ago.
+  /// When the directory stated that there are no other changes, by its own
+  /// steady clock; none: unknown, perhaps long ago.
   std::optional<std::chrono::milliseconds> m_ReadAt;
 
-  std::vector<DirectoryRow> m_Rows; ///< The newest of each key.
+  std::vector<DirectoryRow> m_Rows; ///< The latest of each key.
 };
 
-/// What an instance does for its zone in reading the directory.
+/// Role of an instance in reading the directory for its zone.
 enum class ReadingRole : std::uint8_t {
   Alone,    ///< Reads for itself only.
-  Reader,   ///< Reads all the time, and passes on what it reads.
-  Deputy,   ///< The same while the reader's updates stay away.
-  Follower, ///< Reads for itself while the updates of both stay away.
+  Reader,   ///< Reads continuously and sends its zone what it reads.
+  Deputy,   ///< Does the same while the reader sends no updates.
+  Follower, ///< Reads for itself while neither of them sends updates.
 };
 
 /// Returns the stable name in logs, such as "reader".
 std::string_view nameOf(ReadingRole Role);
 
-/// Hears what has changed.
+/// Receives changes of the directory.
 class DirectoryListener {
 public:
   virtual ~DirectoryListener() = default;
 
-  /// A table of a higher version than any before.
+  /// A table with a higher version than any before.
   virtual void tableChanged(RouteTablePtr Table) = 0;
 
   /// The whole list of upstreams.
@@ -79,36 +79,36 @@
   /// The whole list of instances.
   virtual void peersChanged(const PeerList &List) = 0;
 
-  /// The whole list of requests that crash upstreams.
+  /// The whole list of quarantined requests.
   virtual void quarantineChanged(const std::set<ContentHash> &Listed) = 0;
 
-  /// What was just read, for the instances of the own zone. Comes in the roles
-  /// of reader and deputy only.
+  /// Changes just read, to be sent to the instances of the own zone. Called in
+  /// the roles of reader and deputy only.
   virtual void directoryRead(const DirectoryUpdate &Update) = 0;
 };
 
-/// Follows the place where operators and upstreams write.
+/// Follows the store that operators and upstreams write to.
 class Directory {
 public:
   virtual ~Directory() = default;
 
-  /// Begins to follow and lists this instance as \p Self; \p Listener
+  /// Starts following and lists this instance as \p Self; \p Listener
   /// outlives the directory.
   virtual void start(DirectoryListener &Listener, const PeerInstance &Self) = 0;
 
-  /// Takes this instance off the list; nothing waits for it.
+  /// Removes this instance from the list; does not wait for the result.
   virtual void leave() = 0;
 
   /// Lists a request that crashes upstreams, for instances that start later,
-  /// or takes it off the list. Nothing tells whether that succeeded but the
-  /// list itself.
+  /// or removes it from the list. Only the list itself shows whether that
+  /// succeeded.
   virtual void listQuarantined(const ContentHash &Request) = 0;
   virtual void unlistQuarantined(const ContentHash &Request) = 0;
 
-  /// Sets what this instance does for its zone; at first it reads alone.
+  /// Sets the role of this instance in its zone; Alone at first.
   virtual void setReadingRole(ReadingRole Role) = 0;
 
-  /// Takes what another instance of the zone has read.
+  /// Takes an update that another instance of the zone has read.
   virtual void passedOn(const DirectoryUpdate &Update) = 0;
 };
 
--- a/src/gateway/directory_codec.cpp
+++ b/src/gateway/directory_codec.cpp
@@ -1,4 +1,4 @@
-/// Directory updates as they go over links.
+/// Encoding of directory updates on links.
 #include "gateway/directory_codec.h"
 
 #include <array>
--- a/src/gateway/directory_codec.h
+++ b/src/gateway/directory_codec.h
@@ -1,4 +1,4 @@
-/// Directory updates as they go over links.
+/// Encoding of directory updates on links.
 #ifndef CROWSTEP_GATEWAY_DIRECTORY_CODEC_H
 #define CROWSTEP_GATEWAY_DIRECTORY_CODEC_H
 
@@ -10,11 +10,11 @@
 
 namespace crowstep::gateway {
 
-/// Returns \p What for a frame.
+/// Returns \p Update encoded for a frame.
 std::unique_ptr<wire::DirectoryUpdateT> packed(const DirectoryUpdate &What);
 
-/// Returns what a peer sent, or nothing where it contradicts itself: a field is
-/// missing, or a row has a version that the update doesn't cover.
+/// Returns the update that a peer sent, or nothing if it is inconsistent: a
+/// field is missing, it ends before it begins, or a row is newer than it.
 std::optional<DirectoryUpdate> unpacked(const wire::DirectoryUpdate &From);
 
 } // namespace crowstep::gateway
--- a/src/gateway/exchange_plan.cpp
+++ b/src/gateway/exchange_plan.cpp
@@ -1,4 +1,4 @@
-/// Which instances tell one another of their calls.
+/// Which instances exchange load digests.
 #include "gateway/exchange_plan.h"
 
 #include "core/pair_hash.h"
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// Any number; sets this hash apart from others.
+/// Arbitrary; makes this hash independent of others.
 constexpr std::uint64_t HubSeed = 7;
 
-/// Whether \p Left is the better hub: the larger machine, and among equals the
-/// higher by hash.
+/// Returns whether \p Left is the preferred hub: the one with the larger
+/// machine, then the one with the higher hash.
 bool better(const PeerInstance &Left, const PeerInstance &Right) {
   const auto RankOf = [](const PeerInstance &Each) {
     return std::make_pair(Each.m_Weight,
--- a/src/gateway/forwarded_answer.cpp
+++ b/src/gateway/forwarded_answer.cpp
@@ -1,4 +1,4 @@
-/// What becomes of an upstream's answer, and how a request ends.
+/// Handling of an upstream's answer, and the end of a request.
 #include "core/log.h"
 #include "gateway/forward_limits.h"
 #include "gateway/forwarded_request.h"
@@ -14,8 +14,8 @@
 constexpr unsigned FirstRedirect = 300;
 constexpr unsigned FirstServerError = 500;
 
-/// Statuses by which an upstream says that it did not run a call. Without its
-/// proof they can't be passed on: they would promise that to the caller.
+/// Statuses which state that a call was not run. Without the upstream's proof
+/// they can't be passed on: they would promise that to the caller.
 bool promisesNotRun(unsigned Status) {
   constexpr unsigned RequestTimeout = 408;
   constexpr unsigned Misdirected = 421;
@@ -37,8 +37,8 @@
                                        const HeaderList &Headers) {
   const AnswerFacts Facts = m_World.m_Codec.readAnswer(Status, Headers);
   m_World.m_Balancer.heard(m_Ticket, m_World.m_Clock.now());
-  // The answer to an earlier call, sent late on a kept connection, or bytes
-  // that are no answer of an upstream at all.
+  // A late answer to an earlier call on a kept connection, or bytes that are
+  // not an upstream's answer at all.
   if (Facts.m_RequestId != m_What.m_Facts.m_Id && !Facts.m_NotRun) {
     m_MayHaveRun = true;
     upstreamFailed(balance::CallOutcome::Failed, RetryReason::ClosedBeforeByte);
@@ -70,8 +70,8 @@
     m_Silence.stop();
 }
 
-/// A refusal without a limit does not end one: it may come from a part of the
-/// upstream that knows nothing of it.
+/// A refusal without a limit does not clear a known one: it may come from a
+/// part of the upstream that doesn't know the limit.
 void ForwardedRequest::takeLimit(const AnswerFacts &Facts) {
   if (Facts.m_BadLimit) {
     m_World.m_Stats.limitUnreadable();
@@ -132,7 +132,7 @@
 }
 
 void ForwardedRequest::relay(const SseEvent &Event) {
-  // A resumed stream may begin with what the caller has already.
+  // A resumed stream may begin with events that the caller already has.
   if (Event.m_Id && m_LastId && *Event.m_Id <= *m_LastId)
     return;
   if (!m_Streaming)
@@ -144,8 +144,8 @@
   ++m_Events;
   if (Event.m_Id)
     m_LastId = Event.m_Id;
-  // A caller that reads slowly must not make this process hold its whole
-  // answer; the engine is held back by its own socket instead.
+  // A caller that reads slowly must not make this process buffer its whole
+  // answer; flow control of the upstream's connection slows the engine down.
   constexpr std::size_t CallerBacklog = 64 << 10;
   if (m_Call != nullptr && m_Caller->backlog() > CallerBacklog)
     m_Call->pauseReading();
@@ -257,7 +257,7 @@
 void ForwardedRequest::giveUp(RefusalReason Reason, Duration RetryAfter) {
   m_World.m_Stats.refused(Reason);
   if (m_Streaming) {
-    // The caller must see that the stream is not whole.
+    // The caller must see that the stream is incomplete.
     m_Caller->drop();
     ended(nameOf(Reason));
     return;
@@ -277,7 +277,7 @@
 
 void ForwardedRequest::timeIsOver() {
   if (m_Call != nullptr) {
-    // Bytes may be on their way: whether it runs is not known.
+    // It may have been sent: whether it runs is not known.
     m_MayHaveRun = true;
     endCall(balance::CallOutcome::Dropped);
   }
--- a/src/gateway/forwarded_request.cpp
+++ b/src/gateway/forwarded_request.cpp
@@ -1,4 +1,4 @@
-/// Calls to upstreams and what follows from their ends.
+/// Attempts at upstreams and retries after they end.
 #include "gateway/forwarded_request.h"
 
 #include "core/log.h"
@@ -103,19 +103,19 @@
   send(std::get<balance::Placed>(Result));
 }
 
-/// A call that was sent before goes to any engine: its caller has waited once.
+/// A retry goes to any engine with room: its caller has waited once.
 bool ForwardedRequest::mayWait() const {
   return m_Sends == 0 && !m_WaitedInVain &&
          m_What.m_Route->m_Target > Duration::zero() &&
          (m_Place != nullptr || !m_World.m_Waiting.full());
 }
 
-/// Returns from attempt(), which the waiting room calls again.
+/// Ends an attempt(); the wait queue calls attempt() again.
 void ForwardedRequest::waitForRoom(const balance::PlacementInputs &Why) {
   m_Why = Why;
   const Duration Waited = m_World.m_Clock.now() - m_Begin;
   if (Waited * MostWaitDivisor > m_What.m_Route->m_Target * MostWaitParts) {
-    // Once more, for an engine where less urgent calls yield to it.
+    // Once more, at an engine that preempts less urgent calls for it.
     m_WaitedInVain = true;
     attempt();
     return;
@@ -160,9 +160,10 @@
   watchSilence(firstByteLimit());
 }
 
-/// How long the first byte of a repeatable call's answer may take before
-/// another upstream is asked. Twice the target leaves room for a loaded engine;
-/// under the least, a pause of the network would look like a dead upstream.
+/// Timeout of the first byte of a retryable call's answer, after which another
+/// upstream is tried; zero: none. Twice the target leaves time for a loaded
+/// engine; under the minimum, a pause of the network would look like an
+/// upstream that is unreachable.
 Duration ForwardedRequest::firstByteLimit() const {
   constexpr int TargetsToWait = 2;
   constexpr Duration LeastForPlain = std::chrono::milliseconds(250);
@@ -181,8 +182,9 @@
 void ForwardedRequest::silent() {
   if (m_Call == nullptr || !mayTryAgain())
     return;
-  // A loaded upstream keeps many waiting at once; asking another one as well
-  // would add to what makes them wait. One that is dark tells nobody anything.
+  // A loaded upstream delays many calls at once, and sending them to another
+  // one as well would add to the load. An unreachable one sends no byte on any
+  // call.
   const Duration Unheard =
       m_World.m_Balancer.unheardOf(m_Ticket, m_World.m_Clock.now());
   if (Unheard < SignOfLife) {
@@ -221,7 +223,7 @@
          timeLeft() > LeastTimeToRetry && (!m_MayHaveRun || repeatable());
 }
 
-/// The call arrived somewhere and did not end well.
+/// Retries a call that was refused or failed after it was sent.
 void ForwardedRequest::tryAgain(RetryReason Why) {
   if (m_Caller->hasLeft()) {
     callerGone();
--- a/src/gateway/forwarded_request.h
+++ b/src/gateway/forwarded_request.h
@@ -1,9 +1,10 @@
 /// One request on its way through the gateway.
 ///
-/// What a caller may be told rests on m_MayHaveRun: it is set when bytes may
-/// have left for an upstream and taken back only by that upstream's own word.
-/// While it is clear the request has provably not run, and while it is set
-/// nothing but a repeatable request is sent again.
+/// What a caller may be told depends on m_MayHaveRun. It is set when a call
+/// that may have reached an upstream is answered or ends, unless the upstream
+/// itself states that it did not run the call, and is never cleared. Between
+/// calls, a request without it has provably not run; with it, only a retryable
+/// request is sent again.
 #ifndef CROWSTEP_GATEWAY_FORWARDED_REQUEST_H
 #define CROWSTEP_GATEWAY_FORWARDED_REQUEST_H
 
@@ -24,24 +25,24 @@
 
 namespace crowstep::gateway {
 
-/// What all requests share; everything outlives them.
+/// Shared by all requests; everything outlives them.
 struct ForwardWorld {
   const Clock &m_Clock;             ///< Of the loop.
   Scheduler &m_Timers;              ///< Of the loop.
   balance::Balancer &m_Balancer;    ///< Chooses upstreams.
-  balance::RetryBudget &m_Budget;   ///< Bounds repeats.
-  UpstreamCaller &m_Upstream;       ///< Sends.
-  CrashWatch &m_Crashes;            ///< Hears of broken calls.
+  balance::RetryBudget &m_Budget;   ///< Limits retries.
+  UpstreamCaller &m_Upstream;       ///< Sends calls.
+  CrashWatch &m_Crashes;            ///< Handles broken calls.
   const HeaderCodec &m_Codec;       ///< Reads and writes headers.
-  GatewayStats &m_Stats;            ///< Counts.
-  WaitingRoom &m_Waiting;           ///< For room at engines.
-  std::function<double()> m_Random; ///< Between 0 and 1.
-  std::function<bool()> m_Leaving;  ///< The instance closes its connections.
+  GatewayStats &m_Stats;            ///< Metrics.
+  WaitingRoom &m_Waiting;           ///< Calls that wait for room.
+  std::function<double()> m_Random; ///< In [0, 1).
+  std::function<bool()> m_Leaving;  ///< Connections are to be closed.
 };
 
 class ForwardedRequest final : private UpstreamListener {
 public:
-  /// \p OnEnded runs once, when nothing is left to do; the request may not be
+  /// \p OnEnded runs once, when the request has ended; the request may not be
   /// destroyed from within it.
   ForwardedRequest(ForwardWorld &World, IncomingRequest Request, Admitted What,
                    std::unique_ptr<Caller> From, std::function<void()> OnEnded);
@@ -49,7 +50,7 @@
   ForwardedRequest(const ForwardedRequest &) = delete;
   ForwardedRequest &operator=(const ForwardedRequest &) = delete;
 
-  /// Begins; before this nothing has happened.
+  /// Starts the first attempt.
   void start();
 
 private:
@@ -96,41 +97,41 @@
   [[nodiscard]] std::string chooseService() const;
 
   ForwardWorld &m_World;            ///< Outlives the request.
-  IncomingRequest m_Request;        ///< As it arrived.
+  IncomingRequest m_Request;        ///< As received.
   Admitted m_What;                  ///< Its route and facts.
-  ContentHash m_Content;            ///< The same in each of its attempts.
-  std::unique_ptr<Caller> m_Caller; ///< Who is answered.
+  ContentHash m_Content;            ///< Equal in all of the caller's attempts.
+  std::unique_ptr<Caller> m_Caller; ///< Gets the answer.
   std::function<void()> m_OnEnded;  ///< Empty once it has run.
   RouteStats &m_Stats;              ///< Of its route.
-  std::string m_Service;            ///< Chosen among the route's shares.
+  std::string m_Service;            ///< Chosen by the route's shares.
   TimePoint m_Begin;                ///< When it arrived.
-  TimePoint m_EndBy;                ///< The route's or the caller's time.
-  Timer m_Limit;                    ///< Runs until m_EndBy.
-  Timer m_Silence;                  ///< Runs while an upstream is awaited.
+  TimePoint m_EndBy;                ///< The route's or caller's, if earlier.
+  Timer m_Limit;                    ///< Runs until m_Deadline.
+  Timer m_Silence;                  ///< Runs while bytes are awaited.
 
-  std::unique_ptr<WaitingRoom::Place> m_Place; ///< Set while it waits.
-  bool m_WaitedInVain = false; ///< Too long for room; it waits no more.
-  Duration m_Waited{};         ///< For room, in the end.
+  std::unique_ptr<WaitingRoom::Place> m_Place; ///< Set while it waits for room.
+  bool m_WaitedInVain = false;          ///< It may not wait for room again.
+  Duration m_Waited{};                  ///< Total time that it waited for room.
   std::unique_ptr<UpstreamCall> m_Call; ///< Null between calls.
   balance::TicketId m_Ticket;           ///< Of m_Call.
-  std::string m_Upstream;               ///< Name, of the last call.
-  Address m_Address;                    ///< Of the last call.
+  std::string m_Upstream;               ///< Its name; of the last call.
+  Address m_Address;                    ///< Of the last call's upstream.
   balance::PlacementInputs m_Why;       ///< Of the last placement.
-  TimePoint m_FirstEvent{};             ///< When the caller got it.
-  TimePoint m_LastEvent{};              ///< When the caller got the last one.
-  Duration m_LongestPause{};            ///< Between two events, so far.
-  std::vector<UpstreamId> m_Tried;      ///< Upstreams of earlier calls.
-  unsigned m_Sends = 0;                 ///< Calls that may have arrived.
-  unsigned m_Misses = 0;                ///< Calls that were never sent.
+  TimePoint m_FirstEvent{};             ///< When it was relayed.
+  TimePoint m_LastEvent{};              ///< When it was relayed.
+  Duration m_LongestPause{};            ///< Between two events so far.
+  std::vector<UpstreamId> m_Tried;      ///< The current one is the last.
+  unsigned m_Sends = 0;                 ///< Not counting unsent ones.
+  unsigned m_Misses = 0;                ///< Without a connection.
   bool m_MayHaveRun = false;            ///< See the head of this file.
 
-  unsigned m_Status = 0;                 ///< Of the present answer; 0: none.
-  HeaderList m_AnswerHeaders;            ///< Of the first good answer.
-  std::string m_Body;                    ///< Of a plain answer, so far.
-  SseSplitter m_Splitter;                ///< Of the present call's stream.
-  bool m_Streaming = false;              ///< The caller has a stream's head.
-  std::optional<std::uint64_t> m_LastId; ///< Last event given to the caller.
-  std::size_t m_Events = 0;              ///< Given to the caller.
+  unsigned m_Status = 0;                 ///< Of the current answer; 0: none.
+  HeaderList m_AnswerHeaders;            ///< Kept once a stream has begun.
+  std::string m_Body;                    ///< Of a plain answer so far.
+  SseSplitter m_Splitter;                ///< Of the current call's stream.
+  bool m_Streaming = false;              ///< The stream's headers were sent.
+  std::optional<std::uint64_t> m_LastId; ///< Last event that the caller has.
+  std::size_t m_Events = 0;              ///< Sent to the caller.
 };
 
 } // namespace crowstep::gateway
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -16,23 +16,24 @@
 constexpr Duration StopCheckInterval = std::chrono::milliseconds(50);
 constexpr Duration DrainLogInterval = std::chrono::seconds(1);
 
-/// A caller that meets an instance without a table comes back after this, to
-/// whatever instance it is given then.
+/// Retry-After of an instance without a table; the caller's next attempt may
+/// reach another instance.
 constexpr Duration NoTableRetryAfter = std::chrono::milliseconds(500);
 
-/// After SIGTERM new connections go on coming until the platform has asked for
-/// readiness twice, a second apart, and longer where too few instances of the
-/// zone are ready. Until then they are served as usual. Then this instance
-/// listens no more: a caller that is refused a connection tries another
-/// instance at once, while a request taken now could be cut by the end of the
-/// grace.
+/// After SIGTERM new connections keep arriving until the platform has probed
+/// readiness twice, a second apart, and longer if too few instances of the zone
+/// are ready. For this time they are served as usual. Then this instance stops
+/// listening: a caller whose connection is refused tries another instance at
+/// once, while a request accepted later could be cut off by the end of the
+/// grace period.
 constexpr Duration OutOfRotation = std::chrono::milliseconds(2600);
 
-/// The stop ends by itself this long before the process is killed: what is cut
-/// then is at least told in the log.
+/// The shutdown ends by itself this long before the process is killed, so that
+/// requests cut off by it are logged.
 constexpr Duration KillMargin = std::chrono::milliseconds(200);
 
-/// Headers and bodies may take this long where the table doesn't say.
+/// Limits where the table sets none, for headers and body to arrive and for
+/// connections without a request.
 constexpr Duration DefaultReceiveLimit = std::chrono::seconds(10);
 constexpr Duration DefaultIdleLimit = std::chrono::seconds(60);
 
@@ -104,7 +105,7 @@
   m_Budget.setBound(m_Settings.m_RetryBudget);
 }
 
-// ---- What is known ----------------------------------------------------------
+// ---- Directory --------------------------------------------------------------
 
 void Gateway::tableChanged(RouteTablePtr Table) {
   m_Table = std::move(Table);
@@ -224,7 +225,7 @@
   auto Node = m_Requests.extract(Number);
   m_Ended.push_back(std::move(Node.mapped()));
   if (!m_Sweep.running())
-    // Not while the request itself is on the stack.
+    // The request is on the call stack here.
     m_Sweep.start(Duration::zero(), [this] {
       const auto Gone = std::move(m_Ended);
       m_Ended.clear();
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,7 +1,8 @@
-/// The gateway daemon: one process that forwards by a route table.
+/// The gateway daemon: one process that forwards requests by a route table.
 ///
-/// It decides alone, from the directory and from what its own calls show; see
-/// docs/PLATFORM.md for what that leaves to the platform.
+/// It decides by itself, from the directory, the results of its own calls and
+/// the digests of other instances; see docs/PLATFORM.md for what that leaves to
+/// the platform.
 #ifndef CROWSTEP_GATEWAY_GATEWAY_H
 #define CROWSTEP_GATEWAY_GATEWAY_H
 
@@ -20,14 +21,14 @@
 
 class Gateway final : public Daemon, private DirectoryListener {
 public:
-  /// What belongs to a platform: where the table and the upstreams come from,
-  /// and how headers are spelled.
+  /// The parts that depend on the platform: where the table and the upstreams
+  /// come from, and how headers are spelled.
   struct Parts {
     std::unique_ptr<Directory> m_Directory; ///< Never null.
     std::unique_ptr<HeaderCodec> m_Codec;   ///< Never null.
   };
 
-  /// Makes the parts; the clock, timers and metrics outlive them.
+  /// Creates the parts; the clock, timers and metrics outlive them.
   using PartsFactory =
       std::function<Parts(const Clock &, Scheduler &, Metrics &)>;
 
@@ -59,34 +60,34 @@
   GatewaySettings m_Settings;    ///< In force.
   LoopClock m_Clock;             ///< Of the loop.
   LoopScheduler m_Timers;        ///< Of the loop.
-  Metrics m_Metrics;             ///< All series.
-  GatewayStats m_Stats;          ///< Their handles.
-  std::mt19937_64 m_Random;      ///< For shares of services.
+  Metrics m_Metrics;             ///< All metrics.
+  GatewayStats m_Stats;          ///< Handles of m_Metrics.
+  std::mt19937_64 m_Random;      ///< For choices among services.
   balance::Balancer m_Balancer;  ///< Chooses upstreams.
-  balance::RetryBudget m_Budget; ///< Bounds repeats.
-  WaitingRoom m_Waiting;         ///< For room at engines.
-  HttpUpstreamCaller m_Upstream; ///< Sends.
-  CrashWatch m_Crashes;          ///< Of upstreams under calls.
-  Parts m_Parts;                 ///< See Parts.
-  DigestExchange m_Exchange;     ///< With the other instances.
-  ForwardWorld m_World;          ///< For requests.
-  Front m_Front;                 ///< Towards callers.
+  balance::RetryBudget m_Budget; ///< Limits retries.
+  WaitingRoom m_Waiting;         ///< Calls that wait for room.
+  HttpUpstreamCaller m_Upstream; ///< Sends calls.
+  CrashWatch m_Crashes;          ///< Handles broken calls.
+  Parts m_Parts;                 ///< See PlatformParts.
+  DigestExchange m_Exchange;     ///< With other instances.
+  ForwardWorld m_World;          ///< Shared by requests.
+  Front m_Front;                 ///< Callers' connections.
   HttpServer m_Probes;           ///< Readiness and metrics.
-  RouteTablePtr m_Table;         ///< In force; null: none is known.
-  bool m_KnowsUpstreams = false; ///< A list has come.
-  ReadingRole m_ReadingRole = ReadingRole::Alone; ///< As the directory has it.
+  RouteTablePtr m_Table;         ///< In force; null: none yet.
+  bool m_KnowsUpstreams = false; ///< A list was received.
+  ReadingRole m_ReadingRole = ReadingRole::Alone; ///< As set in the directory.
   std::unordered_map<std::uint64_t, std::unique_ptr<ForwardedRequest>>
-      m_Requests;                                         ///< Not ended.
+      m_Requests;                                         ///< In progress.
   std::vector<std::unique_ptr<ForwardedRequest>> m_Ended; ///< To be destroyed.
-  std::uint64_t m_LastRequest = 0;  ///< Key in m_Requests.
-  Timer m_Sweep;                    ///< Destroys what has ended.
-  Timer m_StopCheck;                ///< Runs while stopping.
+  std::uint64_t m_LastRequest = 0;  ///< Last key in m_Requests.
+  Timer m_Sweep;                    ///< Destroys ended requests.
+  Timer m_StopCheck;                ///< Checks the shutdown.
   bool m_Stopping = false;          ///< After stop().
   bool m_Listening = true;          ///< For new connections.
   bool m_Closing = false;           ///< Answers close their connections.
   TimePoint m_StopBegin;            ///< When stop() was called.
-  TimePoint m_DrainLogged{};        ///< When it last told what it waits for.
-  std::function<void()> m_StopDone; ///< Set by stop().
+  TimePoint m_DrainLogged{};        ///< Last log of open requests.
+  std::function<void()> m_StopDone; ///< Runs when stopped.
 };
 
 } // namespace crowstep::gateway
--- a/src/gateway/gateway_stats.h
+++ b/src/gateway/gateway_stats.h
@@ -14,15 +14,15 @@
 /// Latencies of one route.
 struct RouteStats {
   Counter *m_Requests;            ///< Admitted.
-  Counter *m_Finished;            ///< Answered whole by an upstream.
+  Counter *m_Finished;            ///< Answered completely by an upstream.
   LatencyHistogram *m_FirstEvent; ///< From the request to the first event.
   LatencyHistogram *m_Total;      ///< From the request to the answer's end.
 };
 
 class GatewayStats {
 public:
-  /// Routes with series of their own; a table may have thousands of routes,
-  /// and the rest share the series "other".
+  /// Maximum of routes with metrics of their own; a table may have thousands of
+  /// routes, and the rest share the label "other".
   static constexpr std::size_t MaxRoutes = 32;
 
   explicit GatewayStats(Metrics &Stats);
@@ -30,17 +30,17 @@
   void refused(RefusalReason Reason);
   void retried(RetryReason Reason);
 
-  /// An upstream stated a limit that is no number.
+  /// Counts a stated limit of an upstream that is not a number.
   void limitUnreadable() { m_UnreadableLimits.add(); }
 
-  /// Returns the handles of a route.
+  /// Returns the metrics of a route.
   RouteStats &route(const std::string &Name);
 
 private:
   RouteStats make(const std::string &Label);
 
   Metrics &m_Metrics;          ///< Outlives this object.
-  Counter &m_UnreadableLimits; ///< See limitUnreadable().
+  Counter &m_UnreadableLimits; ///< See countUnreadableLimit().
   std::array<Counter *, static_cast<std::size_t>(RefusalReason::Count)>
       m_Refusals; ///< By reason.
   std::array<Counter *, static_cast<std::size_t>(RetryReason::Count)>
--- a/src/gateway/header_codec.h
+++ b/src/gateway/header_codec.h
@@ -1,7 +1,7 @@
-/// What headers mean, apart from how they are called.
+/// Meaning of headers, independent of their spelling.
 ///
-/// The gateway passes headers on and needs a few facts from them. How those
-/// are spelled belongs to the platform that callers and upstreams live on.
+/// The gateway passes headers on and needs a few facts from them. How those are
+/// spelled depends on the platform of callers and upstreams.
 #ifndef CROWSTEP_GATEWAY_HEADER_CODEC_H
 #define CROWSTEP_GATEWAY_HEADER_CODEC_H
 
@@ -16,43 +16,43 @@
 
 namespace crowstep::gateway {
 
-/// What a caller's headers say.
+/// Facts from a caller's headers.
 struct RequestFacts {
   std::string m_Id;                         ///< Of this attempt of the caller.
-  std::string m_Key;                        ///< Empty: none.
+  std::string m_Key;                        ///< API key; empty: none.
   std::optional<Duration> m_Deadline;       ///< How long the caller waits.
-  std::optional<std::uint64_t> m_LastEvent; ///< Goes on after this event.
+  std::optional<std::uint64_t> m_LastEvent; ///< The stream resumes after it.
   PromptSize m_Prompt;                      ///< Empty for plain calls.
 };
 
-/// A header that the gateway needs is missing or can't be read.
+/// A header that the gateway needs is missing or malformed.
 struct UnreadableHeader {
-  std::string m_Name; ///< Which one.
+  std::string m_Name; ///< Of the header.
 };
 
-/// What the gateway tells an upstream beside the caller's own headers.
+/// Facts that the gateway adds to the caller's headers for an upstream.
 struct SendFacts {
-  Duration m_TimeLeft{};                    ///< The upstream stops after it.
-  std::string m_Upstream;                   ///< The only one that may run it.
-  std::string m_Workspace;                  ///< Whose key it is; empty: none.
-  unsigned m_Priority = 0;                  ///< 0 is the most urgent.
-  std::optional<std::uint64_t> m_LastEvent; ///< Goes on after this event.
+  Duration m_TimeLeft{};   ///< The upstream stops after it.
+  std::string m_Upstream;  ///< Only this one may run it.
+  std::string m_Workspace; ///< Of the checked key; empty: none.
+  unsigned m_Priority = 0; ///< 0 is the most urgent.
+  std::optional<std::uint64_t> m_LastEvent; ///< The stream resumes after it.
 };
 
-/// What an upstream's headers say.
+/// Facts from an upstream's headers.
 struct AnswerFacts {
   std::string m_RequestId;          ///< Of the call that it answers.
-  bool m_Signed = false;            ///< Bears the upstream's signature.
+  bool m_Signed = false;            ///< Carries the upstream's signature.
   bool m_NotRun = false;            ///< The upstream did not run the call.
-  bool m_OtherUpstream = false;     ///< It is not the one that was named.
-  bool m_Encoded = false;           ///< The body isn't what was made.
+  bool m_OtherUpstream = false;     ///< The call was for another upstream.
+  bool m_Encoded = false;           ///< The body was altered by an encoding.
   bool m_Leaving = false;           ///< It closes its connections.
-  std::optional<LoadReport> m_Load; ///< As of this answer.
+  std::optional<LoadReport> m_Load; ///< At the time of this answer.
   std::optional<double> m_Limit;    ///< Requests a second, from all instances.
-  bool m_BadLimit = false;          ///< One is stated and can't be read.
+  bool m_BadLimit = false;          ///< A limit is stated but malformed.
 };
 
-/// Translates headers; one for each platform.
+/// Reads and writes headers; one implementation for each platform.
 class HeaderCodec {
 public:
   virtual ~HeaderCodec() = default;
@@ -60,8 +60,8 @@
   [[nodiscard]] virtual std::variant<RequestFacts, UnreadableHeader>
   readRequest(const HeaderList &Headers) const = 0;
 
-  /// Returns what an upstream gets: the caller's headers without those that
-  /// are the gateway's to set, and the gateway's own.
+  /// Returns the headers for an upstream: the caller's, without those that only
+  /// the gateway may set, and the gateway's own.
   [[nodiscard]] virtual HeaderList writeRequest(const HeaderList &FromCaller,
                                                 const SendFacts &Own) const = 0;
 
@@ -69,7 +69,7 @@
   readAnswer(unsigned Status, const HeaderList &Headers) const = 0;
 
   /// Returns the headers of a refusal: the attempt's id and, unless
-  /// \p RetryAfter is 0, when to come back.
+  /// \p RetryAfter is 0, when to retry.
   [[nodiscard]] virtual HeaderList writeRefusal(const std::string &RequestId,
                                                 Duration RetryAfter) const = 0;
 };
--- a/src/gateway/reading_duty.cpp
+++ b/src/gateway/reading_duty.cpp
@@ -7,20 +7,20 @@
 
 namespace {
 
-/// Most failures are one lost answer.
+/// Most failures are a single lost answer.
 constexpr Duration FirstBackoff = std::chrono::milliseconds(80);
 constexpr Duration LongestBackoff = std::chrono::milliseconds(550);
 
-/// The first back-off of a follower is this part of its longest. It calls only
-/// after its zone's readers have stayed away, which are likely to have failed
-/// before it.
+/// The first backoff of a follower is this part of its maximum. It calls only
+/// while its zone's readers send no updates, whose own calls have then probably
+/// failed before.
 constexpr int FirstInLongest = 4;
 
-/// A reader's answers come this often in the time for which an update does, so
-/// that one of them may be lost.
+/// A reader's calls are answered this often while an update stays fresh, so
+/// that one answer may be lost.
 constexpr int CallsInFreshness = 2;
 
-/// Share of the freshness after which the deputy calls, as a fraction.
+/// Fraction of the freshness limit after which the deputy calls.
 constexpr int DeputyShare = 3;
 constexpr int DeputyShareOf = 4;
 
--- a/src/gateway/reading_duty.h
+++ b/src/gateway/reading_duty.h
@@ -1,7 +1,7 @@
-/// When an instance reads a table of the directory itself, and how patiently.
+/// When an instance reads a table of the directory itself, and how often.
 ///
-/// Load: hundreds of instances that would all call the directory for each
-/// change, and again and again while it is away. See ReadingRole.
+/// Without such rules, hundreds of instances would all call the directory for
+/// each change, and over and over during an outage of it. See ReadingRole.
 #ifndef CROWSTEP_GATEWAY_READING_DUTY_H
 #define CROWSTEP_GATEWAY_READING_DUTY_H
 
@@ -12,11 +12,12 @@
 
 class ReadingDuty {
 public:
-  /// How long a call may wait for changes where nobody relies on its answer.
+  /// Maximum wait for changes of a call on whose answer no other instance
+  /// relies.
   static constexpr Duration LongestWait = std::chrono::seconds(30);
 
   /// Sets how old updates of others may be before this instance calls the
-  /// directory itself, and the longest back-off of one that gets updates.
+  /// directory itself, and the maximum backoff of a follower.
   void setFreshness(Duration Limit, Duration LongestBackoff) {
     m_Freshness = Limit;
     m_FollowerBackoff = LongestBackoff;
@@ -25,35 +26,35 @@
   void setRole(ReadingRole Role) { m_Role = Role; }
   [[nodiscard]] ReadingRole role() const { return m_Role; }
 
-  /// An update came whose changes were complete at \p ReadAt.
+  /// Records an update whose changes were complete at \p ReadAt.
   void updated(TimePoint ReadAt);
 
-  /// Returns how long the updates of others will do; a deputy's for less time,
-  /// so that it calls the directory before all others do.
+  /// Returns how long the updates of others stay fresh enough; for a deputy
+  /// less time, so that it calls the directory before the followers do.
   [[nodiscard]] Duration freshFor(TimePoint Now) const;
 
-  /// Returns how old the newest update is.
+  /// Returns the age of the newest update.
   [[nodiscard]] Duration age(TimePoint Now) const { return Now - m_UpdatedAt; }
 
-  /// Returns how long a call may wait for changes. Others rely on the answers
-  /// of a reader, also on those without changes.
+  /// Returns how long a call may wait for changes. Other instances rely on a
+  /// reader's answers, also on those without changes.
   [[nodiscard]] Duration waitOfCall() const;
 
-  /// Returns the back-off after the first of a series of failures, and the
-  /// longest. With the longest, and the limit of a call that is not answered,
-  /// less than 0.9 s pass between the beginnings of two calls of an instance
-  /// that isn't a follower: an outage that such a call has met was over at most
-  /// that much later when the next one is answered.
+  /// Returns the backoff after the first of a series of failures, and the
+  /// maximum. With the maximum, and the timeout of a call that is not answered,
+  /// less than 0.9 s pass between the starts of two calls of an instance that
+  /// isn't a follower: if a call fails and the next one is answered, the outage
+  /// was over at most that long after the failed call began.
   [[nodiscard]] Duration firstBackoff() const;
   [[nodiscard]] Duration longestBackoff() const;
 
 private:
   [[nodiscard]] bool readsForOthers() const;
 
-  ReadingRole m_Role = ReadingRole::Alone; ///< For the zone.
+  ReadingRole m_Role = ReadingRole::Alone; ///< In the zone.
   Duration m_Freshness{};                  ///< See setFreshness().
   Duration m_FollowerBackoff{};            ///< See setFreshness().
-  TimePoint m_UpdatedAt{};                 ///< Updates are not older than this.
+  TimePoint m_UpdatedAt{};                 ///< When the newest was complete.
 };
 
 } // namespace crowstep::gateway
--- a/src/gateway/route_table.cpp
+++ b/src/gateway/route_table.cpp
@@ -78,7 +78,7 @@
 const Route *RouteTable::find(std::string_view Host,
                               std::string_view Path) const {
   const std::string Plain = plainHost(Host);
-  // Prefixes end with a slash, so only cuts after a slash can match.
+  // Path prefixes end with a slash, so only cuts after a slash can match.
   for (std::size_t Cut = Path.rfind('/'); Cut != std::string_view::npos;
        Cut = Cut == 0 ? std::string_view::npos : Path.rfind('/', Cut - 1)) {
     const auto Found =
--- a/src/gateway/route_table.h
+++ b/src/gateway/route_table.h
@@ -1,4 +1,4 @@
-/// The route table in force, made fast to look up.
+/// The route table in force, indexed for lookups.
 #ifndef CROWSTEP_GATEWAY_ROUTE_TABLE_H
 #define CROWSTEP_GATEWAY_ROUTE_TABLE_H
 
@@ -11,23 +11,23 @@
 
 namespace crowstep::gateway {
 
-/// Ranks of all priorities that occur, each a pair of which the first decides
-/// and the second among equals.
+/// Ranks of all pairs of priorities in a table; the first of a pair decides,
+/// then the second.
 class PriorityRanks {
 public:
   using Priorities = std::pair<unsigned, unsigned>;
 
   void add(Priorities Which) { m_Known.insert(Which); }
 
-  /// Returns the rank of a pair that was added; 0 goes first. Engines know ten
-  /// ranks; with more pairs, neighbours share one.
+  /// Returns the rank of a pair that was added; 0 is the most urgent. Engines
+  /// know ten ranks; with more pairs, adjacent ones share a rank.
   [[nodiscard]] unsigned rankOf(Priorities Which) const;
 
 private:
-  std::set<Priorities> m_Known; ///< Grows only.
+  std::set<Priorities> m_Known; ///< Never shrinks.
 };
 
-/// A table that never changes; requests hold the one they began under.
+/// An immutable table; requests keep the one that they began with.
 class RouteTable {
 public:
   explicit RouteTable(RouteTableData Data);
@@ -37,35 +37,35 @@
   [[nodiscard]] RouteTableVersion version() const { return m_Data.m_Version; }
   [[nodiscard]] const RouteTableData &data() const { return m_Data; }
 
-  /// Returns the route of \p Host whose prefix is the longest that begins
+  /// Returns the route of \p Host with the longest path prefix that matches
   /// \p Path, or null. \p Host may be in any case and have a port.
   [[nodiscard]] const Route *find(std::string_view Host,
                                   std::string_view Path) const;
 
-  /// Returns whose key this is, or null.
+  /// Returns the workspace that owns \p Key, or null.
   [[nodiscard]] const KeyHolder *holderOf(const std::string &Key) const;
 
-  /// Returns in which turn a call that waits here goes, among all that the
-  /// table allows: first by the workspace's priority, or the route's where it
-  /// has none, and among equals by the route's.
+  /// Returns the rank of a call in the wait queue: by the workspace's priority,
+  /// or the route's if it has none, and among equals by the route's.
   [[nodiscard]] unsigned urgency(const Route &Which,
                                  const KeyHolder *Holder) const;
 
-  /// Returns the rank of a call at an engine: first by the route's priority and
-  /// among equals by the workspace's. An engine stops its last rank for a more
-  /// urgent call; by the workspace first, a call of an urgent route would be
-  /// stopped while one of a lesser route runs on.
+  /// Returns the rank of a call at an engine: by the route's priority, and
+  /// among equals by the workspace's. An engine preempts its least urgent rank
+  /// for a more urgent call; by the workspace first, a call of an urgent route
+  /// would be preempted while one of a less urgent route runs on.
   [[nodiscard]] unsigned engineRank(const Route &Which,
                                     const KeyHolder *Holder) const;
 
-  /// Returns whether callers bear keys at all.
+  /// Returns whether the table has any keys to check.
   [[nodiscard]] bool hasKeys() const { return !m_Data.m_Workspaces.empty(); }
 
 private:
   RouteTableData m_Data; ///< The pointers below point into it.
-  std::unordered_map<std::string, const Route *> m_ByPlace; ///< Host + prefix.
-  std::unordered_map<std::string, const KeyHolder *> m_ByKey; ///< See holderOf.
-  PriorityRanks m_Turns;       ///< See urgency().
+  std::unordered_map<std::string, const Route *>
+      m_ByPlace; ///< Host + path prefix.
+  std::unordered_map<std::string, const KeyHolder *> m_ByKey; ///< By API key.
+  PriorityRanks m_Turns;       ///< See queueRank().
   PriorityRanks m_EngineRanks; ///< See engineRank().
 };
 
--- a/src/gateway/upstream_list.cpp
+++ b/src/gateway/upstream_list.cpp
@@ -1,4 +1,4 @@
-/// Entries that come and go.
+/// Changes of the list of upstreams.
 #include "gateway/upstream_list.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// A call that is placed at the last moment still has its way to go.
+/// A call that is placed at the last moment still has to be sent.
 constexpr Duration SendMargin = std::chrono::milliseconds(100);
 
 } // namespace
@@ -27,7 +27,7 @@
   const auto Found = m_ByName.find(Name);
   if (Found == m_ByName.end())
     return false;
-  // One that said that it leaves has not lapsed.
+  // A draining upstream's entry was removed and has not expired.
   if (Found->second.m_Leaving || Now >= keptUntil(OutOfReach)) {
     unreadable(Name);
     return false;
@@ -38,7 +38,7 @@
 
 std::vector<std::string> UpstreamList::dropMissing(TimePoint OutOfReach,
                                                    TimePoint Now) {
-  // Upstreams can't renew their entries in a directory that is away once more.
+  // During another outage upstreams can't renew their entries either.
   if (Now < keptUntil(OutOfReach))
     return {};
   std::vector<std::string> Result(m_Missing.begin(), m_Missing.end());
--- a/src/gateway/waiting_room.cpp
+++ b/src/gateway/waiting_room.cpp
@@ -1,4 +1,4 @@
-/// The order in which waiting calls are asked again.
+/// Order in which the placement of waiting calls is retried.
 #include "gateway/waiting_room.h"
 
 #include <algorithm>
@@ -17,8 +17,8 @@
 
 void WaitingRoom::leave(std::uint64_t Number) { m_Calls.erase(Number); }
 
-/// Urgent calls first; among equally urgent ones each workspace's first, then
-/// each one's second, so that a workspace with many calls delays no other's.
+/// The most urgent first; among equals the first call of each workspace, then
+/// the second of each, so that a workspace with many calls delays no other.
 std::vector<std::uint64_t> WaitingRoom::order() const {
   using Rank = std::tuple<balance::Urgency, std::size_t, std::uint64_t>;
   std::map<std::pair<balance::Urgency, std::string>, std::size_t> Seen;
@@ -38,11 +38,11 @@
 
 void WaitingRoom::ask() {
   for (const std::uint64_t Number : order()) {
-    // One that was asked before may have taken another's place with it.
+    // A callback that ran before may have removed this call.
     const auto Found = m_Calls.find(Number);
     if (Found == m_Calls.end())
       continue;
-    // It may give up its place, and with it this function, while it runs.
+    // A copy, since the callback may remove its call while it runs.
     const std::function<void()> AskAgain = Found->second.m_AskAgain;
     AskAgain();
   }
--- a/src/gateway/waiting_room.h
+++ b/src/gateway/waiting_room.h
@@ -1,15 +1,15 @@
 /// Calls that wait in this gateway until an engine has room for them.
 ///
-/// Load: a burst that takes the slots of the engines which keep a call's
-/// beginning. A queue inside an engine can't be moved, is lost with the engine
-/// and lets urgent calls stop others amid their streams; an engine with a free
-/// slot would read the beginning once more. Calls here go on to any engine, and
-/// a refusal is still true.
+/// A burst can take all slots of the engines that hold a call's prefix. A queue
+/// inside an engine can't be moved, is lost with the engine and lets urgent
+/// calls preempt others in the middle of their streams; an engine with a free
+/// slot would have to read the prefix again. Calls that wait here can go to any
+/// engine, and a refusal may still state that they have not run.
 ///
-/// Gateways share the engines' room without an owner: each asks anew with what
-/// it knows of all calls placed by then. Without digests it knows of its own
-/// calls and of engines' reports, engines get more than they have slots for,
-/// and their own queues take the rest.
+/// Gateways share the engines' room without coordination: each tries again with
+/// what it knows of all calls placed by then. Without digests it knows only its
+/// own calls and the engines' load reports; engines then get more calls than
+/// they have slots for, and queue the rest.
 #ifndef CROWSTEP_GATEWAY_WAITING_ROOM_H
 #define CROWSTEP_GATEWAY_WAITING_ROOM_H
 
@@ -23,23 +23,23 @@
 
 namespace crowstep::gateway {
 
-/// What a waiting call is ordered by.
+/// What waiting calls are ordered by.
 struct WaitingCall {
-  balance::Urgency m_Urgency = 0; ///< 0 goes first.
-  std::string m_Workspace;        ///< Whose it is; may be empty.
+  balance::Urgency m_Urgency = 0; ///< 0 is the most urgent.
+  std::string m_Workspace;        ///< Of the call; may be empty.
 };
 
 class WaitingRoom {
 public:
-  /// Calls that wait at once. With bodies of up to 110 KB they take 14 MB, a
+  /// Maximum of waiting calls. With bodies of up to 110 KB they take 14 MB, a
   /// seventh of the smallest instance's memory.
   static constexpr std::size_t MaxCalls = 128;
 
-  /// How often all are asked again: half of the time between two digests, and
-  /// well under the part of a target that a call may wait.
+  /// Interval at which placement of all calls is retried: half of the interval
+  /// of digests, and well under the part of a target that a call may wait.
   static constexpr Duration AskInterval = std::chrono::milliseconds(50);
 
-  /// A place in the room; the call has left it once this is destroyed.
+  /// A place in the queue; destroying it removes the call.
   class Place {
   public:
     ~Place() { m_Room.leave(m_Number); }
@@ -51,8 +51,8 @@
     Place(WaitingRoom &Room, std::uint64_t Number)
         : m_Room(Room), m_Number(Number) {}
 
-    WaitingRoom &m_Room;    ///< Outlives the place.
-    std::uint64_t m_Number; ///< Names the call there.
+    WaitingRoom &m_Room;    ///< Outlives the entry.
+    std::uint64_t m_Number; ///< Key of the call there.
   };
 
   explicit WaitingRoom(Scheduler &Timers) : m_Tick(Timers) {}
@@ -60,13 +60,13 @@
   [[nodiscard]] bool full() const { return m_Calls.size() >= MaxCalls; }
   [[nodiscard]] std::size_t size() const { return m_Calls.size(); }
 
-  /// Takes a call; \p AskAgain runs each AskInterval until the place is given
-  /// up, which it may do itself.
+  /// Adds a call; \p RetryPlacement runs each RetryInterval until the returned
+  /// entry is destroyed, which it may do itself.
   std::unique_ptr<Place> enter(WaitingCall Which,
                                std::function<void()> AskAgain);
 
 private:
-  /// A call and what to do for it.
+  /// A call and the callback that retries its placement.
   struct Waiting {
     WaitingCall m_Call;
     std::function<void()> m_AskAgain;
