--- a/tests/unit/crash_watch_test.cpp
+++ b/tests/unit/crash_watch_test.cpp
@@ -1,5 +1,4 @@
-/// What follows from broken calls: probes, and the list of quarantined
-/// requests.
+/// Consequences of broken calls: probes, and the list of quarantined requests.
 #define BOOST_TEST_MODULE crash_watch
 #include "gateway/crash_watch.h"
 #include "unit/fake_prober.h"
@@ -12,7 +11,7 @@
 
 namespace {
 
-/// Counts what is written; nothing takes effect.
+/// Counts writes, which have no effect.
 class FakeDirectory final : public Directory {
 public:
   void start(DirectoryListener &, const PeerInstance &) override {}
@@ -59,7 +58,7 @@
     m_Balancer.setUpstreams(All);
   }
 
-  /// The request's call breaks at \p Name.
+  /// The connection of a call of the request breaks at \p Name.
   void breaks(const std::string &Name) {
     m_Balancer.quarantine().callBroken(Request, upstreamIdOf(Name),
                                        m_Clock.now());
@@ -90,8 +89,8 @@
   BOOST_TEST(It.m_Prober.m_Done.size() == 2U);
 }
 
-// Guards against an upstream that comes back before it is probed, and one that
-// leaves and is taken for one that crashed.
+// Guards against a crash that is missed because the upstream is up again before
+// it is probed, and against a drained upstream that counts as crashed.
 BOOST_AUTO_TEST_CASE(AnEntryThatGoesWithoutLeavingIsACrash) {
   World It;
   It.breaks("u-1");
@@ -105,8 +104,8 @@
   BOOST_TEST(It.count() == 1U);
 }
 
-// Guards against a quarantine that is not listed before all power is lost, or
-// whose write is lost for good.
+// Guards against a quarantine that is listed too late to survive the loss of
+// all instances, or whose write is lost and not repeated.
 BOOST_AUTO_TEST_CASE(AQuarantineIsListedAtOnceAndUntilItIsSeen) {
   World It;
   for (const char *Name : {"u-1", "u-2", "u-3"})
@@ -120,8 +119,8 @@
   BOOST_TEST(It.m_List.m_Listed == 2);
 }
 
-// Guards against a quarantine whose crashes were each seen elsewhere and that
-// no instance lists.
+// Guards against a quarantine that no instance lists because each of its
+// crashes was observed by a different one.
 BOOST_AUTO_TEST_CASE(ThoseThatSawOneCrashListAQuarantineOfOthers) {
   World It;
   It.crashes("u-1");
@@ -133,7 +132,7 @@
   BOOST_TEST(It.m_List.m_Listed == 1);
 }
 
-// Guards against a list that goes on naming a request that was served.
+// Guards against a request that stays listed after it was served.
 BOOST_AUTO_TEST_CASE(AServedRequestIsTakenOffTheList) {
   World It;
   It.m_Watch.quarantineChanged({Request});
--- a/tests/unit/digest_exchange_test.cpp
+++ b/tests/unit/digest_exchange_test.cpp
@@ -1,4 +1,4 @@
-/// Digests among many instances: a fleet in memory, a clock by hand.
+/// Digests among many instances, with simulated links and a manual clock.
 #define BOOST_TEST_MODULE digest_exchange
 #include "gateway/digest_exchange.h"
 
@@ -12,7 +12,7 @@
 
 class Fabric;
 
-/// One instance's links in memory.
+/// Simulated links of one instance.
 class FakeLinks final : public link::Links {
 public:
   FakeLinks(Fabric &Of, const PeerInstance &Self, link::LinkListener &Listener)
@@ -24,7 +24,7 @@
   void close(link::LinkId) override {}
 
   Fabric &m_Fabric;               ///< Outlives it.
-  PeerInstance m_Self;            ///< Whose.
+  PeerInstance m_Self;            ///< Their owner.
   link::LinkListener &m_Listener; ///< Outlives it.
 };
 
@@ -33,18 +33,18 @@
 public:
   struct Wire {
     FakeLinks *m_From;      ///< Sends.
-    FakeLinks *m_To;        ///< Hears.
+    FakeLinks *m_To;        ///< Receives.
     link::LinkId m_Id;      ///< At the sender.
     link::LinkId m_Other;   ///< At the receiver.
     wire::FrameT m_Waiting; ///< Not delivered.
-    bool m_HasNews = false; ///< Something is waiting.
+    bool m_HasNews = false; ///< m_Waiting is to be sent.
   };
 
   void dial(FakeLinks &From, const Address &Where) {
     m_Dials.emplace_back(&From, Where);
   }
 
-  /// Connects those that have dialled and are there by now.
+  /// Connects dialled instances that are up by now.
   void connect() {
     for (const auto &[From, Where] : m_Dials)
       for (FakeLinks *To : m_All)
@@ -70,7 +70,7 @@
     }
   }
 
-  /// An instance is gone.
+  /// Removes an instance and closes its links.
   void cut(FakeLinks &Gone) {
     std::erase(m_All, &Gone);
     std::vector<Wire> Lost;
@@ -85,7 +85,7 @@
     }
   }
 
-  std::vector<FakeLinks *> m_All;         ///< That are there.
+  std::vector<FakeLinks *> m_All;         ///< Instances that are up.
   std::map<link::LinkId, Wire> m_Wires;   ///< By the sender's id.
   std::map<std::string, int> m_Frames;    ///< Sent, by instance.
   std::array<std::uint64_t, 2> m_Bytes{}; ///< Within, between zones.
@@ -109,8 +109,8 @@
     To.m_Listener.linkUp(Back, peerOf(From));
   }
 
-  std::vector<std::pair<FakeLinks *, Address>> m_Dials; ///< Not connected.
-  std::uint64_t m_Last = 0;                             ///< Link ids.
+  std::vector<std::pair<FakeLinks *, Address>> m_Dials; ///< Not connected yet.
+  std::uint64_t m_Last = 0;                             ///< Last link id.
 };
 
 FakeLinks::~FakeLinks() { m_Fabric.cut(*this); }
@@ -126,8 +126,8 @@
   return Found->second.m_Waiting;
 }
 
-/// An instance with one plain upstream, so that a placement tells all calls
-/// that it knows of.
+/// An instance with one plain upstream, so that a placement shows the number of
+/// all calls that it knows of.
 struct Instance {
   Instance(Fabric &Net, const PeerInstance &Self, const Clock &Time,
            Scheduler &Timers)
@@ -159,7 +159,7 @@
     return std::get<balance::Placed>(m_Balancer.place(Query, Now));
   }
 
-  /// Returns how many calls it knows of, its own and others'.
+  /// Returns the number of calls that it knows of, its own and others'.
   int known(TimePoint Now) {
     const balance::Placed Probe = place(Now);
     m_Balancer.ended(Probe.m_Ticket, balance::CallOutcome::Dropped, Now);
@@ -169,7 +169,7 @@
   PeerInstance m_Self;
   balance::Balancer m_Balancer;
   Metrics m_Stats;
-  std::vector<DirectoryUpdate> m_Updates; ///< Taken.
+  std::vector<DirectoryUpdate> m_Updates; ///< Received.
   FakeLinks *m_Links = nullptr;
   DigestExchange m_Exchange;
 };
@@ -207,7 +207,7 @@
       Each->place(m_Clock.now());
   }
 
-  /// Returns whether all know of just \p Calls calls.
+  /// Returns whether all instances know of exactly \p Calls calls.
   bool allKnow(int Calls) {
     return std::all_of(
         m_Instances.begin(), m_Instances.end(),
@@ -231,8 +231,8 @@
   BOOST_TEST(It.allKnow(9));
 }
 
-// Many instances of four zones: each call is known everywhere within half a
-// second, counted once, though no instance has a link to most of the others.
+// Many instances in four zones: each call is known everywhere within half a
+// second and counted once, though no instance has links to most others.
 BOOST_AUTO_TEST_CASE(ManyKnowOfAllThroughHubs) {
   Fleet It(4, 21);
   BOOST_TEST(It.m_Net.m_Wires.size() < 4U * 21U * 23U);
@@ -241,13 +241,14 @@
   BOOST_TEST(It.allKnow(84));
   It.run(2s);
   BOOST_TEST(It.allKnow(84));
-  // All to all, a digest each 100 ms would be 830 frames a second.
+  // With links between all instances, a digest each 100 ms would be 830 frames
+  // a second.
   for (const auto &[Name, Frames] : It.m_Net.m_Frames)
     BOOST_TEST(Frames < 2.5 * 260);
 }
 
-// A zone's hub is killed in the middle of a load. The next one speaks for the
-// zone; what the others know is stale for a second and then whole again.
+// A zone's hub is killed under load. The next one takes over; the load known to
+// the others is stale for a second and then complete again.
 BOOST_AUTO_TEST_CASE(TheLossOfAHubCutsNoZoneOff) {
   Fleet It(3, 10);
   It.placeOneEach();
@@ -267,7 +268,7 @@
 
 namespace {
 
-/// An upstream crashes under a request, as the instance sees it.
+/// Lets an instance observe that an upstream crashes under a request.
 void crash(Instance &At, std::uint64_t Upstream, TimePoint Now) {
   At.m_Balancer.quarantine().callBroken({1, 1}, UpstreamId(Upstream), Now);
   At.m_Balancer.quarantine().upstreamDown(UpstreamId(Upstream), Now);
@@ -283,7 +284,7 @@
 
 } // namespace
 
-// Guards against crashes that are seen in different zones and never added up.
+// Guards against crashes observed in different zones that are never added up.
 BOOST_AUTO_TEST_CASE(CrashesAddUpAcrossZones) {
   for (const auto &[Zones, InZone] :
        {std::pair(2, 2), std::pair(3, 3), std::pair(4, 21), std::pair(6, 50)}) {
@@ -299,7 +300,7 @@
   }
 }
 
-// Guards against crashes that are lost with the hub that was to pass them on.
+// Guards against crashes that are lost with the hub that was to relay them.
 BOOST_AUTO_TEST_CASE(CrashesOutlastTheirHub) {
   Fleet It(3, 10);
   It.run(1s);
@@ -313,13 +314,14 @@
       });
   for (std::uint64_t I = 1; I <= 3; ++I)
     crash(**Seen, I, It.m_Clock.now());
-  It.run(100ms); // The hub has heard of it.
+  It.run(100ms); // The hub has received the reports.
   It.m_Instances.erase(Hub);
   It.run(1500ms);
   BOOST_TEST(allHold(It));
 }
 
-// The bytes between zones grow with the zones, not with the instances' pairs.
+// The bytes between zones grow with the number of zones, not with the number of
+// pairs of instances.
 BOOST_AUTO_TEST_CASE(FewBytesLeaveAZone) {
   const auto Between = [](int InZone) {
     Fleet It(4, InZone);
@@ -341,7 +343,7 @@
            {"gone", "", DirectoryVersion(5), true}}};
 }
 
-/// Returns the first instance of a zone that has a role.
+/// Returns the first instance with a role in a zone.
 Instance &withRole(Fleet &It, const std::string &Zone, ReadingRole Role) {
   for (const auto &Each : It.m_Instances)
     if (Each->m_Self.m_Zone.m_Name == Zone &&
@@ -356,8 +358,8 @@
 
 } // namespace
 
-// Guards against a zone that has no reader, or two that call the store all the
-// time.
+// Guards against a zone without a reader, or with two instances that call the
+// store continuously.
 BOOST_AUTO_TEST_CASE(EachZoneHasOneReaderAndOneDeputy) {
   Fleet It(3, 10);
   std::map<std::pair<std::string, ReadingRole>, int> Roles;
@@ -373,8 +375,8 @@
               ReadingRole::Alone));
 }
 
-// Guards against updates that reach other zones, lose their bytes or are missed
-// by an instance of the own zone.
+// Guards against updates that reach other zones, are altered or don't reach all
+// instances of the own zone.
 BOOST_AUTO_TEST_CASE(UpdatesGoToTheOwnZone) {
   Fleet It(2, 20);
   withRole(It, "z0", ReadingRole::Reader).m_Exchange.passOn(someUpdate());
@@ -396,8 +398,8 @@
   }
 }
 
-// Guards against an update of an instance that isn't a reader of the zone, or
-// one that contradicts itself: nothing of it is taken, and it is counted.
+// Guards against an update that is applied although its sender isn't a reader
+// of the zone, or it is inconsistent: it must be dropped and counted.
 BOOST_AUTO_TEST_CASE(OnlyReadersOfTheZoneAreBelieved) {
   Fleet It(2, 20);
   Instance &Other = withRole(It, "z0", ReadingRole::Follower);
--- a/tests/unit/directory_relay_test.cpp
+++ b/tests/unit/directory_relay_test.cpp
@@ -1,5 +1,5 @@
-/// Instances of a zone that know the directory from one of them: a zone in
-/// memory, each instance with its own way to the store, a clock by hand.
+/// Instances of a zone that receive the directory from one of them: a simulated
+/// zone with a connection to the store for each instance, and a manual clock.
 #define BOOST_TEST_MODULE directory_relay
 #include "store_directory.h"
 #include "unit/simulated_store.h"
@@ -16,18 +16,18 @@
 
 namespace {
 
-constexpr Duration Drain = 4s;         ///< Bound of what leaves.
-constexpr Duration Contact = 5s;       ///< Until a way that is back counts.
-constexpr Duration Hop = 1ms;          ///< From instance to instance.
-constexpr Duration AllWaitsOver = 31s; ///< Of calls from before the roles.
-constexpr Duration Look = 10ms;        ///< Between two looks at the lists.
+constexpr Duration Drain = 4s;         ///< Limit for removals.
+constexpr Duration Contact = 5s;       ///< Limit after an outage.
+constexpr Duration Hop = 1ms;          ///< Delay between instances.
+constexpr Duration AllWaitsOver = 31s; ///< Of long polls begun without a role.
+constexpr Duration Look = 10ms;        ///< Step between two checks.
 
-/// An instance's way to the store.
+/// State of an instance's connection to the store.
 enum class Way : std::uint8_t {
   Open,
-  Cut,     ///< Nothing comes back.
-  Refused, ///< Turned away.
-  Held,    ///< Answers come once it is open again.
+  Cut,     ///< No answer arrives.
+  Refused, ///< Calls are refused.
+  Held,    ///< Answers are delayed until it is open again.
 };
 
 class GatedStore final : public Store {
@@ -108,8 +108,8 @@
   Zone &m_Zone;
   std::size_t m_Number;
   Way m_Way = Way::Open;
-  Duration m_Delay = Hop;        ///< Of what it passes on.
-  bool m_LinksCut = false;       ///< Nothing that it passes on arrives.
+  Duration m_Delay = Hop;        ///< Of updates that it sends.
+  bool m_LinksCut = false;       ///< Updates that it sends are lost.
   std::uint64_t m_Version = 0;   ///< Of the table in force.
   std::set<std::string> m_Names; ///< Upstreams that may be used.
   Metrics m_Stats;
@@ -132,7 +132,7 @@
     m_Timers.advance(4s);
     for (const auto &Each : m_All)
       Each->m_Directory->setReadingRole(roleOf(Each->m_Number));
-    // Calls that began before the roles were known end with the next change.
+    // Long polls that began before the roles were set end with the next change.
     list("d");
     m_Store.put("op", "config", manifest(2));
     m_Timers.advance(10s);
@@ -170,7 +170,7 @@
                        [&](const auto &Each) { return Holds(*Each); });
   }
 
-  /// Returns how long it takes until all instances with an open way and links
+  /// Returns the time until all instances with an open connection to the store
   /// meet a condition, at most \p Limit.
   template <typename Test> Duration until(Test Holds, Duration Limit) {
     Duration Result{};
@@ -206,8 +206,8 @@
   m_Zone.broadcast(*this, Update);
 }
 
-/// Plays \p Job with each draw of back-offs and at many moments of the time in
-/// which a reader calls the store again.
+/// Runs a scenario with several random draws of backoffs, and starting at many
+/// moments of the time between two calls of a reader to the store.
 template <typename Job> void atAnyMoment(Job Play) {
   for (const double Draw : {0.0, 0.5, 0.999})
     for (Duration Moment{}; Moment < 2s; Moment += 130ms)
@@ -221,7 +221,7 @@
 
 } // namespace
 
-// Guards against calls to the store that grow as instances times changes.
+// Guards against calls to the store in proportion to instances times changes.
 BOOST_AUTO_TEST_CASE(FollowersLeaveTheStoreAlone) {
   const auto CallsIn = [](std::size_t Count) {
     Zone It(Count);
@@ -244,7 +244,7 @@
   BOOST_TEST(CallsIn(50) <= OfFive);
 }
 
-// Guards against a follower that learns late what the reader has read.
+// Guards against a follower that receives late what the reader has read.
 BOOST_AUTO_TEST_CASE(ChangesReachFollowersAtOnce) {
   Zone It(5);
   It.unlist("a");
@@ -254,8 +254,8 @@
                        Drain) < 100ms));
 }
 
-// Guards against followers that trust a reader which has lost its way to the
-// store, stands still, or is no longer heard.
+// Guards against followers that rely on a reader which can't reach the store,
+// is frozen, or whose updates are lost.
 BOOST_AUTO_TEST_CASE(AnUpstreamLeavesWhileTheReaderIsInTrouble) {
   for (const Way How : {Way::Cut, Way::Refused, Way::Held})
     atAnyMoment([How](Zone &It) {
@@ -283,8 +283,8 @@
   });
 }
 
-// Guards against updates that were held up on their way and look fresh as they
-// come.
+// Guards against updates that were delayed on the way and count as fresh when
+// they arrive.
 BOOST_AUTO_TEST_CASE(HeldUpUpdatesAreOld) {
   atAnyMoment([](Zone &It) {
     for (const std::size_t Number : {0, 1})
@@ -295,8 +295,8 @@
   });
 }
 
-// Guards against an upstream or table that comes back with an old update, from
-// a reader that stood still.
+// Guards against a removed upstream or old table that is restored by an old
+// update, from a reader that was frozen.
 BOOST_AUTO_TEST_CASE(ALateUpdateTakesNothingBack) {
   Zone It(5);
   It.m_All[0]->m_Way = Way::Held;
@@ -318,11 +318,11 @@
   }
 }
 
-// Guards against a follower that misses an update and believes that it has all.
+// Guards against a follower that misses an update without noticing it.
 BOOST_AUTO_TEST_CASE(AMissedUpdateIsReadFromTheStore) {
   Zone It(5);
   It.m_All[0]->m_LinksCut = true;
-  It.m_All[1]->m_LinksCut = true; // Else the deputy makes up for it.
+  It.m_All[1]->m_LinksCut = true; // Else the deputy sends it.
   It.unlist("a");
   It.m_Timers.advance(100ms);
   It.m_All[0]->m_LinksCut = false;
@@ -332,9 +332,9 @@
   BOOST_TEST((It.untilDropped("b", Drain) < 2s));
 }
 
-// Guards against callers that are refused for want of an upstream after an
-// outage in which all entries lapsed, and against one that stays in use
-// although it left then.
+// Guards against callers that are refused for lack of upstreams after an outage
+// in which all entries expired, and against an upstream that stays in use
+// although it was removed then.
 BOOST_AUTO_TEST_CASE(EntriesLapseInAnOutage) {
   atAnyMoment([](Zone &It) {
     It.m_Store.setMode(SimulatedStore::Mode::Refusing);
@@ -357,8 +357,8 @@
   });
 }
 
-// Guards against a storm of calls to a store that is away: an instance makes
-// fewer than two a second.
+// Guards against overload of the store by retries during an outage: an instance
+// makes fewer than two calls a second.
 BOOST_AUTO_TEST_CASE(AnOutageIsMetWithFewCalls) {
   Zone It(50);
   It.m_Timers.advance(AllWaitsOver);
@@ -370,8 +370,9 @@
   BOOST_TEST(It.m_Store.calls() - Before < 50 * 10 * 2U);
 }
 
-// Guards against a table taken as known because it was read from an old copy:
-// the reader passes on what it found, and vouches for nothing.
+// Guards against a table that counts as current although it was read from an
+// old copy: the reader sends what it has read, but no time at which it was
+// current.
 BOOST_AUTO_TEST_CASE(HistoryIsLostAtTheReader) {
   atAnyMoment([](Zone &It) {
     It.m_Store.dropHistory();
--- a/tests/unit/fake_prober.h
+++ b/tests/unit/fake_prober.h
@@ -1,4 +1,4 @@
-/// Probes of upstreams that a test answers.
+/// Probes of upstreams whose results a test sets.
 #ifndef CROWSTEP_TESTS_UNIT_FAKE_PROBER_H
 #define CROWSTEP_TESTS_UNIT_FAKE_PROBER_H
 
@@ -17,7 +17,7 @@
     m_Done.push_back(std::move(OnDone));
     return std::make_unique<UpstreamProbe>();
   }
-  std::vector<ProbeDone> m_Done; ///< All, in order.
+  std::vector<ProbeDone> m_Done; ///< Of all probes, in order.
 };
 
 } // namespace crowstep::test
--- a/tests/unit/forwarded_request_test.cpp
+++ b/tests/unit/forwarded_request_test.cpp
@@ -1,5 +1,5 @@
-/// One request through the gateway, with fakes of caller and upstreams: what a
-/// caller is told after each way in which a call can end.
+/// One request through the gateway, with a fake caller and fake upstreams: the
+/// caller's answer after each way in which a call can end.
 #define BOOST_TEST_MODULE forwarded_request
 #include "gateway/forwarded_request.h"
 #include "unit/fake_prober.h"
@@ -14,14 +14,14 @@
 
 namespace {
 
-/// What the caller saw.
+/// What the caller received.
 struct Seen {
-  std::vector<CallerAnswer> m_Answers; ///< Whole ones.
-  std::string m_Stream;                ///< Of a streamed one.
-  bool m_Ended = false;                ///< The stream is whole.
-  bool m_Dropped = false;              ///< Cut without an end.
-  bool m_Left = false;                 ///< The caller closes.
-  std::function<void()> m_Gone;        ///< To be told of that.
+  std::vector<CallerAnswer> m_Answers; ///< Without a stream.
+  std::string m_Stream;                ///< Bytes of a stream.
+  bool m_Ended = false;                ///< The stream is complete.
+  bool m_Dropped = false;              ///< Closed before its end.
+  bool m_Left = false;                 ///< The caller closed its connection.
+  std::function<void()> m_Gone;        ///< Runs when it does.
 };
 
 class FakeCaller final : public Caller {
@@ -45,10 +45,10 @@
   Seen &m_Seen; ///< Outlives the caller.
 };
 
-/// A call that a test plays; marks itself stopped when it is destroyed.
+/// A call whose answer a test plays; it is marked when its handle is destroyed.
 struct PlayedCall {
-  UpstreamSend m_What;          ///< As it was sent.
-  UpstreamListener *m_Listener; ///< To be told.
+  UpstreamSend m_What;          ///< As sent.
+  UpstreamListener *m_Listener; ///< Receives the answer.
   bool m_Stopped = false;       ///< The gateway closed it.
 };
 
@@ -112,7 +112,7 @@
 
   explicit World(RouteKind Kind, unsigned MaxAttempts = 2, HeaderList More = {},
                  const UpstreamKind &Upstreams = PlainService{4}) {
-    // Two repeats without any earned by calls.
+    // The budget allows two retries before any calls add to it.
     m_Budget.setInstances(21, m_Clock.now() - 10s);
     std::vector<Upstream> List;
     for (int I = 0; I < 3; ++I) {
@@ -147,7 +147,7 @@
     m_Request->start();
   }
 
-  /// Another call at each upstream.
+  /// Places another call at each upstream.
   void takeAllSlots() {
     balance::PlacementQuery Query;
     Query.m_Service = "s";
@@ -179,7 +179,7 @@
     head(Index, 503, {{"Call-Not-Run", "1"}});
   }
 
-  /// The only answer, which must be there.
+  /// Returns the only answer, which is required.
   const CallerAnswer &answer() {
     BOOST_REQUIRE(m_Seen.m_Answers.size() == 1U);
     BOOST_TEST(m_Finished == 1);
@@ -201,8 +201,8 @@
 
 } // namespace
 
-/// Method, target and body go out unchanged; what the gateway must set is set,
-/// whatever the caller sent; and the answer comes back as the upstream made it.
+/// Method, target and body are forwarded unchanged; the gateway's headers are
+/// set, whatever the caller sent; and the answer is returned unchanged.
 BOOST_AUTO_TEST_CASE(ARequestAndItsAnswerPassUnchanged) {
   World It(AtMostOnce, 1,
            {{"X-Other", "kept"},
@@ -232,8 +232,8 @@
   BOOST_TEST(It.answerHas("Call-Signed"));
 }
 
-/// A seat hold is sent, and its connection breaks. It may have run: it must not
-/// be sent again, and the caller must not be told that it has not run.
+/// The connection of a call that may run only once breaks. It may have run, so
+/// it must not be retried, and the caller must not be told that it has not run.
 BOOST_AUTO_TEST_CASE(ABrokenCallThatMayHaveRunIsNotRepeated) {
   World It(AtMostOnce);
   It.end(0, TransportEnd::Broken);
@@ -243,8 +243,9 @@
   BOOST_TEST(!It.answerHas("Retry-After"));
 }
 
-/// The upstream says that it did not run the call: another one gets it, and
-/// when the route allows no more the caller is told "not run" and when to come.
+/// The upstream states that it did not run the call: the call is retried at
+/// another one. When the route allows no further attempt, the caller is told
+/// "not run" and when to retry.
 BOOST_AUTO_TEST_CASE(OnlyTheUpstreamsWordProvesNotRun) {
   World It(AtMostOnce, 2);
   It.refusedBy(0);
@@ -257,7 +258,7 @@
   BOOST_TEST(It.answerHas("Retry-After"));
 }
 
-/// The call was refused once with proof and broke the second time: one unknown
+/// The first attempt was refused with proof and the second broke: one unknown
 /// outcome is enough to forbid "not run".
 BOOST_AUTO_TEST_CASE(ProofOfOneCallIsNoProofOfAnother) {
   World It(AtMostOnce, 2);
@@ -266,7 +267,7 @@
   BOOST_TEST(It.answer().m_Status == 502U);
 }
 
-/// A sick upstream answers 503 without saying that it did not run the call.
+/// An upstream answers 503 without the statement that it did not run the call.
 /// Passed on, the status would promise just that.
 BOOST_AUTO_TEST_CASE(A503WithoutProofIsNotPassedOn) {
   for (const unsigned Status : {408U, 429U, 503U}) {
@@ -278,8 +279,9 @@
   }
 }
 
-/// An error of the upstream's own counts as run: passed on with its signature
-/// and status where the call may not run again, tried elsewhere where it may.
+/// An error of the upstream itself counts as run: it is passed on with
+/// signature and status if the call may run only once, and retried elsewhere
+/// otherwise.
 BOOST_AUTO_TEST_CASE(UpstreamErrorsArePassedOnOrRepeated) {
   World Once(AtMostOnce, 2);
   Once.head(0, 500, {{"Call-Signed", "s"}});
@@ -297,7 +299,7 @@
   BOOST_TEST(Again.answer().m_Status == 200U);
 }
 
-/// The answer to an earlier call comes late on a kept connection, or bytes come
+/// A late answer to an earlier call arrives on a kept connection, or an answer
 /// that no upstream signed. Neither may reach this caller.
 BOOST_AUTO_TEST_CASE(ForeignAndUnsignedAnswersReachNobody) {
   World Foreign(Idempotent, 2);
@@ -314,7 +316,8 @@
 }
 
 /// No connection could be made: nothing was sent, so even a call that may run
-/// once goes to another upstream; after the last the caller is told "not run".
+/// only once goes to another upstream; after the last one the caller is told
+/// "not run".
 BOOST_AUTO_TEST_CASE(CallsThatWereNeverSentGoElsewhere) {
   World It(AtMostOnce, 1);
   It.end(0, TransportEnd::NotSent);
@@ -325,7 +328,7 @@
   BOOST_TEST((It.answer().m_State == RunState::NotRun));
 }
 
-/// The route's time is over. A call that is on its way may have run: 504.
+/// The deadline passes. A call that is in progress may have run: 504.
 BOOST_AUTO_TEST_CASE(TheRoutesTimeEndsARequestAtOnce) {
   World It(AtMostOnce, 1, {{"Call-Time-Ms", "900"}});
   It.m_Timers.advance(899ms);
@@ -336,8 +339,8 @@
   BOOST_TEST((It.answer().m_State == RunState::Unknown));
 }
 
-/// The caller closes its connection: the upstream's work stops at once, and
-/// nothing more is sent for it.
+/// The caller closes its connection: the upstream call is ended at once, and
+/// there is no further attempt.
 BOOST_AUTO_TEST_CASE(ACallerThatLeavesStopsTheWork) {
   World It(Resumable, 2);
   It.m_Seen.m_Left = true;
@@ -347,8 +350,9 @@
   BOOST_TEST(It.m_Finished == 1);
 }
 
-/// The caller left while the process was frozen: the last check before the
-/// first byte finds it out, and so it does for an upstream that is leaving.
+/// The caller closed its connection while the process was frozen: the last
+/// check before the first byte detects that, and also an upstream that was
+/// removed.
 BOOST_AUTO_TEST_CASE(TheLastCheckBeforeTheFirstByte) {
   World It(AtMostOnce, 1);
   BOOST_TEST(It.call(0).m_What.m_Wanted());
@@ -362,9 +366,9 @@
   BOOST_TEST(Left.m_Finished == 1);
 }
 
-/// A stream breaks in the middle of an event. The caller has events 1 and 2
-/// whole; the next upstream goes on after 2 and repeats it; the caller sees
-/// each event once, in order, and a whole stream.
+/// A stream breaks in the middle of an event. The caller has events 1 and 2;
+/// the next upstream resumes after 2 but repeats it; the caller receives each
+/// event once, in order, and a complete stream.
 BOOST_AUTO_TEST_CASE(AResumableStreamGoesOnElsewhere) {
   World It(Resumable, 2);
   It.good(0);
@@ -381,8 +385,8 @@
   BOOST_TEST(!It.m_Seen.m_Dropped);
 }
 
-/// A stream that may not go on elsewhere breaks, or ends within an event: the
-/// caller must see that it is not whole.
+/// A stream that is not resumable breaks, or ends within an event: the caller
+/// must see that it is incomplete.
 BOOST_AUTO_TEST_CASE(ABrokenStreamIsVisiblyBroken) {
   for (const TransportEnd How :
        {TransportEnd::Broken, TransportEnd::Complete}) {
@@ -397,8 +401,8 @@
   }
 }
 
-/// A caller resumes by itself: the upstream is told where, and no event that
-/// the caller has comes again.
+/// A caller resumes a stream itself: the upstream is told where, and no event
+/// that the caller has is sent again.
 BOOST_AUTO_TEST_CASE(ACallersOwnResumptionIsPassedOn) {
   World It(Resumable, 2, {{"Call-After", "7"}});
   BOOST_TEST(*findHeader(It.call(0).m_What.m_Headers, "Call-After") == "7");
@@ -408,8 +412,8 @@
   BOOST_TEST(It.m_Seen.m_Stream == event(8));
 }
 
-/// The upstream falls silent and nothing comes from it on any call: a call that
-/// may run again goes elsewhere. One that may not waits for the end.
+/// The upstream sends nothing on any call: a retryable call goes to another
+/// one, and one that may run only once waits for its deadline.
 BOOST_AUTO_TEST_CASE(ASilentUpstreamIsLeftByRepeatableCalls) {
   World Again(Idempotent, 2);
   Again.m_Timers.advance(2s);
@@ -420,20 +424,20 @@
   BOOST_TEST(Once.calls() == 1U);
 }
 
-/// An upstream that is only loaded gives signs of life on other calls; a second
-/// copy of the call would add to the load that makes it wait.
+/// A loaded upstream still sends bytes on other calls; a second copy of the
+/// call would add to the load that delays it.
 BOOST_AUTO_TEST_CASE(ALoadedUpstreamIsNotAskedTwice) {
   World It(Idempotent, 2);
   for (int I = 0; I < 20; ++I) {
-    // The ticket of the only call is 1.
+    // The ticket of the only call has id 1.
     It.m_Balancer.heard(balance::TicketId(1), It.m_Clock.now());
     It.m_Timers.advance(100ms);
   }
   BOOST_TEST(It.calls() == 1U);
 }
 
-/// All slots are taken when the call comes. It waits in the gateway, where
-/// nothing has been sent, and goes out as soon as one of the calls there ends.
+/// All slots are taken when the call arrives. It waits in the gateway, with
+/// nothing sent, and is placed as soon as one of the other calls ends.
 BOOST_AUTO_TEST_CASE(ACallWaitsForRoom) {
   World It(NotResumable, 1, {{"Call-Prompt", "100"}}, Engine{1});
   It.m_Timers.advance(100ms);
@@ -446,8 +450,8 @@
   BOOST_TEST(It.m_Waiting.size() == 0U);
 }
 
-/// No slot comes free. At two fifths of its target the caller is told that the
-/// call has not run and when to come back; it is not held to its deadline.
+/// No slot becomes free. At two fifths of the latency target the caller is told
+/// that the call has not run and when to retry, well before its deadline.
 BOOST_AUTO_TEST_CASE(ACallThatWaitedInVainIsRefused) {
   World It(NotResumable, 1, {{"Call-Prompt", "100"}}, Engine{1});
   It.m_Timers.advance(200ms);
@@ -459,7 +463,7 @@
   BOOST_TEST(It.m_Waiting.size() == 0U);
 }
 
-/// The caller leaves while its call waits: nothing is ever sent for it.
+/// The caller closes its connection while its call waits: nothing is sent.
 BOOST_AUTO_TEST_CASE(ACallerLeavesWhileItsCallWaits) {
   World It(NotResumable, 1, {{"Call-Prompt", "100"}}, Engine{1});
   It.m_Timers.advance(50ms);
@@ -472,8 +476,8 @@
   BOOST_TEST(It.m_Finished == 1);
 }
 
-// Guards against a request that is sent on although it has crashed three
-// upstreams, and an answer to it that is not true or has no time.
+// Guards against a quarantined request, which has crashed three upstreams, that
+// is forwarded, or refused with a wrong run state or without Retry-After.
 BOOST_AUTO_TEST_CASE(AQuarantinedRequestIsRefusedBeforeAnyUpstream) {
   for (const RouteKind &Kind : {AtMostOnce, Idempotent, Resumable}) {
     World It(Kind, 3);
@@ -488,8 +492,8 @@
   }
 }
 
-// Guards against a caller that is told "not run" of a request which has run and
-// is then quarantined.
+// Guards against a caller that is told "not run" for a request that may have
+// run and was quarantined afterwards.
 BOOST_AUTO_TEST_CASE(ARequestThatRanAndIsQuarantinedMayHaveRun) {
   World It(Idempotent, 3);
   It.m_Balancer.quarantine().setListed({contentOfRequest()}, It.m_Clock.now());
@@ -499,8 +503,8 @@
   BOOST_TEST(!It.answerHas("Retry-After"));
 }
 
-// Guards against a crash that is not looked for, or looked for twice, and a
-// connection that broke for another reason and counts as one.
+// Guards against a broken call without a probe, or with two, and against a
+// connection that broke for another reason and counts as a crash.
 BOOST_AUTO_TEST_CASE(ABrokenCallIsACrashWhereNobodyListens) {
   for (const auto &[Found, Crashes] : {std::pair(ConnectOutcome::Refused, 1U),
                                        std::pair(ConnectOutcome::Failed, 0U),
@@ -517,7 +521,7 @@
   }
 }
 
-// Guards against a limit that is not read from a refusal, or is ended by one.
+// Guards against a limit that is not read from a refusal, or cleared by one.
 BOOST_AUTO_TEST_CASE(ALimitIsReadFromAnyAnswer) {
   World It(Idempotent, 3);
   const UpstreamId First = upstreamIdOf(It.upstreamOf(0));
--- a/tests/unit/plain_codec.h
+++ b/tests/unit/plain_codec.h
@@ -1,5 +1,5 @@
-/// A codec with headers of the tests' own, for code that must not know how any
-/// platform spells them.
+/// A codec with headers of the tests' own, for code that must not depend on a
+/// platform's header names.
 #ifndef CROWSTEP_TESTS_UNIT_PLAIN_CODEC_H
 #define CROWSTEP_TESTS_UNIT_PLAIN_CODEC_H
 
--- a/tests/unit/reading_duty_test.cpp
+++ b/tests/unit/reading_duty_test.cpp
@@ -1,4 +1,4 @@
-/// Who calls the directory for a zone.
+/// Which instances of a zone call the directory, and how often.
 #define BOOST_TEST_MODULE reading_duty
 #include "gateway/reading_duty.h"
 
@@ -22,8 +22,8 @@
 
 } // namespace
 
-// Guards against a zone in which all call the directory when its reader is
-// gone: the deputy is before the others.
+// Guards against a zone in which all instances call the directory when its
+// reader has failed: the deputy calls before the followers.
 BOOST_AUTO_TEST_CASE(TheDeputyCallsBeforeFollowers) {
   BOOST_TEST((duty(ReadingRole::Alone).freshFor(Now) == 0s));
   BOOST_TEST((duty(ReadingRole::Reader).freshFor(Now) == 0s));
@@ -40,8 +40,8 @@
   BOOST_TEST((Duty.age(Now + 500ms) == 500ms));
 }
 
-// Guards against a reader whose answers are too rare to lose one of them, and
-// against followers that storm a directory which is away.
+// Guards against a reader whose calls are answered too rarely for one answer to
+// be lost, and against followers that overload a directory after an outage.
 BOOST_AUTO_TEST_CASE(ReadersCallOftenAndFollowersPatiently) {
   for (const ReadingRole Role : {ReadingRole::Reader, ReadingRole::Deputy})
     BOOST_TEST((duty(Role).waitOfCall() == 1s));
--- a/tests/unit/route_table_test.cpp
+++ b/tests/unit/route_table_test.cpp
@@ -1,4 +1,4 @@
-/// Lookups in the route table and the checks before a request is placed.
+/// Lookups in the route table and the admission checks of a request.
 #define BOOST_TEST_MODULE route_table
 #include "gateway/admission.h"
 #include "unit/plain_codec.h"
@@ -61,8 +61,8 @@
   BOOST_TEST(Table->find("none.example", "/a/") == nullptr);
 }
 
-/// The workspace's priority goes before the route's, and the route's decides
-/// among equals: two kinds of call of one workspace are never one rank.
+/// In the wait queue the workspace's priority decides, then the route's: calls
+/// of one workspace on routes of different priority have different ranks.
 BOOST_AUTO_TEST_CASE(UrgencyIsByWorkspaceThenRoute) {
   const RouteTablePtr Table = table();
   const Route &Urgent = *Table->find("api.example", "/a/x");
@@ -74,8 +74,8 @@
   BOOST_TEST(Table->urgency(Urgent, Plain) == Table->urgency(Urgent, First));
 }
 
-/// Guards against an engine that stops a call of an urgent route while one of a
-/// lesser route runs on, as that one's workspace goes first.
+/// Guards against an engine that preempts a call of an urgent route while one
+/// of a less urgent route runs on because of its workspace's priority.
 BOOST_AUTO_TEST_CASE(AtAnEngineNoRouteYieldsToALesserOne) {
   RouteTableData Data;
   Data.m_Routes = {route("/urgent/", 0), route("/slow/", 2)};
@@ -91,13 +91,13 @@
                  Table.engineRank(Slow, Other));
   BOOST_TEST(Table.engineRank(Urgent, First) < Table.engineRank(Urgent, Later));
   BOOST_TEST(Table.engineRank(Slow, First) < Table.engineRank(Slow, Later));
-  // Calls that wait here go by the workspace first.
+  // In the wait queue the workspace decides first.
   BOOST_TEST(Table.urgency(Slow, First) < Table.urgency(Urgent, Later));
 }
 
 BOOST_AUTO_TEST_CASE(EveryRefusalHasItsReason) {
   const RouteTablePtr Table = table();
-  // Nothing is known yet, so nothing can be said not to be there.
+  // Without a table it is unknown whether a path exists.
   BOOST_TEST((refusal(request("/none"), nullptr) == RefusalReason::NotInForce));
   BOOST_TEST((refusal(request("/none"), Table) == RefusalReason::UnknownPath));
   BOOST_TEST((refusal(request("/a/x"), Table) == RefusalReason::MissingKey));
--- a/tests/unit/simulated_store.h
+++ b/tests/unit/simulated_store.h
@@ -1,5 +1,5 @@
-/// A store in virtual time, as one instance meets it: its rows, and a way to it
-/// that can be cut, turned away or left without history.
+/// A store in virtual time, as seen by one instance: its rows, and a connection
+/// that can be cut, refused, throttled or left without change history.
 #ifndef CROWSTEP_TESTS_UNIT_SIMULATED_STORE_H
 #define CROWSTEP_TESTS_UNIT_SIMULATED_STORE_H
 
@@ -15,20 +15,20 @@
 
 class SimulatedStore {
 public:
-  /// What becomes of calls.
+  /// What happens to calls.
   enum class Mode : std::uint8_t {
     Up,        ///< Answered.
-    Cut,       ///< Nothing comes back.
-    Silent,    ///< Calls are taken and never answered; earlier ones still are.
+    Cut,       ///< No answer arrives.
+    Silent,    ///< New calls are accepted and not answered; earlier ones are.
     Refusing,  ///< Refused at once.
-    Throttling ///< Told at once that there are too many calls.
+    Throttling ///< Rejected at once because of too many calls.
   };
 
-  /// \p Time advances with \p Timers; the store's own clock shows another hour.
+  /// \p Time advances with \p Timers; the store's own clock is an hour ahead.
   SimulatedStore(const Clock &Time, ManualScheduler &Timers)
       : m_Clock(Time), m_Timers(Timers) {}
 
-  /// Returns the instance's client; the store outlives it.
+  /// Returns a client for the instance; the store outlives it.
   std::unique_ptr<adapter::Store> client() {
     return std::make_unique<Client>(*this);
   }
@@ -44,8 +44,8 @@
     wakeWaiting();
   }
 
-  /// Calls that wait end as the mode says: refused ones at once, cut ones when
-  /// the probes of their connection have found nothing.
+  /// Ends waiting calls according to the mode: at once if refused or throttled,
+  /// after the keepalive timeout of their connection if cut.
   void setMode(Mode To) {
     m_Mode = To;
     if (To == Mode::Cut)
@@ -59,16 +59,16 @@
       wakeWaiting();
   }
 
-  /// Resets the connections of the calls that wait.
+  /// Resets the connections of waiting calls.
   void reset() { endWaiting(adapter::StoreFailure::Unreachable); }
 
-  /// Forgets all changes so far and tells those who wait.
+  /// Drops the history of all changes so far, which fails waiting calls.
   void dropHistory() {
     m_Oldest = m_Version;
     endWaiting(adapter::StoreFailure::HistoryGone);
   }
 
-  /// Returns how many calls were made.
+  /// Returns the number of calls so far.
   [[nodiscard]] std::uint64_t calls() const { return m_Calls; }
 
 private:
@@ -76,11 +76,11 @@
   static constexpr Duration AnswerTime = std::chrono::milliseconds(4);
   static constexpr Duration ProbesGiveUp = std::chrono::seconds(3);
 
-  /// A call that waits for changes.
+  /// A long poll for changes.
   struct Waiting {
-    std::string m_Table;        ///< Whose changes.
+    std::string m_Table;        ///< To be watched.
     std::uint64_t m_After;      ///< Version.
-    Done m_Done;                ///< To be answered.
+    Done m_Done;                ///< Receives the result.
     std::uint64_t m_Number = 0; ///< Of the call.
   };
 
@@ -132,7 +132,7 @@
     }
   }
 
-  /// A call has waited as long as it asked for.
+  /// Answers a call that has waited as long as it asked for.
   void endWait(std::uint64_t Number) {
     const auto Found = std::find_if(
         m_Waiting.begin(), m_Waiting.end(),
@@ -168,7 +168,7 @@
       Result.m_Version = adapter::StoreVersion(m_Version);
       Result.m_AnsweredAt = time();
       for (const auto &[Key, Row] : m_Tables[To.m_Table])
-        // A table read whole has no rows that are gone.
+        // A read of a whole table contains no removed rows.
         if (Row.m_Version.value() > To.m_After &&
             !(To.m_After == 0 && Row.m_Gone))
           Result.m_Rows.push_back(Row);
@@ -201,11 +201,11 @@
   Mode m_Mode = Mode::Up;      ///< See setMode().
   std::uint64_t m_Calls = 0;   ///< Of all clients.
   std::uint64_t m_Version = 0; ///< Of the last change.
-  std::uint64_t m_Oldest = 0;  ///< Changes up to it are forgotten.
+  std::uint64_t m_Oldest = 0;  ///< History begins after it.
   std::map<std::string, std::map<std::string, adapter::StoreRow>>
-      m_Tables;                 ///< With rows that are gone.
-  std::list<Waiting> m_Waiting; ///< For changes.
-  std::uint64_t m_LastCall = 0; ///< That waited.
+      m_Tables;                 ///< Including removed rows.
+  std::list<Waiting> m_Waiting; ///< Long polls.
+  std::uint64_t m_LastCall = 0; ///< Number of the last long poll.
 };
 
 } // namespace crowstep::test
--- a/tests/unit/waiting_room_test.cpp
+++ b/tests/unit/waiting_room_test.cpp
@@ -1,4 +1,4 @@
-/// Order and bounds of calls that wait for room.
+/// Order and limits of calls that wait for room.
 #define BOOST_TEST_MODULE waiting_room
 #include "gateway/waiting_room.h"
 
@@ -27,8 +27,8 @@
 } // namespace
 
 /// One workspace sends many calls at once, another one a single call later.
-/// The single call is asked right after the first of the many, not after all of
-/// them; more urgent calls go before either.
+/// Placement of the single call is retried right after the first of the many,
+/// not after all of them; more urgent calls come before both.
 BOOST_AUTO_TEST_CASE(UrgentCallsAndEachWorkspaceComeInTurn) {
   World It;
   for (int I = 0; I < 4; ++I)
@@ -40,9 +40,9 @@
              boost::test_tools::per_element());
 }
 
-/// A call that finds room gives up its place while it is asked, and another one
-/// whose caller leaves does so at the same moment. Neither is asked again, and
-/// the room does nothing once it is empty.
+/// A callback removes its own call, which has found room, and another one whose
+/// caller has closed its connection. Neither callback runs again, and the queue
+/// stops its timer once it is empty.
 BOOST_AUTO_TEST_CASE(ACallLeavesWhileItIsAsked) {
   World It;
   std::unique_ptr<WaitingRoom::Place> Second;
@@ -58,7 +58,7 @@
   BOOST_TEST(It.m_Room.size() == 0U);
 }
 
-/// The room is bounded: what it holds are whole requests in memory.
+/// The queue is bounded, as it holds whole requests in memory.
 BOOST_AUTO_TEST_CASE(TheRoomIsBounded) {
   World It;
   for (std::size_t I = 0; I < WaitingRoom::MaxCalls; ++I) {
