--- a/src/gateway/crash_watch.cpp
+++ b/src/gateway/crash_watch.cpp
@@ -8,9 +8,9 @@
 namespace crowstep::gateway {
 
 CrashWatch::CrashWatch(const Clock &Time, Scheduler &Timers,
-                       balance::Balancer &Loads, UpstreamProber &Prober,
+                       balance::Balancer &Balancer, UpstreamProber &Prober,
                        Metrics &Stats)
-    : m_Clock(Time), m_Balancer(Loads), m_Prober(Prober),
+    : m_Clock(Time), m_Balancer(Balancer), m_Prober(Prober),
       m_Crashes(Stats.counter("crowstep_upstream_crashes_total")),
       m_Quarantined(Stats.gauge("crowstep_requests_quarantined")),
       m_KeepList(Timers), m_Sweep(Timers) {
@@ -19,44 +19,42 @@
 
 CrashWatch::~CrashWatch() { m_Balancer.quarantine().setListener(nullptr); }
 
-void CrashWatch::callBroken(UpstreamId Which, const Address &Where) {
-  if (m_Probes.contains(Which))
+void CrashWatch::callBroken(UpstreamId Id, const Address &Where) {
+  if (m_Probes.contains(Id))
     return;
-  m_Probes[Which] =
-      m_Prober.probe(Where, ProbeLimit, [this, Which](ConnectOutcome Result) {
-        probed(Which, Result);
-      });
+  m_Probes[Id] =
+      m_Prober.probe(Where, ProbeLimit,
+                     [this, Id](ConnectOutcome Result) { probed(Id, Result); });
 }
 
-void CrashWatch::probed(UpstreamId Which, ConnectOutcome Result) {
-  auto Node = m_Probes.extract(Which);
+void CrashWatch::probed(UpstreamId Id, ConnectOutcome Result) {
+  auto Node = m_Probes.extract(Id);
   m_Ended.push_back(std::move(Node.mapped()));
   // The probe is on the call stack here.
   m_Sweep.start(Duration::zero(), [this] { m_Ended.clear(); });
   if (Result == ConnectOutcome::Refused)
-    upstreamDown(Which, "refuses connections");
+    upstreamDown(Id, "refuses connections");
 }
 
 void CrashWatch::upstreamsChanged(const std::vector<Upstream> &All) {
   std::map<UpstreamId, Listed> Present;
-  for (const Upstream &Each : All)
-    Present[Each.m_Id] = {Each.m_Name, Each.m_Leaving};
-  for (const auto &[Which, Known] : m_Upstreams)
-    if (!Known.m_Leaving && !Present.contains(Which))
-      upstreamDown(Which, "no longer listed");
+  for (const Upstream &Entry : All)
+    Present[Entry.m_Id] = {Entry.m_Name, Entry.m_Leaving};
+  for (const auto &[Id, Known] : m_Upstreams)
+    if (!Known.m_Leaving && !Present.contains(Id))
+      upstreamDown(Id, "no longer listed");
   m_Upstreams = std::move(Present);
 }
 
-void CrashWatch::upstreamDown(UpstreamId Which, std::string_view Why) {
+void CrashWatch::upstreamDown(UpstreamId Id, std::string_view Reason) {
   const TimePoint Now = m_Clock.now();
-  const std::size_t Calls = m_Balancer.quarantine().upstreamDown(Which, Now);
+  const std::size_t Calls = m_Balancer.quarantine().upstreamDown(Id, Now);
   if (Calls == 0)
     return;
   m_Crashes.add();
-  logEvent(LogEvent::GatewayUpstreamDown,
-           {{"upstream", m_Upstreams[Which].m_Name},
-            {"why", std::string(Why)},
-            {"calls", std::to_string(Calls)}});
+  logEvent(LogEvent::GatewayUpstreamDown, {{"upstream", m_Upstreams[Id].m_Name},
+                                           {"why", std::string(Reason)},
+                                           {"calls", std::to_string(Calls)}});
   m_LastCrash = Now;
   const bool Listable = !m_Balancer.quarantine().unlisted().empty();
   if (Listable || !m_KeepList.running())
@@ -77,23 +75,25 @@
             {"span_us", std::to_string(Span.count())}});
 }
 
-void CrashWatch::cleared(const ContentHash &Request, balance::ClearReason Why) {
+void CrashWatch::cleared(const ContentHash &Request,
+                         balance::ClearReason Reason) {
   m_Quarantined.set(static_cast<double>(m_Balancer.quarantine().size()));
-  logEvent(LogEvent::GatewayQuarantineEnded,
-           {{"content", toString(Request)}, {"why", std::string(nameOf(Why))}});
-  if (Why == balance::ClearReason::Served && !m_KeepList.running())
+  logEvent(
+      LogEvent::GatewayQuarantineEnded,
+      {{"content", toString(Request)}, {"why", std::string(nameOf(Reason))}});
+  if (Reason == balance::ClearReason::Served && !m_KeepList.running())
     m_KeepList.start(Duration::zero(), [this] { keepList(); });
 }
 
 /// Writes may be lost; the list itself shows whether they took effect.
 void CrashWatch::keepList() {
-  const balance::Quarantine &Known = m_Balancer.quarantine();
-  const std::vector<ContentHash> Unlisted = Known.unlisted();
+  const balance::Quarantine &Quarantine = m_Balancer.quarantine();
+  const std::vector<ContentHash> Unlisted = Quarantine.unlisted();
   for (const ContentHash &Request : Unlisted)
     m_List->listQuarantined(Request);
-  for (const ContentHash &Request : Known.wronglyListed())
+  for (const ContentHash &Request : Quarantine.wronglyListed())
     m_List->unlistQuarantined(Request);
-  if (!Unlisted.empty() || !Known.wronglyListed().empty())
+  if (!Unlisted.empty() || !Quarantine.wronglyListed().empty())
     m_KeepList.start(ListAgainAfter, [this] { keepList(); });
   else if (m_Clock.now() - m_LastCrash < KeepWatchFor)
     m_KeepList.start(ListAfter, [this] { keepList(); });
--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_watch.h
@@ -31,18 +31,18 @@
   /// another instance may observe the crash that leads to the quarantine.
   static constexpr Duration KeepWatchFor = std::chrono::seconds(10);
 
-  CrashWatch(const Clock &Time, Scheduler &Timers, balance::Balancer &Loads,
+  CrashWatch(const Clock &Time, Scheduler &Timers, balance::Balancer &Balancer,
              UpstreamProber &Prober, Metrics &Stats);
   ~CrashWatch() override;
   CrashWatch(const CrashWatch &) = delete;
   CrashWatch &operator=(const CrashWatch &) = delete;
 
-  /// \p List outlives this object.
-  void start(Directory &List) { m_List = &List; }
+  /// \p Target outlives this object.
+  void start(Directory &Target) { m_List = &Target; }
 
   /// Handles a broken connection of a call: probes the upstream, unless a probe
   /// is running.
-  void callBroken(UpstreamId Which, const Address &Where);
+  void callBroken(UpstreamId Id, const Address &Where);
 
   /// Takes the whole list of upstreams. Those that are no longer listed and
   /// were not draining count as down.
@@ -60,9 +60,10 @@
 
   void quarantined(const ContentHash &Request, std::size_t Crashes,
                    Duration Span) override;
-  void cleared(const ContentHash &Request, balance::ClearReason Why) override;
-  void probed(UpstreamId Which, ConnectOutcome Result);
-  void upstreamDown(UpstreamId Which, std::string_view Why);
+  void cleared(const ContentHash &Request,
+               balance::ClearReason Reason) override;
+  void probed(UpstreamId Id, ConnectOutcome Result);
+  void upstreamDown(UpstreamId Id, std::string_view Reason);
   void keepList();
 
   const Clock &m_Clock;          ///< Outlives this object.
--- a/src/gateway/digest_codec.cpp
+++ b/src/gateway/digest_codec.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr double Thousand = 1000;
+constexpr double MilliPerUnit = 1000;
 
-std::uint32_t thousandths(double Value) {
-  constexpr double Most = std::numeric_limits<std::uint32_t>::max();
-  return static_cast<std::uint32_t>(std::min(Value * Thousand, Most));
+std::uint32_t toMilli(double Value) {
+  constexpr double Max = std::numeric_limits<std::uint32_t>::max();
+  return static_cast<std::uint32_t>(std::min(Value * MilliPerUnit, Max));
 }
 
 std::uint32_t milliseconds(Duration Span) {
@@ -22,63 +22,63 @@
 
 } // namespace
 
-void pack(const balance::LoadDigest &What,
+void pack(const balance::LoadDigest &Digest,
           std::unique_ptr<wire::GatewayDigestT> &Into) {
   if (Into == nullptr)
     Into = std::make_unique<wire::GatewayDigestT>();
   Into->loads.clear();
-  for (const balance::UpstreamLoad &Each : What.m_Loads)
+  for (const balance::UpstreamLoad &Load : Digest.m_Loads)
     Into->loads.emplace_back(
-        Each.m_Upstream.value(), Each.m_UnreadTokens, Each.m_HeldTokens,
-        static_cast<std::uint16_t>(Each.m_Running), Each.m_Urgency,
-        static_cast<std::uint16_t>(Each.m_Tight));
-  for (const balance::PartPlaced &Each : What.m_Parts)
-    Into->parts.emplace_back(Each.m_Upstream.value(), Each.m_Part.m_Id,
-                             Each.m_Part.m_Tokens);
-  for (const auto &[Pool, Work] : What.m_Work)
+        Load.m_Upstream.value(), Load.m_UnreadTokens, Load.m_HeldTokens,
+        static_cast<std::uint16_t>(Load.m_Running), Load.m_Urgency,
+        static_cast<std::uint16_t>(Load.m_Tight));
+  for (const balance::PartPlaced &Placement : Digest.m_Parts)
+    Into->parts.emplace_back(Placement.m_Upstream.value(),
+                             Placement.m_Part.m_Id, Placement.m_Part.m_Tokens);
+  for (const auto &[Pool, Work] : Digest.m_Work)
     Into->work.emplace_back(Pool.value(),
                             static_cast<std::uint32_t>(Work.m_Short),
                             static_cast<std::uint32_t>(Work.m_Long));
-  for (const balance::CrashNews &Each : What.m_Crashes)
-    Into->crashes.emplace_back(Each.m_Request.m_High, Each.m_Request.m_Low,
-                               Each.m_Upstream.value_or(UpstreamId()).value(),
-                               !Each.m_Upstream);
-  for (const balance::LimitNews &Each : What.m_Limits)
-    Into->limits.emplace_back(Each.m_Upstream.value(),
-                              thousandths(Each.m_Limit.value_or(0)),
-                              milliseconds(Each.m_Age), !Each.m_Limit);
+  for (const balance::CrashNews &Crash : Digest.m_Crashes)
+    Into->crashes.emplace_back(Crash.m_Request.m_High, Crash.m_Request.m_Low,
+                               Crash.m_Upstream.value_or(UpstreamId()).value(),
+                               !Crash.m_Upstream);
+  for (const balance::LimitNews &Limit : Digest.m_Limits)
+    Into->limits.emplace_back(Limit.m_Upstream.value(),
+                              toMilli(Limit.m_Limit.value_or(0)),
+                              milliseconds(Limit.m_Age), !Limit.m_Limit);
 }
 
 balance::LoadDigest unpacked(const wire::GatewayDigest &From) {
   balance::LoadDigest Result;
   if (From.loads() != nullptr)
-    for (const wire::UpstreamLoad *Each : *From.loads())
-      if (Each->urgency() < balance::UrgencyCount)
-        Result.m_Loads.push_back({UpstreamId(Each->upstream()), Each->urgency(),
-                                  Each->running(), Each->unread_tokens(),
-                                  Each->held_tokens(), Each->tight()});
+    for (const wire::UpstreamLoad *Load : *From.loads())
+      if (Load->urgency() < balance::UrgencyCount)
+        Result.m_Loads.push_back({UpstreamId(Load->upstream()), Load->urgency(),
+                                  Load->running(), Load->unread_tokens(),
+                                  Load->held_tokens(), Load->tight()});
   if (From.parts() != nullptr)
-    for (const wire::PartPlaced *Each : *From.parts())
-      Result.m_Parts.push_back(
-          {UpstreamId(Each->upstream()), {Each->part(), Each->tokens()}});
+    for (const wire::PartPlaced *Placement : *From.parts())
+      Result.m_Parts.push_back({UpstreamId(Placement->upstream()),
+                                {Placement->part(), Placement->tokens()}});
   if (From.work() != nullptr)
-    for (const wire::WorkPlaced *Each : *From.work())
-      Result.m_Work[PoolId(Each->pool())] +=
-          {static_cast<double>(Each->short_tokens()),
-           static_cast<double>(Each->long_tokens())};
+    for (const wire::WorkPlaced *Work : *From.work())
+      Result.m_Work[PoolId(Work->pool())] +=
+          {static_cast<double>(Work->short_tokens()),
+           static_cast<double>(Work->long_tokens())};
   if (From.crashes() != nullptr)
-    for (const wire::RequestCrash *Each : *From.crashes())
+    for (const wire::RequestCrash *Crash : *From.crashes())
       Result.m_Crashes.push_back(
-          {{Each->request_high(), Each->request_low()},
-           Each->clears() ? std::nullopt
-                          : std::optional(UpstreamId(Each->upstream()))});
+          {{Crash->request_high(), Crash->request_low()},
+           Crash->clears() ? std::nullopt
+                           : std::optional(UpstreamId(Crash->upstream()))});
   if (From.limits() != nullptr)
-    for (const wire::UpstreamLimit *Each : *From.limits())
-      Result.m_Limits.push_back({UpstreamId(Each->upstream()),
-                                 Each->ended()
-                                     ? std::nullopt
-                                     : std::optional(Each->milli() / Thousand),
-                                 std::chrono::milliseconds(Each->age_ms())});
+    for (const wire::UpstreamLimit *Limit : *From.limits())
+      Result.m_Limits.push_back(
+          {UpstreamId(Limit->upstream()),
+           Limit->ended() ? std::nullopt
+                          : std::optional(Limit->milli() / MilliPerUnit),
+           std::chrono::milliseconds(Limit->age_ms())});
   return Result;
 }
 
--- a/src/gateway/digest_exchange.cpp
+++ b/src/gateway/digest_exchange.cpp
@@ -13,14 +13,14 @@
 namespace {
 
 /// Id under which the load of all other zones counts, as a hub sums it up.
-InstanceId elsewhere() {
+InstanceId otherZonesId() {
   static const InstanceId Id = instanceIdOf("/elsewhere");
   return Id;
 }
 
 /// Id under which the load of a zone counts, as its hub sums it up. No
 /// instance's name begins like this.
-InstanceId idOf(const AvailabilityZone &Zone) {
+InstanceId zoneId(const AvailabilityZone &Zone) {
   return instanceIdOf("/zone/" + Zone.m_Name);
 }
 
@@ -28,10 +28,10 @@
 
 DigestExchange::DigestExchange(PeerInstance Self, OpenLinks Open,
                                const Clock &Time, Scheduler &Timers,
-                               balance::Balancer &Loads, Metrics &Stats,
+                               balance::Balancer &Balancer, Metrics &Stats,
                                TakeUpdate OnUpdate)
     : m_Self(std::move(Self)), m_Open(std::move(Open)), m_Clock(Time),
-      m_Balancer(Loads), m_OnUpdate(std::move(OnUpdate)),
+      m_Balancer(Balancer), m_OnUpdate(std::move(OnUpdate)),
       m_Updates(Stats.counter("crowstep_directory_updates_total")),
       m_DroppedUpdates(
           Stats.counter("crowstep_directory_updates_dropped_total")),
@@ -68,15 +68,15 @@
 
 /// A peer that is not in this instance's list yet is near if it is in the same
 /// zone.
-bool DigestExchange::isNear(const Linked &Which) const {
-  return m_Plan.m_Near.contains(Which.m_Instance) ||
-         Which.m_Zone == m_Self.m_Zone;
+bool DigestExchange::isNear(const Linked &Link) const {
+  return m_Plan.m_Near.contains(Link.m_Instance) ||
+         Link.m_Zone == m_Self.m_Zone;
 }
 
-void DigestExchange::linkUp(link::LinkId Link, const link::Peer &Who) {
-  const Linked Fresh = {Who.m_Instance, Who.m_Zone, false};
-  m_Up[Link] = Fresh;
-  if (!isNear(Fresh)) {
+void DigestExchange::linkUp(link::LinkId Link, const link::Peer &Peer) {
+  const Linked NewLink = {Peer.m_Instance, Peer.m_Zone, false};
+  m_Up[Link] = NewLink;
+  if (!isNear(NewLink)) {
     // Sums sent while the link was down are not repeated, so known crashes are.
     if (m_Hub)
       pack(crashesKnown(), m_Links->outbox(Link).zone_sum);
@@ -102,20 +102,20 @@
   }
   if (Frame.zone_sum() != nullptr && m_Hub) {
     const balance::LoadDigest Digest = unpacked(*Frame.zone_sum());
-    m_Balancer.peerSaid(idOf(From.m_Zone), Digest, Now);
-    m_OtherZones.take(idOf(From.m_Zone), Digest, Now);
+    m_Balancer.peerSaid(zoneId(From.m_Zone), Digest, Now);
+    m_OtherZones.take(zoneId(From.m_Zone), Digest, Now);
   }
   if (Frame.elsewhere() != nullptr && !m_Hub)
-    m_Balancer.peerSaid(elsewhere(), unpacked(*Frame.elsewhere()), Now);
+    m_Balancer.peerSaid(otherZonesId(), unpacked(*Frame.elsewhere()), Now);
   if (Frame.directory_updates() != nullptr)
     takeUpdates(From, Frame);
 }
 
-void DigestExchange::linkDown(link::LinkId Link, const link::Peer &Who,
+void DigestExchange::linkDown(link::LinkId Link, const link::Peer &Peer,
                               link::CloseReason) {
   m_Up.erase(Link);
-  m_Balancer.peerGone(Who.m_Instance);
-  m_OwnZone.drop(Who.m_Instance);
+  m_Balancer.peerGone(Peer.m_Instance);
+  m_OwnZone.drop(Peer.m_Instance);
 }
 
 void DigestExchange::dialFailed(const Address &, link::CloseReason) {
@@ -143,20 +143,20 @@
 
 void DigestExchange::takeUpdates(Linked &From, const wire::Frame &Frame) {
   const std::vector<InstanceId> &Hubs = m_Plan.m_Hubs;
-  const bool Reads =
+  const bool IsReader =
       From.m_Zone == m_Self.m_Zone &&
       std::find(Hubs.begin(), Hubs.end(), From.m_Instance) != Hubs.end();
-  std::vector<DirectoryUpdate> Taken;
-  for (const wire::DirectoryUpdate *Each : *Frame.directory_updates()) {
-    if (auto Update = Reads ? unpacked(*Each) : std::nullopt)
-      Taken.push_back(std::move(*Update));
+  std::vector<DirectoryUpdate> Accepted;
+  for (const wire::DirectoryUpdate *Encoded : *Frame.directory_updates()) {
+    if (auto Update = IsReader ? unpacked(*Encoded) : std::nullopt)
+      Accepted.push_back(std::move(*Update));
     else
       dropUpdate(From);
   }
   // A new list of instances can close this link, which destroys From.
-  for (const DirectoryUpdate &Each : Taken) {
+  for (const DirectoryUpdate &Update : Accepted) {
     m_Updates.add();
-    m_OnUpdate(Each);
+    m_OnUpdate(Update);
   }
 }
 
@@ -204,8 +204,8 @@
   for (const InstanceId Hub : m_Plan.m_Hubs) {
     if (Hub == Self)
       return true;
-    if (std::any_of(m_Up.begin(), m_Up.end(), [&](const auto &Each) {
-          return Each.second.m_Instance == Hub;
+    if (std::any_of(m_Up.begin(), m_Up.end(), [&](const auto &Entry) {
+          return Entry.second.m_Instance == Hub;
         }))
       return false;
   }
@@ -219,15 +219,15 @@
   m_Hub = Hub;
   m_OwnZone.clear();
   m_OtherZones.clear();
-  m_Balancer.peerGone(elsewhere());
+  m_Balancer.peerGone(otherZonesId());
   for (const auto &[Link, Peer] : m_Up)
-    m_Balancer.peerGone(idOf(Peer.m_Zone));
+    m_Balancer.peerGone(zoneId(Peer.m_Zone));
   if (!Hub)
     return;
   // The previous hub may have failed before it relayed all crash reports.
   const balance::LoadDigest Known = crashesKnown();
   m_OwnZone.take(instanceIdOf(m_Self.m_Name), Known, m_Clock.now());
-  m_OtherZones.take(elsewhere(), Known, m_Clock.now());
+  m_OtherZones.take(otherZonesId(), Known, m_Clock.now());
 }
 
 balance::LoadDigest DigestExchange::crashesKnown() const {
@@ -240,9 +240,9 @@
   const TimePoint Now = m_Clock.now();
   m_OwnZone.take(instanceIdOf(m_Self.m_Name), Own, Now);
   const balance::LoadDigest Zone = m_OwnZone.takeSum(Now);
-  const bool TellOthers = m_Ticks % TicksPerRelay == 0;
+  const bool SendOthers = m_Ticks % TicksPerRelay == 0;
   const balance::LoadDigest Others =
-      TellOthers ? m_OtherZones.takeSum(Now) : balance::LoadDigest();
+      SendOthers ? m_OtherZones.takeSum(Now) : balance::LoadDigest();
   // Empty sums need not be sent: earlier ones expire after a short time.
   for (const auto &[Link, Peer] : m_Up) {
     if (!isNear(Peer) && !Zone.empty())
--- a/src/gateway/digest_exchange.h
+++ b/src/gateway/digest_exchange.h
@@ -47,7 +47,7 @@
 
   /// \p Self holds the address at which others open links to this instance.
   DigestExchange(PeerInstance Self, OpenLinks Open, const Clock &Time,
-                 Scheduler &Timers, balance::Balancer &Loads, Metrics &Stats,
+                 Scheduler &Timers, balance::Balancer &Balancer, Metrics &Stats,
                  TakeUpdate OnUpdate);
   ~DigestExchange() override;
   DigestExchange(const DigestExchange &) = delete;
@@ -71,9 +71,9 @@
     bool m_Reported = false; ///< A dropped update was logged.
   };
 
-  void linkUp(link::LinkId Link, const link::Peer &Who) override;
+  void linkUp(link::LinkId Link, const link::Peer &Peer) override;
   void linkFrame(link::LinkId Link, const wire::Frame &Frame) override;
-  void linkDown(link::LinkId Link, const link::Peer &Who,
+  void linkDown(link::LinkId Link, const link::Peer &Peer,
                 link::CloseReason Why) override;
   void dialFailed(const Address &Where, link::CloseReason Why) override;
 
@@ -85,7 +85,7 @@
   [[nodiscard]] balance::LoadDigest crashesKnown() const;
   void takeUpdates(Linked &From, const wire::Frame &Frame);
   void dropUpdate(Linked &From);
-  [[nodiscard]] bool isNear(const Linked &Which) const;
+  [[nodiscard]] bool isNear(const Linked &Link) const;
   [[nodiscard]] bool shouldBeHub() const;
   [[nodiscard]] Duration interval() const;
 
--- a/src/gateway/directory_codec.cpp
+++ b/src/gateway/directory_codec.cpp
@@ -29,19 +29,19 @@
   return Names.at(static_cast<std::size_t>(Role));
 }
 
-std::unique_ptr<wire::DirectoryUpdateT> packed(const DirectoryUpdate &What) {
+std::unique_ptr<wire::DirectoryUpdateT> packed(const DirectoryUpdate &Update) {
   auto Result = std::make_unique<wire::DirectoryUpdateT>();
-  Result->table = What.m_Table;
-  Result->after = What.m_After.value();
-  Result->version = What.m_Version.value();
-  Result->read_at_ms = What.m_ReadAt ? What.m_ReadAt->count() : NoTime;
-  for (const DirectoryRow &Each : What.m_Rows) {
-    auto Row = std::make_unique<wire::DirectoryRowT>();
-    Row->key = Each.m_Key;
-    Row->value.assign(Each.m_Value.begin(), Each.m_Value.end());
-    Row->version = Each.m_Version.value();
-    Row->gone = Each.m_Gone;
-    Result->rows.push_back(std::move(Row));
+  Result->table = Update.m_Table;
+  Result->after = Update.m_After.value();
+  Result->version = Update.m_Version.value();
+  Result->read_at_ms = Update.m_ReadAt ? Update.m_ReadAt->count() : NoTime;
+  for (const DirectoryRow &Row : Update.m_Rows) {
+    auto Encoded = std::make_unique<wire::DirectoryRowT>();
+    Encoded->key = Row.m_Key;
+    Encoded->value.assign(Row.m_Value.begin(), Row.m_Value.end());
+    Encoded->version = Row.m_Version.value();
+    Encoded->gone = Row.m_Gone;
+    Result->rows.push_back(std::move(Encoded));
   }
   return Result;
 }
@@ -57,8 +57,8 @@
     Result.m_ReadAt = std::chrono::milliseconds(From.read_at_ms());
   if (From.rows() == nullptr)
     return Result;
-  for (const wire::DirectoryRow *Each : *From.rows()) {
-    auto Row = unpacked(*Each);
+  for (const wire::DirectoryRow *Encoded : *From.rows()) {
+    auto Row = unpacked(*Encoded);
     if (!Row || Row->m_Version > Result.m_Version)
       return std::nullopt;
     Result.m_Rows.push_back(std::move(*Row));
--- a/src/gateway/directory_codec.h
+++ b/src/gateway/directory_codec.h
@@ -11,7 +11,7 @@
 namespace crowstep::gateway {
 
 /// Returns \p Update encoded for a frame.
-std::unique_ptr<wire::DirectoryUpdateT> packed(const DirectoryUpdate &What);
+std::unique_ptr<wire::DirectoryUpdateT> packed(const DirectoryUpdate &Update);
 
 /// Returns the update that a peer sent, or nothing if it is inconsistent: a
 /// field is missing, it ends before it begins, or a row is newer than it.
--- a/src/gateway/exchange_plan.cpp
+++ b/src/gateway/exchange_plan.cpp
@@ -14,10 +14,10 @@
 
 /// Returns whether \p Left is the preferred hub: the one with the larger
 /// machine, then the one with the higher hash.
-bool better(const PeerInstance &Left, const PeerInstance &Right) {
-  const auto RankOf = [](const PeerInstance &Each) {
-    return std::make_pair(Each.m_Weight,
-                          pairHash(HubSeed, instanceIdOf(Each.m_Name).value()));
+bool isBetterHub(const PeerInstance &Left, const PeerInstance &Right) {
+  const auto RankOf = [](const PeerInstance &Peer) {
+    return std::make_pair(Peer.m_Weight,
+                          pairHash(HubSeed, instanceIdOf(Peer.m_Name).value()));
   };
   return RankOf(Left) > RankOf(Right);
 }
@@ -28,14 +28,14 @@
                           const std::vector<PeerInstance> &All) {
   std::map<AvailabilityZone, std::vector<PeerInstance>> Zones;
   Zones[Self.m_Zone].push_back(Self);
-  for (const PeerInstance &Each : All)
-    if (Each.m_Name != Self.m_Name)
-      Zones[Each.m_Zone].push_back(Each);
+  for (const PeerInstance &Peer : All)
+    if (Peer.m_Name != Self.m_Name)
+      Zones[Peer.m_Zone].push_back(Peer);
   const bool Few = All.size() <= ExchangePlan::MostWithoutHubs;
   ExchangePlan Result;
   for (auto &[Zone, Members] : Zones) {
     const bool Own = Zone == Self.m_Zone;
-    std::sort(Members.begin(), Members.end(), better);
+    std::sort(Members.begin(), Members.end(), isBetterHub);
     const auto Hubs = std::min(Members.size(), ExchangePlan::HubsPerZone);
     for (std::size_t I = 0; I < Members.size(); ++I) {
       const InstanceId Id = instanceIdOf(Members[I].m_Name);
--- a/src/gateway/forwarded_answer.cpp
+++ b/src/gateway/forwarded_answer.cpp
@@ -16,7 +16,7 @@
 
 /// Statuses which state that a call was not run. Without the upstream's proof
 /// they can't be passed on: they would promise that to the caller.
-bool promisesNotRun(unsigned Status) {
+bool statesNotRun(unsigned Status) {
   constexpr unsigned RequestTimeout = 408;
   constexpr unsigned Misdirected = 421;
   constexpr unsigned TooManyRequests = 429;
@@ -25,7 +25,7 @@
          Status == TooManyRequests || Status == Unavailable;
 }
 
-bool isGood(unsigned Status) {
+bool isSuccess(unsigned Status) {
   return Status >= HttpOk && Status < FirstRedirect;
 }
 
@@ -54,15 +54,15 @@
     return;
   }
   m_MayHaveRun = true;
-  const bool Good = isGood(Status);
-  if ((Good && !Facts.m_Signed) || Facts.m_Encoded) {
+  const bool Success = isSuccess(Status);
+  if ((Success && !Facts.m_Signed) || Facts.m_Encoded) {
     upstreamFailed(balance::CallOutcome::Failed, RetryReason::ClosedBeforeByte);
     return;
   }
   m_Status = Status;
   if (!m_Streaming)
     m_AnswerHeaders = Headers;
-  if (m_Streaming && !Good) {
+  if (m_Streaming && !Success) {
     upstreamFailed(balance::CallOutcome::Failed, RetryReason::ClosedMidStream);
     return;
   }
@@ -79,13 +79,14 @@
   }
   if (!Facts.m_Limit && (!Facts.m_Signed || Facts.m_NotRun))
     return;
-  const UpstreamId Which = m_Tried.back();
-  const balance::RateLimit Before = m_World.m_Balancer.limitOf(Which);
+  const UpstreamId Id = m_Tried.back();
+  const balance::RateLimit Before = m_World.m_Balancer.limitOf(Id);
   m_World.m_Balancer.stated(m_Ticket, Facts.m_Limit, m_World.m_Clock.now());
-  if (const auto Now = m_World.m_Balancer.limitOf(Which); Now != Before)
-    logEvent(LogEvent::GatewayUpstreamLimit,
-             {{"upstream", m_Upstream},
-              {"limit", Now ? std::to_string(*Now) : std::string("none")}});
+  if (const auto Current = m_World.m_Balancer.limitOf(Id); Current != Before)
+    logEvent(
+        LogEvent::GatewayUpstreamLimit,
+        {{"upstream", m_Upstream},
+         {"limit", Current ? std::to_string(*Current) : std::string("none")}});
 }
 
 void ForwardedRequest::upstreamRefused(balance::CallOutcome Outcome) {
@@ -96,17 +97,17 @@
 }
 
 void ForwardedRequest::upstreamFailed(balance::CallOutcome Outcome,
-                                      RetryReason Why) {
+                                      RetryReason Reason) {
   endCall(Outcome);
   if (repeatable()) {
-    tryAgain(Why);
+    tryAgain(Reason);
     return;
   }
   giveUp(RefusalReason::UpstreamFailed, Duration::zero());
 }
 
 bool ForwardedRequest::relaysEvents() const {
-  return isGood(m_Status) && stream() != nullptr;
+  return isSuccess(m_Status) && stream() != nullptr;
 }
 
 RetryReason ForwardedRequest::closedWhen() const {
@@ -174,8 +175,8 @@
   m_Caller->beginStream(Head);
 }
 
-void ForwardedRequest::upstreamEnded(TransportEnd How) {
-  switch (How) {
+void ForwardedRequest::upstreamEnded(TransportEnd End) {
+  switch (End) {
   case TransportEnd::NotSent:
     --m_Sends;
     endCall(balance::CallOutcome::NoAnswer);
@@ -224,15 +225,16 @@
 }
 
 void ForwardedRequest::plainEnded() {
-  const bool Good = m_Status < FirstServerError;
-  endCall(Good ? balance::CallOutcome::Served : balance::CallOutcome::Failed);
-  if (!Good && repeatable() && mayTryAgain() &&
+  const bool Success = m_Status < FirstServerError;
+  endCall(Success ? balance::CallOutcome::Served
+                  : balance::CallOutcome::Failed);
+  if (!Success && repeatable() && mayTryAgain() &&
       m_World.m_Budget.take(m_Service, m_World.m_Clock.now())) {
     m_World.m_Stats.retried(RetryReason::ClosedBeforeByte);
     attempt();
     return;
   }
-  if (promisesNotRun(m_Status)) {
+  if (statesNotRun(m_Status)) {
     giveUp(RefusalReason::UpstreamFailed, Duration::zero());
     return;
   }
@@ -240,13 +242,13 @@
 }
 
 void ForwardedRequest::answerPlain() {
-  CallerAnswer Whole;
-  Whole.m_Status = m_Status;
+  CallerAnswer Answer;
+  Answer.m_Status = m_Status;
   const std::string *Type = findHeader(m_AnswerHeaders, "Content-Type");
-  Whole.m_ContentType = Type == nullptr ? "application/octet-stream" : *Type;
-  Whole.m_Headers = answerHeaders();
-  Whole.m_Body = m_Body;
-  m_Caller->answer(Whole);
+  Answer.m_ContentType = Type == nullptr ? "application/octet-stream" : *Type;
+  Answer.m_Headers = answerHeaders();
+  Answer.m_Body = m_Body;
+  m_Caller->answer(Answer);
   if (m_Status < FirstServerError)
     m_Stats.m_Finished->add();
   ended(m_Status < FirstServerError ? "served" : "upstream_error");
@@ -262,7 +264,7 @@
     ended(nameOf(Reason));
     return;
   }
-  if (m_MayHaveRun && promisesNotRun(httpStatusOf(Reason)))
+  if (m_MayHaveRun && statesNotRun(httpStatusOf(Reason)))
     Reason = RefusalReason::UpstreamFailed;
   CallerAnswer Answer =
       refusalAnswer(Reason, m_MayHaveRun ? RunState::Unknown : RunState::NotRun,
@@ -296,8 +298,8 @@
   m_Limit.stop();
   m_Silence.stop();
   m_Place.reset();
-  const Duration Took = m_World.m_Clock.now() - m_Begin;
-  m_Stats.m_Total->record(Took);
+  const Duration Elapsed = m_World.m_Clock.now() - m_Begin;
+  m_Stats.m_Total->record(Elapsed);
   const bool Served = Outcome == "served";
   logEvent(
       Served ? LogEvent::GatewayRequestServed : LogEvent::GatewayRequestFailed,
@@ -321,11 +323,11 @@
        {"pause_us", std::to_string(m_LongestPause.count())},
        {"first_us",
         std::to_string(m_Streaming ? (m_FirstEvent - m_Begin).count() : 0)},
-       {"took_us", std::to_string(Took.count())}});
-  const std::function<void()> Job = std::move(m_OnEnded);
+       {"took_us", std::to_string(Elapsed.count())}});
+  const std::function<void()> OnEnded = std::move(m_OnEnded);
   m_OnEnded = nullptr;
-  if (Job)
-    Job();
+  if (OnEnded)
+    OnEnded();
 }
 
 } // namespace crowstep::gateway
--- a/src/gateway/forwarded_request.cpp
+++ b/src/gateway/forwarded_request.cpp
@@ -10,24 +10,25 @@
 
 namespace {
 
-ContentHash hashOf(const IncomingRequest &Request, const Admitted &What) {
+ContentHash hashOf(const IncomingRequest &Request, const Admitted &Admission) {
   const std::string *Host = findHeader(Request.m_Headers, "Host");
-  return contentHashOf({Request.m_Method,
-                        Host == nullptr ? std::string_view() : *Host,
-                        Request.m_Target, What.m_Workspace, Request.m_Body});
+  return contentHashOf(
+      {Request.m_Method, Host == nullptr ? std::string_view() : *Host,
+       Request.m_Target, Admission.m_Workspace, Request.m_Body});
 }
 
 } // namespace
 
-ForwardedRequest::ForwardedRequest(ForwardWorld &World, IncomingRequest Request,
-                                   Admitted What, std::unique_ptr<Caller> From,
+ForwardedRequest::ForwardedRequest(ForwardWorld &Context,
+                                   IncomingRequest Request, Admitted Admission,
+                                   std::unique_ptr<Caller> From,
                                    std::function<void()> OnEnded)
-    : m_World(World), m_Request(std::move(Request)), m_What(std::move(What)),
-      m_Content(hashOf(m_Request, m_What)), m_Caller(std::move(From)),
-      m_OnEnded(std::move(OnEnded)),
-      m_Stats(World.m_Stats.route(m_What.m_Route->m_Name)),
-      m_Begin(World.m_Clock.now()), m_Limit(World.m_Timers),
-      m_Silence(World.m_Timers) {
+    : m_World(Context), m_Request(std::move(Request)),
+      m_What(std::move(Admission)), m_Content(hashOf(m_Request, m_What)),
+      m_Caller(std::move(From)), m_OnEnded(std::move(OnEnded)),
+      m_Stats(Context.m_Stats.route(m_What.m_Route->m_Name)),
+      m_Begin(Context.m_Clock.now()), m_Limit(Context.m_Timers),
+      m_Silence(Context.m_Timers) {
   Duration Time = m_What.m_Route->m_Timeout;
   if (m_What.m_Facts.m_Deadline)
     Time = std::min(Time, *m_What.m_Facts.m_Deadline);
@@ -57,13 +58,13 @@
 std::string ForwardedRequest::chooseService() const {
   const std::vector<ServiceShare> &Shares = m_What.m_Route->m_Services;
   double Sum = 0;
-  for (const ServiceShare &Each : Shares)
-    Sum += Each.m_Weight;
-  double Left = m_World.m_Random() * Sum;
-  for (const ServiceShare &Each : Shares) {
-    Left -= Each.m_Weight;
-    if (Left < 0)
-      return Each.m_Service;
+  for (const ServiceShare &Share : Shares)
+    Sum += Share.m_Weight;
+  double Remaining = m_World.m_Random() * Sum;
+  for (const ServiceShare &Share : Shares) {
+    Remaining -= Share.m_Weight;
+    if (Remaining < 0)
+      return Share.m_Service;
   }
   return Shares.back().m_Service;
 }
@@ -111,8 +112,8 @@
 }
 
 /// Ends an attempt(); the wait queue calls attempt() again.
-void ForwardedRequest::waitForRoom(const balance::PlacementInputs &Why) {
-  m_Why = Why;
+void ForwardedRequest::waitForRoom(const balance::PlacementInputs &Inputs) {
+  m_Why = Inputs;
   const Duration Waited = m_World.m_Clock.now() - m_Begin;
   if (Waited * MostWaitDivisor > m_What.m_Route->m_Target * MostWaitParts) {
     // Once more, at an engine that preempts less urgent calls for it.
@@ -126,37 +127,37 @@
         [this] { attempt(); });
 }
 
-void ForwardedRequest::send(const balance::Placed &Where) {
-  m_Ticket = Where.m_Ticket;
-  m_Upstream = Where.m_Name;
-  m_Address = Where.m_Address;
-  m_Why = Where.m_Why;
-  m_Tried.push_back(Where.m_Upstream);
+void ForwardedRequest::send(const balance::Placed &Placement) {
+  m_Ticket = Placement.m_Ticket;
+  m_Upstream = Placement.m_Name;
+  m_Address = Placement.m_Address;
+  m_Why = Placement.m_Why;
+  m_Tried.push_back(Placement.m_Upstream);
   m_Status = 0;
   m_Body.clear();
   m_Splitter = SseSplitter();
-  SendFacts Own;
-  Own.m_TimeLeft = timeLeft();
-  Own.m_Upstream = Where.m_Name;
-  Own.m_Workspace = m_What.m_Workspace;
-  Own.m_Priority = m_What.m_Urgency;
-  Own.m_LastEvent = m_LastId;
-  UpstreamSend What;
-  What.m_Where = Where.m_Address;
-  What.m_Method = m_Request.m_Method;
-  What.m_Path = m_Request.m_Target;
-  What.m_Headers =
-      m_World.m_Codec.writeRequest(endToEndHeaders(m_Request.m_Headers), Own);
-  What.m_Body = m_Request.m_Body;
-  What.m_Repeatable = repeatable();
-  What.m_SendBefore = m_EndBy;
-  What.m_ConnectLimit = ConnectLimit;
-  What.m_Wanted = [this] {
+  SendFacts Facts;
+  Facts.m_TimeLeft = timeLeft();
+  Facts.m_Upstream = Placement.m_Name;
+  Facts.m_Workspace = m_What.m_Workspace;
+  Facts.m_Priority = m_What.m_Urgency;
+  Facts.m_LastEvent = m_LastId;
+  UpstreamSend Outgoing;
+  Outgoing.m_Where = Placement.m_Address;
+  Outgoing.m_Method = m_Request.m_Method;
+  Outgoing.m_Path = m_Request.m_Target;
+  Outgoing.m_Headers =
+      m_World.m_Codec.writeRequest(endToEndHeaders(m_Request.m_Headers), Facts);
+  Outgoing.m_Body = m_Request.m_Body;
+  Outgoing.m_Repeatable = repeatable();
+  Outgoing.m_SendBefore = m_EndBy;
+  Outgoing.m_ConnectLimit = ConnectLimit;
+  Outgoing.m_Wanted = [this] {
     return !m_Caller->hasLeft() &&
            m_World.m_Balancer.mayBegin(m_Ticket, m_World.m_Clock.now());
   };
   ++m_Sends;
-  m_Call = m_World.m_Upstream.send(What, *this);
+  m_Call = m_World.m_Upstream.send(Outgoing, *this);
   watchSilence(firstByteLimit());
 }
 
@@ -185,10 +186,10 @@
   // A loaded upstream delays many calls at once, and sending them to another
   // one as well would add to the load. An unreachable one sends no byte on any
   // call.
-  const Duration Unheard =
+  const Duration Silence =
       m_World.m_Balancer.unheardOf(m_Ticket, m_World.m_Clock.now());
-  if (Unheard < SignOfLife) {
-    m_Silence.start(SignOfLife - Unheard + LeastTimeToRetry,
+  if (Silence < SignOfLife) {
+    m_Silence.start(SignOfLife - Silence + LeastTimeToRetry,
                     [this] { silent(); });
     return;
   }
@@ -224,7 +225,7 @@
 }
 
 /// Retries a call that was refused or failed after it was sent.
-void ForwardedRequest::tryAgain(RetryReason Why) {
+void ForwardedRequest::tryAgain(RetryReason Reason) {
   if (m_Caller->hasLeft()) {
     callerGone();
     return;
@@ -241,7 +242,7 @@
            BusyRetryAfter);
     return;
   }
-  m_World.m_Stats.retried(Why);
+  m_World.m_Stats.retried(Reason);
   attempt();
 }
 
--- a/src/gateway/forwarded_request.h
+++ b/src/gateway/forwarded_request.h
@@ -44,8 +44,9 @@
 public:
   /// \p OnEnded runs once, when the request has ended; the request may not be
   /// destroyed from within it.
-  ForwardedRequest(ForwardWorld &World, IncomingRequest Request, Admitted What,
-                   std::unique_ptr<Caller> From, std::function<void()> OnEnded);
+  ForwardedRequest(ForwardWorld &Context, IncomingRequest Request,
+                   Admitted Admission, std::unique_ptr<Caller> From,
+                   std::function<void()> OnEnded);
   ~ForwardedRequest() override;
   ForwardedRequest(const ForwardedRequest &) = delete;
   ForwardedRequest &operator=(const ForwardedRequest &) = delete;
@@ -56,19 +57,19 @@
 private:
   void upstreamHeaders(unsigned Status, const HeaderList &Headers) override;
   void upstreamBytes(std::string_view Bytes) override;
-  void upstreamEnded(TransportEnd How) override;
+  void upstreamEnded(TransportEnd End) override;
 
   void attempt();
-  void waitForRoom(const balance::PlacementInputs &Why);
+  void waitForRoom(const balance::PlacementInputs &Inputs);
   [[nodiscard]] bool mayWait() const;
-  void send(const balance::Placed &Where);
+  void send(const balance::Placed &Placement);
   void endCall(balance::CallOutcome Outcome);
-  void tryAgain(RetryReason Why);
+  void tryAgain(RetryReason Reason);
   [[nodiscard]] bool mayTryAgain() const;
   void giveUp(RefusalReason Reason, Duration RetryAfter);
 
   void takeLimit(const AnswerFacts &Facts);
-  void upstreamFailed(balance::CallOutcome Outcome, RetryReason Why);
+  void upstreamFailed(balance::CallOutcome Outcome, RetryReason Reason);
   void upstreamRefused(balance::CallOutcome Outcome);
   void takeEvents(std::string_view Bytes);
   void relay(const SseEvent &Event);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -38,28 +38,28 @@
 constexpr Duration DefaultIdleLimit = std::chrono::seconds(60);
 
 ArrivalLimits arrivalLimits(const CallerLimits &Limits) {
-  const auto Or = [](Duration Value, Duration Default) {
+  const auto OrDefault = [](Duration Value, Duration Default) {
     return Value > Duration::zero() ? Value : Default;
   };
   return {Limits.m_MaxBody, Limits.m_MaxHeader,
-          Or(Limits.m_HeaderTimeout, DefaultReceiveLimit),
-          Or(Limits.m_IdleTimeout, DefaultIdleLimit)};
+          OrDefault(Limits.m_HeaderTimeout, DefaultReceiveLimit),
+          OrDefault(Limits.m_IdleTimeout, DefaultIdleLimit)};
 }
 
-PeerInstance selfOf(const GatewaySettings &Chosen) {
-  return {Chosen.m_Name, Chosen.m_Links, Chosen.m_Zone, Chosen.m_Weight};
+PeerInstance selfOf(const GatewaySettings &Config) {
+  return {Config.m_Name, Config.m_Links, Config.m_Zone, Config.m_Weight};
 }
 
 } // namespace
 
-Gateway::Gateway(GatewaySettings Chosen, const PartsFactory &Make)
-    : m_Settings(std::move(Chosen)), m_Stats(m_Metrics),
+Gateway::Gateway(GatewaySettings Config, const PartsFactory &MakeParts)
+    : m_Settings(std::move(Config)), m_Stats(m_Metrics),
       m_Random(std::random_device{}()),
       m_Balancer(m_Settings.m_Zone, m_Random()),
       m_Budget(m_Settings.m_RetryBudget), m_Waiting(m_Timers),
       m_Upstream(m_Clock, m_Timers),
       m_Crashes(m_Clock, m_Timers, m_Balancer, m_Upstream, m_Metrics),
-      m_Parts(Make(m_Clock, m_Timers, m_Metrics)),
+      m_Parts(MakeParts(m_Clock, m_Timers, m_Metrics)),
       m_Exchange(
           selfOf(m_Settings),
           [this](const std::string &Key, link::LinkListener &Listener) {
@@ -110,8 +110,8 @@
 void Gateway::tableChanged(RouteTablePtr Table) {
   m_Table = std::move(Table);
   m_Front.setLimits(arrivalLimits(m_Table->data().m_Limits));
-  for (const Service &Each : m_Table->data().m_Services)
-    m_Balancer.setCacheTokens(Each.m_Name, Each.m_CacheTokens);
+  for (const Service &Entry : m_Table->data().m_Services)
+    m_Balancer.setCacheTokens(Entry.m_Name, Entry.m_CacheTokens);
   m_Balancer.setTightestPauses(tightestPauses(m_Table->data()));
   m_Metrics.gauge("crowstep_table_version")
       .set(static_cast<double>(m_Table->version().value()));
@@ -146,8 +146,8 @@
 void Gateway::peersChanged(const PeerList &List) {
   m_Budget.setInstances(List.m_Instances.size(), m_Clock.now());
   std::vector<InstanceId> Ids;
-  for (const PeerInstance &Each : List.m_Instances)
-    Ids.push_back(instanceIdOf(Each.m_Name));
+  for (const PeerInstance &Peer : List.m_Instances)
+    Ids.push_back(instanceIdOf(Peer.m_Name));
   m_Balancer.setInstances(instanceIdOf(m_Settings.m_Name), std::move(Ids),
                           m_Clock.now());
   m_Exchange.setPeers(List);
@@ -171,9 +171,9 @@
 
 void Gateway::handleProbe(SoupServerMessage *Message, const char *Path) {
   if (Path == m_Settings.m_ReadinessPath) {
-    const bool Good = ready();
-    respond(Message, Good ? HttpOk : HttpUnavailable, "text/plain",
-            Good ? "ok\n" : "unavailable\n");
+    const bool Ready = ready();
+    respond(Message, Ready ? HttpOk : HttpUnavailable, "text/plain",
+            Ready ? "ok\n" : "unavailable\n");
     return;
   }
   if (std::string_view(Path) == "/metrics") {
@@ -192,30 +192,30 @@
 
 void Gateway::handle(IncomingRequest Request, std::unique_ptr<Caller> From) {
   auto Outcome = admit(Request, m_Table, *m_Parts.m_Codec);
-  if (const auto *Why = std::get_if<NotAdmitted>(&Outcome)) {
-    refuse(*From, *Why);
+  if (const auto *Refused = std::get_if<NotAdmitted>(&Outcome)) {
+    refuse(*From, *Refused);
     return;
   }
   const std::uint64_t Number = ++m_LastRequest;
-  auto Fresh = std::make_unique<ForwardedRequest>(
+  auto Forwarded = std::make_unique<ForwardedRequest>(
       m_World, std::move(Request), std::move(std::get<Admitted>(Outcome)),
       std::move(From), [this, Number] { ended(Number); });
-  ForwardedRequest &Begun = *Fresh;
-  m_Requests.emplace(Number, std::move(Fresh));
-  Begun.start();
+  ForwardedRequest &Started = *Forwarded;
+  m_Requests.emplace(Number, std::move(Forwarded));
+  Started.start();
 }
 
-void Gateway::refuse(Caller &From, const NotAdmitted &Why) {
-  m_Stats.refused(Why.m_Reason);
-  logEvent(
-      LogEvent::GatewayNotAdmitted,
-      {{"request", Why.m_Id}, {"reason", std::string(nameOf(Why.m_Reason))}});
+void Gateway::refuse(Caller &From, const NotAdmitted &Refused) {
+  m_Stats.refused(Refused.m_Reason);
+  logEvent(LogEvent::GatewayNotAdmitted,
+           {{"request", Refused.m_Id},
+            {"reason", std::string(nameOf(Refused.m_Reason))}});
   CallerAnswer Answer =
-      refusalAnswer(Why.m_Reason, RunState::NotRun, Duration::zero());
+      refusalAnswer(Refused.m_Reason, RunState::NotRun, Duration::zero());
   Answer.m_Headers = m_Parts.m_Codec->writeRefusal(
-      Why.m_Id, httpStatusOf(Why.m_Reason) == HttpUnavailable
-                    ? NoTableRetryAfter
-                    : Duration::zero());
+      Refused.m_Id, httpStatusOf(Refused.m_Reason) == HttpUnavailable
+                        ? NoTableRetryAfter
+                        : Duration::zero());
   if (m_Closing)
     Answer.m_Headers.push_back({"Connection", "close"});
   From.answer(Answer);
@@ -227,7 +227,7 @@
   if (!m_Sweep.running())
     // The request is on the call stack here.
     m_Sweep.start(Duration::zero(), [this] {
-      const auto Gone = std::move(m_Ended);
+      const auto Destroyed = std::move(m_Ended);
       m_Ended.clear();
     });
 }
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -32,7 +32,7 @@
   using PartsFactory =
       std::function<Parts(const Clock &, Scheduler &, Metrics &)>;
 
-  Gateway(GatewaySettings Chosen, const PartsFactory &Make);
+  Gateway(GatewaySettings Config, const PartsFactory &MakeParts);
   ~Gateway() override;
   Gateway(const Gateway &) = delete;
   Gateway &operator=(const Gateway &) = delete;
@@ -51,7 +51,7 @@
   void directoryRead(const DirectoryUpdate &Update) override;
 
   void handle(IncomingRequest Request, std::unique_ptr<Caller> From);
-  void refuse(Caller &From, const NotAdmitted &Why);
+  void refuse(Caller &From, const NotAdmitted &Refused);
   void handleProbe(SoupServerMessage *Message, const char *Path);
   void ended(std::uint64_t Number);
   void checkStopped();
--- a/src/gateway/gateway_stats.cpp
+++ b/src/gateway/gateway_stats.cpp
@@ -35,11 +35,11 @@
 }
 
 RouteStats GatewayStats::make(const std::string &Label) {
-  const Labels With = {{"route", Label}};
-  return {&m_Metrics.counter("crowstep_requests_total", With),
-          &m_Metrics.counter("crowstep_finished_total", With),
-          &m_Metrics.latency("crowstep_first_event_seconds", With),
-          &m_Metrics.latency("crowstep_total_seconds", With)};
+  const Labels RouteLabels = {{"route", Label}};
+  return {&m_Metrics.counter("crowstep_requests_total", RouteLabels),
+          &m_Metrics.counter("crowstep_finished_total", RouteLabels),
+          &m_Metrics.latency("crowstep_first_event_seconds", RouteLabels),
+          &m_Metrics.latency("crowstep_total_seconds", RouteLabels)};
 }
 
 } // namespace crowstep::gateway
--- a/src/gateway/route_table.cpp
+++ b/src/gateway/route_table.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::string plainHost(std::string_view Host) {
+std::string normalizedHost(std::string_view Host) {
   std::string Result(Host.substr(0, Host.rfind(':')));
   for (char &Ch : Result)
     Ch = static_cast<char>(std::tolower(static_cast<unsigned char>(Ch)));
@@ -22,12 +22,13 @@
                            : Holder->m_Priority.value_or(Which.m_Priority);
 }
 
-PriorityRanks::Priorities turnOf(const Route &Which, const KeyHolder *Holder) {
+PriorityRanks::Priorities queuePriorities(const Route &Which,
+                                          const KeyHolder *Holder) {
   return {workspacePriority(Which, Holder), Which.m_Priority};
 }
 
-PriorityRanks::Priorities atEngine(const Route &Which,
-                                   const KeyHolder *Holder) {
+PriorityRanks::Priorities enginePriorities(const Route &Which,
+                                           const KeyHolder *Holder) {
   return {Which.m_Priority, workspacePriority(Which, Holder)};
 }
 
@@ -45,11 +46,11 @@
 
 std::map<std::string, Duration> tightestPauses(const RouteTableData &Table) {
   std::map<std::string, Duration> Result;
-  for (const Route &Each : Table.m_Routes) {
-    const auto *Stream = std::get_if<EventStream>(&Each.m_Kind);
+  for (const Route &Entry : Table.m_Routes) {
+    const auto *Stream = std::get_if<EventStream>(&Entry.m_Kind);
     if (Stream == nullptr || Stream->m_LongestPause == Duration::zero())
       continue;
-    for (const ServiceShare &Share : Each.m_Services) {
+    for (const ServiceShare &Share : Entry.m_Services) {
       const auto Found =
           Result.try_emplace(Share.m_Service, Stream->m_LongestPause).first;
       Found->second = std::min(Found->second, Stream->m_LongestPause);
@@ -59,14 +60,14 @@
 }
 
 RouteTable::RouteTable(RouteTableData Data) : m_Data(std::move(Data)) {
-  for (const Route &Each : m_Data.m_Routes)
-    m_ByPlace.emplace(plainHost(Each.m_Host) + Each.m_Prefix, &Each);
-  for (const KeyHolder &Each : m_Data.m_Workspaces)
-    for (const std::string &Key : Each.m_Keys)
-      m_ByKey.emplace(Key, &Each);
+  for (const Route &Entry : m_Data.m_Routes)
+    m_ByPlace.emplace(normalizedHost(Entry.m_Host) + Entry.m_Prefix, &Entry);
+  for (const KeyHolder &Entry : m_Data.m_Workspaces)
+    for (const std::string &Key : Entry.m_Keys)
+      m_ByKey.emplace(Key, &Entry);
   const auto Add = [this](const Route &Which, const KeyHolder *Holder) {
-    m_Turns.add(turnOf(Which, Holder));
-    m_EngineRanks.add(atEngine(Which, Holder));
+    m_Turns.add(queuePriorities(Which, Holder));
+    m_EngineRanks.add(enginePriorities(Which, Holder));
   };
   for (const Route &Which : m_Data.m_Routes) {
     Add(Which, nullptr);
@@ -77,35 +78,35 @@
 
 const Route *RouteTable::find(std::string_view Host,
                               std::string_view Path) const {
-  const std::string Plain = plainHost(Host);
+  const std::string NormalHost = normalizedHost(Host);
   // Path prefixes end with a slash, so only cuts after a slash can match.
   for (std::size_t Cut = Path.rfind('/'); Cut != std::string_view::npos;
        Cut = Cut == 0 ? std::string_view::npos : Path.rfind('/', Cut - 1)) {
     const auto Found =
-        m_ByPlace.find(Plain + std::string(Path.substr(0, Cut + 1)));
+        m_ByPlace.find(NormalHost + std::string(Path.substr(0, Cut + 1)));
     if (Found != m_ByPlace.end())
       return Found->second;
   }
   return nullptr;
 }
 
-unsigned PriorityRanks::rankOf(Priorities Which) const {
-  const auto Found = m_Known.find(Which);
-  const auto Place =
+unsigned PriorityRanks::rankOf(Priorities Pair) const {
+  const auto Found = m_Known.find(Pair);
+  const auto Index =
       static_cast<unsigned>(std::distance(m_Known.begin(), Found));
   const auto Pairs = static_cast<unsigned>(m_Known.size());
   constexpr auto Ranks = static_cast<unsigned>(balance::UrgencyCount);
-  return Pairs <= Ranks ? Place : Place * Ranks / Pairs;
+  return Pairs <= Ranks ? Index : Index * Ranks / Pairs;
 }
 
 unsigned RouteTable::urgency(const Route &Which,
                              const KeyHolder *Holder) const {
-  return m_Turns.rankOf(turnOf(Which, Holder));
+  return m_Turns.rankOf(queuePriorities(Which, Holder));
 }
 
 unsigned RouteTable::engineRank(const Route &Which,
                                 const KeyHolder *Holder) const {
-  return m_EngineRanks.rankOf(atEngine(Which, Holder));
+  return m_EngineRanks.rankOf(enginePriorities(Which, Holder));
 }
 
 const KeyHolder *RouteTable::holderOf(const std::string &Key) const {
--- a/src/gateway/route_table.h
+++ b/src/gateway/route_table.h
@@ -17,11 +17,11 @@
 public:
   using Priorities = std::pair<unsigned, unsigned>;
 
-  void add(Priorities Which) { m_Known.insert(Which); }
+  void add(Priorities Pair) { m_Known.insert(Pair); }
 
   /// Returns the rank of a pair that was added; 0 is the most urgent. Engines
   /// know ten ranks; with more pairs, adjacent ones share a rank.
-  [[nodiscard]] unsigned rankOf(Priorities Which) const;
+  [[nodiscard]] unsigned rankOf(Priorities Pair) const;
 
 private:
   std::set<Priorities> m_Known; ///< Never shrinks.
--- a/src/gateway/upstream_list.cpp
+++ b/src/gateway/upstream_list.cpp
@@ -12,9 +12,9 @@
 
 } // namespace
 
-void UpstreamList::listed(const Upstream &Each) {
-  m_Missing.erase(Each.m_Name);
-  m_ByName[Each.m_Name] = Each;
+void UpstreamList::listed(const Upstream &Entry) {
+  m_Missing.erase(Entry.m_Name);
+  m_ByName[Entry.m_Name] = Entry;
 }
 
 void UpstreamList::unreadable(const std::string &Name) {
@@ -56,8 +56,8 @@
 
 std::vector<Upstream> UpstreamList::all() const {
   std::vector<Upstream> Result;
-  for (const auto &[Name, Each] : m_ByName)
-    Result.push_back(Each);
+  for (const auto &[Name, Entry] : m_ByName)
+    Result.push_back(Entry);
   return Result;
 }
 
--- a/src/gateway/upstream_list.h
+++ b/src/gateway/upstream_list.h
@@ -31,7 +31,7 @@
   explicit UpstreamList(Duration Settle) : m_Settle(Settle) {}
 
   /// Records that the upstream has an entry.
-  void listed(const Upstream &Each);
+  void listed(const Upstream &Entry);
 
   /// Removes \p Name, whose entry can't be parsed.
   void unreadable(const std::string &Name);
--- a/src/gateway/waiting_room.cpp
+++ b/src/gateway/waiting_room.cpp
@@ -7,9 +7,9 @@
 namespace crowstep::gateway {
 
 std::unique_ptr<WaitingRoom::Place>
-WaitingRoom::enter(WaitingCall Which, std::function<void()> AskAgain) {
+WaitingRoom::enter(WaitingCall Call, std::function<void()> RetryPlacement) {
   const std::uint64_t Number = ++m_LastNumber;
-  m_Calls.emplace(Number, Waiting{std::move(Which), std::move(AskAgain)});
+  m_Calls.emplace(Number, Waiting{std::move(Call), std::move(RetryPlacement)});
   if (!m_Tick.running())
     m_Tick.start(AskInterval, [this] { ask(); });
   return std::unique_ptr<Place>(new Place(*this, Number));
@@ -21,18 +21,19 @@
 /// the second of each, so that a workspace with many calls delays no other.
 std::vector<std::uint64_t> WaitingRoom::order() const {
   using Rank = std::tuple<balance::Urgency, std::size_t, std::uint64_t>;
-  std::map<std::pair<balance::Urgency, std::string>, std::size_t> Seen;
+  std::map<std::pair<balance::Urgency, std::string>, std::size_t> CallsSeen;
   std::vector<Rank> Ranks;
   Ranks.reserve(m_Calls.size());
-  for (const auto &[Number, Each] : m_Calls) {
-    const balance::Urgency How = Each.m_Call.m_Urgency;
-    Ranks.emplace_back(How, Seen[{How, Each.m_Call.m_Workspace}]++, Number);
+  for (const auto &[Number, Queued] : m_Calls) {
+    const balance::Urgency Urgency = Queued.m_Call.m_Urgency;
+    Ranks.emplace_back(
+        Urgency, CallsSeen[{Urgency, Queued.m_Call.m_Workspace}]++, Number);
   }
   std::sort(Ranks.begin(), Ranks.end());
   std::vector<std::uint64_t> Result;
   Result.reserve(Ranks.size());
-  for (const Rank &Each : Ranks)
-    Result.push_back(std::get<2>(Each));
+  for (const Rank &Ranked : Ranks)
+    Result.push_back(std::get<2>(Ranked));
   return Result;
 }
 
@@ -43,8 +44,8 @@
     if (Found == m_Calls.end())
       continue;
     // A copy, since the callback may remove its call while it runs.
-    const std::function<void()> AskAgain = Found->second.m_AskAgain;
-    AskAgain();
+    const std::function<void()> RetryPlacement = Found->second.m_AskAgain;
+    RetryPlacement();
   }
   if (!m_Calls.empty())
     m_Tick.start(AskInterval, [this] { ask(); });
--- a/src/gateway/waiting_room.h
+++ b/src/gateway/waiting_room.h
@@ -48,8 +48,8 @@
 
   private:
     friend class WaitingRoom;
-    Place(WaitingRoom &Room, std::uint64_t Number)
-        : m_Room(Room), m_Number(Number) {}
+    Place(WaitingRoom &Queue, std::uint64_t Number)
+        : m_Room(Queue), m_Number(Number) {}
 
     WaitingRoom &m_Room;    ///< Outlives the entry.
     std::uint64_t m_Number; ///< Key of the call there.
@@ -62,8 +62,8 @@
 
   /// Adds a call; \p RetryPlacement runs each RetryInterval until the returned
   /// entry is destroyed, which it may do itself.
-  std::unique_ptr<Place> enter(WaitingCall Which,
-                               std::function<void()> AskAgain);
+  std::unique_ptr<Place> enter(WaitingCall Call,
+                               std::function<void()> RetryPlacement);
 
 private:
   /// A call and the callback that retries its placement.
