--- a/tests/unit/crash_watch_test.cpp
+++ b/tests/unit/crash_watch_test.cpp
@@ -27,23 +27,23 @@
 
 constexpr ContentHash Request{1, 1};
 
-struct World {
+struct TestEnv {
   ManualClock m_Clock;
   ManualScheduler m_Timers{m_Clock};
   balance::Balancer m_Balancer{{"a"}};
   test::FakeProber m_Prober;
   Metrics m_Metrics;
-  FakeDirectory m_List;
+  FakeDirectory m_Directory;
   CrashWatch m_Watch{m_Clock, m_Timers, m_Balancer, m_Prober, m_Metrics};
 
-  World() {
+  TestEnv() {
     m_Timers.advance(100s);
-    m_Watch.start(m_List);
+    m_Watch.start(m_Directory);
     listUpstreams({"u-1", "u-2", "u-3"});
   }
 
   void listUpstreams(const std::vector<std::string> &Names,
-                     bool Leaving = false) {
+                     bool Draining = false) {
     std::vector<Upstream> All;
     All.reserve(Names.size());
     for (const std::string &Name : Names)
@@ -53,24 +53,24 @@
                      {1, 1},
                      {"a"},
                      PlainService{4},
-                     Leaving});
+                     Draining});
     m_Watch.upstreamsChanged(All);
     m_Balancer.setUpstreams(All);
   }
 
   /// The connection of a call of the request breaks at \p Name.
-  void breaks(const std::string &Name) {
+  void breakCall(const std::string &Name) {
     m_Balancer.quarantine().callBroken(Request, upstreamIdOf(Name),
                                        m_Clock.now());
     m_Watch.callBroken(upstreamIdOf(Name), {1, 1});
   }
 
-  void crashes(const std::string &Name) {
-    breaks(Name);
+  void crashUpstream(const std::string &Name) {
+    breakCall(Name);
     m_Prober.m_Done.back()(ConnectOutcome::Refused);
   }
 
-  [[nodiscard]] std::size_t count() {
+  [[nodiscard]] std::size_t crashCount() {
     return m_Balancer.quarantine().crashesOf(Request);
   }
 };
@@ -78,70 +78,70 @@
 } // namespace
 
 // Guards against a probe for each of the calls that broke at one upstream.
-BOOST_AUTO_TEST_CASE(OneProbeFindsOutForAllCalls) {
-  World It;
-  It.breaks("u-1");
-  It.breaks("u-1");
-  BOOST_TEST(It.m_Prober.m_Done.size() == 1U);
-  It.m_Prober.m_Done[0](ConnectOutcome::Refused);
-  BOOST_TEST(It.count() == 1U);
-  It.breaks("u-1");
-  BOOST_TEST(It.m_Prober.m_Done.size() == 2U);
+BOOST_AUTO_TEST_CASE(OneProbeServesAllBrokenCalls) {
+  TestEnv Env;
+  Env.breakCall("u-1");
+  Env.breakCall("u-1");
+  BOOST_TEST(Env.m_Prober.m_Done.size() == 1U);
+  Env.m_Prober.m_Done[0](ConnectOutcome::Refused);
+  BOOST_TEST(Env.crashCount() == 1U);
+  Env.breakCall("u-1");
+  BOOST_TEST(Env.m_Prober.m_Done.size() == 2U);
 }
 
 // Guards against a crash that is missed because the upstream is up again before
 // it is probed, and against a drained upstream that counts as crashed.
-BOOST_AUTO_TEST_CASE(AnEntryThatGoesWithoutLeavingIsACrash) {
-  World It;
-  It.breaks("u-1");
-  It.m_Prober.m_Done[0](ConnectOutcome::Stands);
-  BOOST_TEST(It.count() == 0U);
-  It.listUpstreams({"u-2", "u-3"});
-  BOOST_TEST(It.count() == 1U);
-  It.breaks("u-2");
-  It.listUpstreams({"u-2", "u-3"}, true);
-  It.listUpstreams({});
-  BOOST_TEST(It.count() == 1U);
+BOOST_AUTO_TEST_CASE(RemovalWithoutDrainingIsACrash) {
+  TestEnv Env;
+  Env.breakCall("u-1");
+  Env.m_Prober.m_Done[0](ConnectOutcome::Stands);
+  BOOST_TEST(Env.crashCount() == 0U);
+  Env.listUpstreams({"u-2", "u-3"});
+  BOOST_TEST(Env.crashCount() == 1U);
+  Env.breakCall("u-2");
+  Env.listUpstreams({"u-2", "u-3"}, true);
+  Env.listUpstreams({});
+  BOOST_TEST(Env.crashCount() == 1U);
 }
 
 // Guards against a quarantine that is listed too late to survive the loss of
 // all instances, or whose write is lost and not repeated.
-BOOST_AUTO_TEST_CASE(AQuarantineIsListedAtOnceAndUntilItIsSeen) {
-  World It;
+BOOST_AUTO_TEST_CASE(AQuarantineIsListedAtOnceAndRetried) {
+  TestEnv Env;
   for (const char *Name : {"u-1", "u-2", "u-3"})
-    It.crashes(Name);
-  It.m_Timers.advance(1ms);
-  BOOST_TEST(It.m_List.m_Listed == 1);
-  It.m_Timers.advance(CrashWatch::ListAgainAfter);
-  BOOST_TEST(It.m_List.m_Listed == 2);
-  It.m_Watch.quarantineChanged({Request});
-  It.m_Timers.advance(1min);
-  BOOST_TEST(It.m_List.m_Listed == 2);
+    Env.crashUpstream(Name);
+  Env.m_Timers.advance(1ms);
+  BOOST_TEST(Env.m_Directory.m_Listed == 1);
+  Env.m_Timers.advance(CrashWatch::ListAgainAfter);
+  BOOST_TEST(Env.m_Directory.m_Listed == 2);
+  Env.m_Watch.quarantineChanged({Request});
+  Env.m_Timers.advance(1min);
+  BOOST_TEST(Env.m_Directory.m_Listed == 2);
 }
 
 // Guards against a quarantine that no instance lists because each of its
 // crashes was observed by a different one.
-BOOST_AUTO_TEST_CASE(ThoseThatSawOneCrashListAQuarantineOfOthers) {
-  World It;
-  It.crashes("u-1");
-  It.m_Balancer.quarantine().take(
+BOOST_AUTO_TEST_CASE(ObserversOfOneCrashListTheQuarantine) {
+  TestEnv Env;
+  Env.crashUpstream("u-1");
+  Env.m_Balancer.quarantine().take(
       {{Request, upstreamIdOf("u-2")}, {Request, upstreamIdOf("u-3")}},
-      It.m_Clock.now());
-  BOOST_TEST(It.m_List.m_Listed == 0);
-  It.m_Timers.advance(CrashWatch::ListAfter);
-  BOOST_TEST(It.m_List.m_Listed == 1);
+      Env.m_Clock.now());
+  BOOST_TEST(Env.m_Directory.m_Listed == 0);
+  Env.m_Timers.advance(CrashWatch::ListAfter);
+  BOOST_TEST(Env.m_Directory.m_Listed == 1);
 }
 
 // Guards against a request that stays listed after it was served.
-BOOST_AUTO_TEST_CASE(AServedRequestIsTakenOffTheList) {
-  World It;
-  It.m_Watch.quarantineChanged({Request});
-  It.m_Balancer.quarantine().served(Request);
-  It.m_Timers.advance(1ms);
-  BOOST_TEST(It.m_List.m_Unlisted == 1);
-  It.m_Timers.advance(CrashWatch::ListAgainAfter);
-  BOOST_TEST(It.m_List.m_Unlisted == 2);
-  It.m_Watch.quarantineChanged({});
-  It.m_Timers.advance(1min);
-  BOOST_TEST(It.m_List.m_Unlisted == 2);
+BOOST_AUTO_TEST_CASE(AServedRequestIsUnlisted) {
+  TestEnv Env;
+  Env.m_Watch.quarantineChanged({Request});
+  Env.m_Balancer.quarantine().served(Request);
+  Env.m_Timers.advance(1ms);
+  BOOST_TEST(Env.m_Directory.m_Unlisted == 1);
+  Env.m_Timers.advance(CrashWatch::ListAgainAfter);
+  BOOST_TEST(Env.m_Directory.m_Unlisted == 2);
+  Env.m_Watch.quarantineChanged({});
+  Env.m_Timers.advance(1min);
+  BOOST_TEST(Env.m_Directory.m_Unlisted == 2);
 }
--- a/tests/unit/digest_exchange_test.cpp
+++ b/tests/unit/digest_exchange_test.cpp
@@ -10,34 +10,35 @@
 
 namespace {
 
-class Fabric;
+class Network;
 
 /// Simulated links of one instance.
 class FakeLinks final : public link::Links {
 public:
-  FakeLinks(Fabric &Of, const PeerInstance &Self, link::LinkListener &Listener)
-      : m_Fabric(Of), m_Self(Self), m_Listener(Listener) {}
+  FakeLinks(Network &Net, const PeerInstance &Self,
+            link::LinkListener &Listener)
+      : m_Network(Net), m_Self(Self), m_Listener(Listener) {}
   ~FakeLinks() override;
   void dial(const Address &Where) override;
   void hangUp(const Address &) override {}
   wire::FrameT &outbox(link::LinkId Link) override;
   void close(link::LinkId) override {}
 
-  Fabric &m_Fabric;               ///< Outlives it.
+  Network &m_Network;             ///< Outlives it.
   PeerInstance m_Self;            ///< Their owner.
   link::LinkListener &m_Listener; ///< Outlives it.
 };
 
 /// Carries frames between instances.
-class Fabric {
+class Network {
 public:
-  struct Wire {
-    FakeLinks *m_From;      ///< Sends.
-    FakeLinks *m_To;        ///< Receives.
-    link::LinkId m_Id;      ///< At the sender.
-    link::LinkId m_Other;   ///< At the receiver.
-    wire::FrameT m_Waiting; ///< Not delivered.
-    bool m_HasNews = false; ///< m_Waiting is to be sent.
+  struct LinkEnd {
+    FakeLinks *m_From;       ///< Sends.
+    FakeLinks *m_To;         ///< Receives.
+    link::LinkId m_Id;       ///< At the sender.
+    link::LinkId m_RemoteId; ///< At the receiver.
+    wire::FrameT m_Frame;    ///< Not delivered.
+    bool m_HasFrame = false; ///< m_Frame is to be sent.
   };
 
   void dial(FakeLinks &From, const Address &Where) {
@@ -55,81 +56,81 @@
 
   void deliver() {
     connect();
-    for (auto &Each : m_Wires) {
-      if (!Each.second.m_HasNews)
+    for (auto &Entry : m_LinkEnds) {
+      if (!Entry.second.m_HasFrame)
         continue;
-      Each.second.m_HasNews = false;
+      Entry.second.m_HasFrame = false;
       flatbuffers::FlatBufferBuilder Builder;
-      Builder.Finish(wire::Frame::Pack(Builder, &Each.second.m_Waiting));
-      Each.second.m_Waiting = {};
-      ++m_Frames[Each.second.m_From->m_Self.m_Name];
-      m_Bytes[Each.second.m_From->m_Self.m_Zone !=
-              Each.second.m_To->m_Self.m_Zone] += Builder.GetSize();
-      Each.second.m_To->m_Listener.linkFrame(
-          Each.second.m_Other, *wire::GetFrame(Builder.GetBufferPointer()));
+      Builder.Finish(wire::Frame::Pack(Builder, &Entry.second.m_Frame));
+      Entry.second.m_Frame = {};
+      ++m_Frames[Entry.second.m_From->m_Self.m_Name];
+      m_Bytes[Entry.second.m_From->m_Self.m_Zone !=
+              Entry.second.m_To->m_Self.m_Zone] += Builder.GetSize();
+      Entry.second.m_To->m_Listener.linkFrame(
+          Entry.second.m_RemoteId, *wire::GetFrame(Builder.GetBufferPointer()));
     }
   }
 
   /// Removes an instance and closes its links.
-  void cut(FakeLinks &Gone) {
-    std::erase(m_All, &Gone);
-    std::vector<Wire> Lost;
-    for (auto &Each : m_Wires)
-      if (Each.second.m_From == &Gone || Each.second.m_To == &Gone)
-        Lost.push_back(Each.second);
-    for (const Wire &Each : Lost) {
-      m_Wires.erase(Each.m_Id);
-      if (Each.m_From != &Gone)
-        Each.m_From->m_Listener.linkDown(Each.m_Id, peerOf(Gone),
-                                         link::CloseReason::PeerClosed);
+  void removeInstance(FakeLinks &Removed) {
+    std::erase(m_All, &Removed);
+    std::vector<LinkEnd> Lost;
+    for (auto &Entry : m_LinkEnds)
+      if (Entry.second.m_From == &Removed || Entry.second.m_To == &Removed)
+        Lost.push_back(Entry.second);
+    for (const LinkEnd &Entry : Lost) {
+      m_LinkEnds.erase(Entry.m_Id);
+      if (Entry.m_From != &Removed)
+        Entry.m_From->m_Listener.linkDown(Entry.m_Id, peerOf(Removed),
+                                          link::CloseReason::PeerClosed);
     }
   }
 
-  std::vector<FakeLinks *> m_All;         ///< Instances that are up.
-  std::map<link::LinkId, Wire> m_Wires;   ///< By the sender's id.
-  std::map<std::string, int> m_Frames;    ///< Sent, by instance.
-  std::array<std::uint64_t, 2> m_Bytes{}; ///< Within, between zones.
+  std::vector<FakeLinks *> m_All;             ///< Instances that are up.
+  std::map<link::LinkId, LinkEnd> m_LinkEnds; ///< By the sender's id.
+  std::map<std::string, int> m_Frames;        ///< Sent, by instance.
+  std::array<std::uint64_t, 2> m_Bytes{};     ///< Within, between zones.
 
 private:
-  static link::Peer peerOf(const FakeLinks &Which) {
+  static link::Peer peerOf(const FakeLinks &Links) {
     return {wire::Role::Gateway,
-            Which.m_Self.m_Name,
-            instanceIdOf(Which.m_Self.m_Name),
+            Links.m_Self.m_Name,
+            instanceIdOf(Links.m_Self.m_Name),
             Incarnation(1),
-            Which.m_Self.m_Zone,
-            Which.m_Self.m_Address};
+            Links.m_Self.m_Zone,
+            Links.m_Self.m_Address};
   }
 
   void join(FakeLinks &From, FakeLinks &To) {
-    const link::LinkId There(++m_Last);
-    const link::LinkId Back(++m_Last);
-    m_Wires[There] = {&From, &To, There, Back, {}, false};
-    m_Wires[Back] = {&To, &From, Back, There, {}, false};
-    From.m_Listener.linkUp(There, peerOf(To));
-    To.m_Listener.linkUp(Back, peerOf(From));
+    const link::LinkId FromId(++m_Last);
+    const link::LinkId ToId(++m_Last);
+    m_LinkEnds[FromId] = {&From, &To, FromId, ToId, {}, false};
+    m_LinkEnds[ToId] = {&To, &From, ToId, FromId, {}, false};
+    From.m_Listener.linkUp(FromId, peerOf(To));
+    To.m_Listener.linkUp(ToId, peerOf(From));
   }
 
   std::vector<std::pair<FakeLinks *, Address>> m_Dials; ///< Not connected yet.
   std::uint64_t m_Last = 0;                             ///< Last link id.
 };
 
-FakeLinks::~FakeLinks() { m_Fabric.cut(*this); }
+FakeLinks::~FakeLinks() { m_Network.removeInstance(*this); }
 
-void FakeLinks::dial(const Address &Where) { m_Fabric.dial(*this, Where); }
+void FakeLinks::dial(const Address &Where) { m_Network.dial(*this, Where); }
 
 wire::FrameT &FakeLinks::outbox(link::LinkId Link) {
-  static wire::FrameT Nowhere;
-  const auto Found = m_Fabric.m_Wires.find(Link);
-  if (Found == m_Fabric.m_Wires.end())
-    return Nowhere;
-  Found->second.m_HasNews = true;
-  return Found->second.m_Waiting;
+  static wire::FrameT Discarded;
+  const auto Found = m_Network.m_LinkEnds.find(Link);
+  if (Found == m_Network.m_LinkEnds.end())
+    return Discarded;
+  Found->second.m_HasFrame = true;
+  return Found->second.m_Frame;
 }
 
 /// An instance with one plain upstream, so that a placement shows the number of
 /// all calls that it knows of.
 struct Instance {
-  Instance(Fabric &Net, const PeerInstance &Self, const Clock &Time,
+  Instance(Network &Net, const PeerInstance &Self, const Clock &Time,
            Scheduler &Timers)
       : m_Self(Self), m_Balancer(Self.m_Zone),
         m_Exchange(
@@ -160,7 +161,7 @@
   }
 
   /// Returns the number of calls that it knows of, its own and others'.
-  int known(TimePoint Now) {
+  int knownCalls(TimePoint Now) {
     const balance::Placed Probe = place(Now);
     m_Balancer.ended(Probe.m_Ticket, balance::CallOutcome::Dropped, Now);
     return static_cast<int>(Probe.m_Why.m_Calls);
@@ -190,33 +191,34 @@
     for (const PeerInstance &Self : m_List.m_Instances)
       m_Instances.push_back(
           std::make_unique<Instance>(m_Net, Self, m_Clock, m_Timers));
-    for (const auto &Each : m_Instances)
-      Each->m_Exchange.setPeers(m_List);
+    for (const auto &Member : m_Instances)
+      Member->m_Exchange.setPeers(m_List);
     m_Net.connect();
   }
 
   void run(Duration Span) {
-    for (Duration Past{}; Past < Span; Past += 10ms) {
+    for (Duration Elapsed{}; Elapsed < Span; Elapsed += 10ms) {
       m_Timers.advance(10ms);
       m_Net.deliver();
     }
   }
 
   void placeOneEach() {
-    for (const auto &Each : m_Instances)
-      Each->place(m_Clock.now());
+    for (const auto &Member : m_Instances)
+      Member->place(m_Clock.now());
   }
 
   /// Returns whether all instances know of exactly \p Calls calls.
-  bool allKnow(int Calls) {
-    return std::all_of(
-        m_Instances.begin(), m_Instances.end(),
-        [&](const auto &Each) { return Each->known(m_Clock.now()) == Calls; });
+  bool allKnowCalls(int Calls) {
+    return std::all_of(m_Instances.begin(), m_Instances.end(),
+                       [&](const auto &Member) {
+                         return Member->knownCalls(m_Clock.now()) == Calls;
+                       });
   }
 
   ManualClock m_Clock;
   ManualScheduler m_Timers{m_Clock};
-  Fabric m_Net;
+  Network m_Net;
   PeerList m_List;
   std::vector<std::unique_ptr<Instance>> m_Instances;
 };
@@ -224,62 +226,63 @@
 } // namespace
 
 // Few instances: each knows of all calls after one digest.
-BOOST_AUTO_TEST_CASE(FewTellOneAnother) {
-  Fleet It(3, 3);
-  It.placeOneEach();
-  It.run(120ms);
-  BOOST_TEST(It.allKnow(9));
+BOOST_AUTO_TEST_CASE(FewInstancesSendToEachOther) {
+  Fleet F(3, 3);
+  F.placeOneEach();
+  F.run(120ms);
+  BOOST_TEST(F.allKnowCalls(9));
 }
 
 // Many instances in four zones: each call is known everywhere within half a
 // second and counted once, though no instance has links to most others.
-BOOST_AUTO_TEST_CASE(ManyKnowOfAllThroughHubs) {
-  Fleet It(4, 21);
-  BOOST_TEST(It.m_Net.m_Wires.size() < 4U * 21U * 23U);
-  It.placeOneEach();
-  It.run(500ms);
-  BOOST_TEST(It.allKnow(84));
-  It.run(2s);
-  BOOST_TEST(It.allKnow(84));
+BOOST_AUTO_TEST_CASE(ManyInstancesKnowAllCallsThroughHubs) {
+  Fleet F(4, 21);
+  BOOST_TEST(F.m_Net.m_LinkEnds.size() < 4U * 21U * 23U);
+  F.placeOneEach();
+  F.run(500ms);
+  BOOST_TEST(F.allKnowCalls(84));
+  F.run(2s);
+  BOOST_TEST(F.allKnowCalls(84));
   // With links between all instances, a digest each 100 ms would be 830 frames
   // a second.
-  for (const auto &[Name, Frames] : It.m_Net.m_Frames)
+  for (const auto &[Name, Frames] : F.m_Net.m_Frames)
     BOOST_TEST(Frames < 2.5 * 260);
 }
 
 // A zone's hub is killed under load. The next one takes over; the load known to
 // the others is stale for a second and then complete again.
-BOOST_AUTO_TEST_CASE(TheLossOfAHubCutsNoZoneOff) {
-  Fleet It(3, 10);
-  It.placeOneEach();
-  It.run(1s);
-  BOOST_TEST(It.allKnow(30));
+BOOST_AUTO_TEST_CASE(TheLossOfAHubDisconnectsNoZone) {
+  Fleet F(3, 10);
+  F.placeOneEach();
+  F.run(1s);
+  BOOST_TEST(F.allKnowCalls(30));
   const auto Largest = std::find_if(
-      It.m_Instances.begin(), It.m_Instances.end(), [](const auto &Each) {
-        return Each->m_Self.m_Zone.m_Name == "z1" && Each->m_Self.m_Weight > 1;
+      F.m_Instances.begin(), F.m_Instances.end(), [](const auto &Member) {
+        return Member->m_Self.m_Zone.m_Name == "z1" &&
+               Member->m_Self.m_Weight > 1;
       });
-  It.m_Instances.erase(Largest);
-  It.run(1500ms);
-  BOOST_TEST(It.allKnow(29));
-  It.m_Instances.front()->place(It.m_Clock.now());
-  It.run(500ms);
-  BOOST_TEST(It.allKnow(30));
+  F.m_Instances.erase(Largest);
+  F.run(1500ms);
+  BOOST_TEST(F.allKnowCalls(29));
+  F.m_Instances.front()->place(F.m_Clock.now());
+  F.run(500ms);
+  BOOST_TEST(F.allKnowCalls(30));
 }
 
 namespace {
 
 /// Lets an instance observe that an upstream crashes under a request.
-void crash(Instance &At, std::uint64_t Upstream, TimePoint Now) {
+void observeCrash(Instance &At, std::uint64_t Upstream, TimePoint Now) {
   At.m_Balancer.quarantine().callBroken({1, 1}, UpstreamId(Upstream), Now);
   At.m_Balancer.quarantine().upstreamDown(UpstreamId(Upstream), Now);
 }
 
-bool allHold(Fleet &It) {
-  return std::all_of(
-      It.m_Instances.begin(), It.m_Instances.end(), [&](const auto &Each) {
-        return Each->m_Balancer.quarantine().heldFor({1, 1}, It.m_Clock.now()) >
-               Duration::zero();
-      });
+bool allQuarantine(Fleet &F) {
+  return std::all_of(F.m_Instances.begin(), F.m_Instances.end(),
+                     [&](const auto &Member) {
+                       return Member->m_Balancer.quarantine().heldFor(
+                                  {1, 1}, F.m_Clock.now()) > Duration::zero();
+                     });
 }
 
 } // namespace
@@ -288,46 +291,48 @@
 BOOST_AUTO_TEST_CASE(CrashesAddUpAcrossZones) {
   for (const auto &[Zones, InZone] :
        {std::pair(2, 2), std::pair(3, 3), std::pair(4, 21), std::pair(6, 50)}) {
-    Fleet It(Zones, InZone);
-    It.run(1s);
-    const std::size_t Count = It.m_Instances.size();
-    crash(*It.m_Instances[0], 1, It.m_Clock.now());
-    It.run(300ms);
-    crash(*It.m_Instances[Count / 2], 2, It.m_Clock.now());
-    crash(*It.m_Instances[Count - 1], 3, It.m_Clock.now());
-    It.run(1500ms);
-    BOOST_TEST(allHold(It));
+    Fleet F(Zones, InZone);
+    F.run(1s);
+    const std::size_t Count = F.m_Instances.size();
+    observeCrash(*F.m_Instances[0], 1, F.m_Clock.now());
+    F.run(300ms);
+    observeCrash(*F.m_Instances[Count / 2], 2, F.m_Clock.now());
+    observeCrash(*F.m_Instances[Count - 1], 3, F.m_Clock.now());
+    F.run(1500ms);
+    BOOST_TEST(allQuarantine(F));
   }
 }
 
 // Guards against crashes that are lost with the hub that was to relay them.
-BOOST_AUTO_TEST_CASE(CrashesOutlastTheirHub) {
-  Fleet It(3, 10);
-  It.run(1s);
-  const auto Hub = std::find_if(
-      It.m_Instances.begin(), It.m_Instances.end(), [](const auto &Each) {
-        return Each->m_Self.m_Zone.m_Name == "z1" && Each->m_Self.m_Weight > 1;
-      });
+BOOST_AUTO_TEST_CASE(CrashesSurviveTheLossOfTheirHub) {
+  Fleet F(3, 10);
+  F.run(1s);
+  const auto Hub = std::find_if(F.m_Instances.begin(), F.m_Instances.end(),
+                                [](const auto &Member) {
+                                  return Member->m_Self.m_Zone.m_Name == "z1" &&
+                                         Member->m_Self.m_Weight > 1;
+                                });
   const auto Seen = std::find_if(
-      It.m_Instances.begin(), It.m_Instances.end(), [](const auto &Each) {
-        return Each->m_Self.m_Zone.m_Name == "z1" && Each->m_Self.m_Weight == 1;
+      F.m_Instances.begin(), F.m_Instances.end(), [](const auto &Member) {
+        return Member->m_Self.m_Zone.m_Name == "z1" &&
+               Member->m_Self.m_Weight == 1;
       });
   for (std::uint64_t I = 1; I <= 3; ++I)
-    crash(**Seen, I, It.m_Clock.now());
-  It.run(100ms); // The hub has received the reports.
-  It.m_Instances.erase(Hub);
-  It.run(1500ms);
-  BOOST_TEST(allHold(It));
+    observeCrash(**Seen, I, F.m_Clock.now());
+  F.run(100ms); // The hub has received the reports.
+  F.m_Instances.erase(Hub);
+  F.run(1500ms);
+  BOOST_TEST(allQuarantine(F));
 }
 
 // The bytes between zones grow with the number of zones, not with the number of
 // pairs of instances.
-BOOST_AUTO_TEST_CASE(FewBytesLeaveAZone) {
+BOOST_AUTO_TEST_CASE(BytesBetweenZonesGrowWithZonesOnly) {
   const auto Between = [](int InZone) {
-    Fleet It(4, InZone);
-    It.placeOneEach();
-    It.run(2s);
-    return static_cast<double>(It.m_Net.m_Bytes[1]);
+    Fleet F(4, InZone);
+    F.placeOneEach();
+    F.run(2s);
+    return static_cast<double>(F.m_Net.m_Bytes[1]);
   };
   BOOST_TEST(Between(40) < 1.5 * Between(10));
 }
@@ -344,15 +349,16 @@
 }
 
 /// Returns the first instance with a role in a zone.
-Instance &withRole(Fleet &It, const std::string &Zone, ReadingRole Role) {
-  for (const auto &Each : It.m_Instances)
-    if (Each->m_Self.m_Zone.m_Name == Zone &&
-        Each->m_Exchange.readingRole() == Role)
-      return *Each;
+Instance &instanceWithRole(Fleet &F, const std::string &Zone,
+                           ReadingRole Role) {
+  for (const auto &Member : F.m_Instances)
+    if (Member->m_Self.m_Zone.m_Name == Zone &&
+        Member->m_Exchange.readingRole() == Role)
+      return *Member;
   throw std::out_of_range(Zone);
 }
 
-std::uint64_t dropped(Instance &At) {
+std::uint64_t droppedUpdates(Instance &At) {
   return At.m_Stats.counter("crowstep_directory_updates_dropped_total").value();
 }
 
@@ -361,10 +367,10 @@
 // Guards against a zone without a reader, or with two instances that call the
 // store continuously.
 BOOST_AUTO_TEST_CASE(EachZoneHasOneReaderAndOneDeputy) {
-  Fleet It(3, 10);
+  Fleet F(3, 10);
   std::map<std::pair<std::string, ReadingRole>, int> Roles;
-  for (const auto &Each : It.m_Instances)
-    ++Roles[{Each->m_Self.m_Zone.m_Name, Each->m_Exchange.readingRole()}];
+  for (const auto &Member : F.m_Instances)
+    ++Roles[{Member->m_Self.m_Zone.m_Name, Member->m_Exchange.readingRole()}];
   for (const char *Zone : {"z0", "z1", "z2"}) {
     BOOST_TEST((Roles[{Zone, ReadingRole::Reader}] == 1));
     BOOST_TEST((Roles[{Zone, ReadingRole::Deputy}] == 1));
@@ -378,49 +384,51 @@
 // Guards against updates that reach other zones, are altered or don't reach all
 // instances of the own zone.
 BOOST_AUTO_TEST_CASE(UpdatesGoToTheOwnZone) {
-  Fleet It(2, 20);
-  withRole(It, "z0", ReadingRole::Reader).m_Exchange.passOn(someUpdate());
-  It.run(20ms);
-  for (const auto &Each : It.m_Instances) {
-    const bool Gets = Each->m_Self.m_Zone.m_Name == "z0" &&
-                      Each->m_Exchange.readingRole() != ReadingRole::Reader;
-    BOOST_REQUIRE(Each->m_Updates.size() == (Gets ? 1U : 0U));
-    if (!Gets)
+  Fleet F(2, 20);
+  instanceWithRole(F, "z0", ReadingRole::Reader)
+      .m_Exchange.passOn(someUpdate());
+  F.run(20ms);
+  for (const auto &Member : F.m_Instances) {
+    const bool Receives =
+        Member->m_Self.m_Zone.m_Name == "z0" &&
+        Member->m_Exchange.readingRole() != ReadingRole::Reader;
+    BOOST_REQUIRE(Member->m_Updates.size() == (Receives ? 1U : 0U));
+    if (!Receives)
       continue;
-    const DirectoryUpdate &Got = Each->m_Updates.front();
-    BOOST_TEST(Got.m_Table == "t");
-    BOOST_TEST(Got.m_After.value() == 3U);
-    BOOST_TEST(Got.m_Version.value() == 7U);
-    BOOST_TEST((Got.m_ReadAt == 5000ms));
-    BOOST_REQUIRE(Got.m_Rows.size() == 2U);
-    BOOST_TEST(Got.m_Rows[0].m_Value == std::string("\0v", 2));
-    BOOST_TEST(Got.m_Rows[1].m_Gone);
+    const DirectoryUpdate &Received = Member->m_Updates.front();
+    BOOST_TEST(Received.m_Table == "t");
+    BOOST_TEST(Received.m_After.value() == 3U);
+    BOOST_TEST(Received.m_Version.value() == 7U);
+    BOOST_TEST((Received.m_ReadAt == 5000ms));
+    BOOST_REQUIRE(Received.m_Rows.size() == 2U);
+    BOOST_TEST(Received.m_Rows[0].m_Value == std::string("\0v", 2));
+    BOOST_TEST(Received.m_Rows[1].m_Gone);
   }
 }
 
 // Guards against an update that is applied although its sender isn't a reader
 // of the zone, or it is inconsistent: it must be dropped and counted.
-BOOST_AUTO_TEST_CASE(OnlyReadersOfTheZoneAreBelieved) {
-  Fleet It(2, 20);
-  Instance &Other = withRole(It, "z0", ReadingRole::Follower);
+BOOST_AUTO_TEST_CASE(OnlyReadersOfTheZoneMaySendUpdates) {
+  Fleet F(2, 20);
+  Instance &Other = instanceWithRole(F, "z0", ReadingRole::Follower);
   Other.m_Exchange.passOn(someUpdate());
-  It.run(20ms);
-  for (const auto &Each : It.m_Instances) {
+  F.run(20ms);
+  for (const auto &Member : F.m_Instances) {
     const bool Near =
-        Each->m_Self.m_Zone.m_Name == "z0" && Each.get() != &Other;
-    BOOST_TEST(Each->m_Updates.empty());
-    BOOST_TEST(dropped(*Each) == (Near ? 1U : 0U));
+        Member->m_Self.m_Zone.m_Name == "z0" && Member.get() != &Other;
+    BOOST_TEST(Member->m_Updates.empty());
+    BOOST_TEST(droppedUpdates(*Member) == (Near ? 1U : 0U));
   }
-  Instance &Reader = withRole(It, "z1", ReadingRole::Reader);
+  Instance &Reader = instanceWithRole(F, "z1", ReadingRole::Reader);
   DirectoryUpdate Backwards = someUpdate();
   Backwards.m_Version = DirectoryVersion(2);
   DirectoryUpdate Ahead = someUpdate();
   Ahead.m_Rows[0].m_Version = DirectoryVersion(8);
   for (const DirectoryUpdate &Bad : {Backwards, Ahead}) {
     Reader.m_Exchange.passOn(Bad);
-    It.run(20ms);
+    F.run(20ms);
   }
-  Instance &Taker = withRole(It, "z1", ReadingRole::Follower);
+  Instance &Taker = instanceWithRole(F, "z1", ReadingRole::Follower);
   BOOST_TEST(Taker.m_Updates.empty());
-  BOOST_TEST(dropped(Taker) == 2U);
+  BOOST_TEST(droppedUpdates(Taker) == 2U);
 }
--- a/tests/unit/reading_duty_test.cpp
+++ b/tests/unit/reading_duty_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr TimePoint Now{100s};
 
-ReadingDuty duty(ReadingRole Role) {
+ReadingDuty policy(ReadingRole Role) {
   ReadingDuty Result;
   Result.setFreshness(2s, 1800ms);
   Result.setRole(Role);
@@ -25,33 +25,33 @@
 // Guards against a zone in which all instances call the directory when its
 // reader has failed: the deputy calls before the followers.
 BOOST_AUTO_TEST_CASE(TheDeputyCallsBeforeFollowers) {
-  BOOST_TEST((duty(ReadingRole::Alone).freshFor(Now) == 0s));
-  BOOST_TEST((duty(ReadingRole::Reader).freshFor(Now) == 0s));
-  BOOST_TEST((duty(ReadingRole::Deputy).freshFor(Now) == 1500ms));
-  BOOST_TEST((duty(ReadingRole::Follower).freshFor(Now) == 2s));
-  BOOST_TEST((duty(ReadingRole::Follower).freshFor(Now + 3s) == 0s));
+  BOOST_TEST((policy(ReadingRole::Alone).freshFor(Now) == 0s));
+  BOOST_TEST((policy(ReadingRole::Reader).freshFor(Now) == 0s));
+  BOOST_TEST((policy(ReadingRole::Deputy).freshFor(Now) == 1500ms));
+  BOOST_TEST((policy(ReadingRole::Follower).freshFor(Now) == 2s));
+  BOOST_TEST((policy(ReadingRole::Follower).freshFor(Now + 3s) == 0s));
 }
 
 // Guards against updates that arrive out of order and make newer ones look old.
 BOOST_AUTO_TEST_CASE(TheNewestUpdateCounts) {
-  ReadingDuty Duty = duty(ReadingRole::Follower);
-  Duty.updated(Now - 1s);
-  BOOST_TEST((Duty.freshFor(Now) == 2s));
-  BOOST_TEST((Duty.age(Now + 500ms) == 500ms));
+  ReadingDuty Policy = policy(ReadingRole::Follower);
+  Policy.updated(Now - 1s);
+  BOOST_TEST((Policy.freshFor(Now) == 2s));
+  BOOST_TEST((Policy.age(Now + 500ms) == 500ms));
 }
 
 // Guards against a reader whose calls are answered too rarely for one answer to
 // be lost, and against followers that overload a directory after an outage.
-BOOST_AUTO_TEST_CASE(ReadersCallOftenAndFollowersPatiently) {
+BOOST_AUTO_TEST_CASE(ReadersCallOftenAndFollowersBackOffLonger) {
   for (const ReadingRole Role : {ReadingRole::Reader, ReadingRole::Deputy})
-    BOOST_TEST((duty(Role).waitOfCall() == 1s));
+    BOOST_TEST((policy(Role).waitOfCall() == 1s));
   for (const ReadingRole Role : {ReadingRole::Alone, ReadingRole::Follower})
-    BOOST_TEST((duty(Role).waitOfCall() == ReadingDuty::LongestWait));
-  const ReadingDuty Follower = duty(ReadingRole::Follower);
+    BOOST_TEST((policy(Role).waitOfCall() == ReadingDuty::LongestWait));
+  const ReadingDuty Follower = policy(ReadingRole::Follower);
   for (const ReadingRole Role :
        {ReadingRole::Alone, ReadingRole::Reader, ReadingRole::Deputy}) {
-    BOOST_TEST((duty(Role).firstBackoff() < Follower.firstBackoff()));
-    BOOST_TEST((duty(Role).longestBackoff() < Follower.longestBackoff()));
+    BOOST_TEST((policy(Role).firstBackoff() < Follower.firstBackoff()));
+    BOOST_TEST((policy(Role).longestBackoff() < Follower.longestBackoff()));
   }
   BOOST_TEST((Follower.longestBackoff() == 1800ms));
 }
--- a/tests/unit/route_table_test.cpp
+++ b/tests/unit/route_table_test.cpp
@@ -41,8 +41,9 @@
   return Result;
 }
 
-RefusalReason refusal(const IncomingRequest &What, const RouteTablePtr &Under) {
-  const auto Result = admit(What, Under, test::PlainCodec());
+RefusalReason refusal(const IncomingRequest &Request,
+                      const RouteTablePtr &Table) {
+  const auto Result = admit(Request, Table, test::PlainCodec());
   const auto *Why = std::get_if<NotAdmitted>(&Result);
   return Why == nullptr ? RefusalReason::None : Why->m_Reason;
 }
@@ -63,7 +64,7 @@
 
 /// In the wait queue the workspace's priority decides, then the route's: calls
 /// of one workspace on routes of different priority have different ranks.
-BOOST_AUTO_TEST_CASE(UrgencyIsByWorkspaceThenRoute) {
+BOOST_AUTO_TEST_CASE(QueueRankIsByWorkspaceThenRoute) {
   const RouteTablePtr Table = table();
   const Route &Urgent = *Table->find("api.example", "/a/x");
   const Route &Slow = *Table->find("api.example", "/a/b/x");
@@ -76,7 +77,7 @@
 
 /// Guards against an engine that preempts a call of an urgent route while one
 /// of a less urgent route runs on because of its workspace's priority.
-BOOST_AUTO_TEST_CASE(AtAnEngineNoRouteYieldsToALesserOne) {
+BOOST_AUTO_TEST_CASE(EngineRankIsByRouteThenWorkspace) {
   RouteTableData Data;
   Data.m_Routes = {route("/urgent/", 0), route("/slow/", 2)};
   Data.m_Workspaces = {{"first", {"k1"}, 0}, {"later", {"k2"}, 1}};
--- a/tests/unit/simulated_store.h
+++ b/tests/unit/simulated_store.h
@@ -36,36 +36,36 @@
   void put(const std::string &Table, const std::string &Key,
            const std::string &Value) {
     m_Tables[Table][Key] = {Key, Value, adapter::StoreVersion(++m_Version)};
-    wakeWaiting();
+    answerChanged();
   }
 
   void remove(const std::string &Table, const std::string &Key) {
     m_Tables[Table][Key] = {Key, "", adapter::StoreVersion(++m_Version), true};
-    wakeWaiting();
+    answerChanged();
   }
 
   /// Ends waiting calls according to the mode: at once if refused or throttled,
   /// after the keepalive timeout of their connection if cut.
-  void setMode(Mode To) {
-    m_Mode = To;
-    if (To == Mode::Cut)
-      m_Timers.after(ProbesGiveUp, [this] {
+  void setMode(Mode NewMode) {
+    m_Mode = NewMode;
+    if (NewMode == Mode::Cut)
+      m_Timers.after(KeepaliveTimeout, [this] {
         if (m_Mode == Mode::Cut)
-          endWaiting(adapter::StoreFailure::Unreachable);
+          failWaiting(adapter::StoreFailure::Unreachable);
       });
-    else if (To == Mode::Refusing || To == Mode::Throttling)
-      endWaiting(adapter::StoreFailure::Unreachable);
-    else if (To == Mode::Up)
-      wakeWaiting();
+    else if (NewMode == Mode::Refusing || NewMode == Mode::Throttling)
+      failWaiting(adapter::StoreFailure::Unreachable);
+    else if (NewMode == Mode::Up)
+      answerChanged();
   }
 
   /// Resets the connections of waiting calls.
-  void reset() { endWaiting(adapter::StoreFailure::Unreachable); }
+  void reset() { failWaiting(adapter::StoreFailure::Unreachable); }
 
   /// Drops the history of all changes so far, which fails waiting calls.
   void dropHistory() {
-    m_Oldest = m_Version;
-    endWaiting(adapter::StoreFailure::HistoryGone);
+    m_HistoryStart = m_Version;
+    failWaiting(adapter::StoreFailure::HistoryGone);
   }
 
   /// Returns the number of calls so far.
@@ -74,10 +74,10 @@
 private:
   using Done = adapter::Store::Done;
   static constexpr Duration AnswerTime = std::chrono::milliseconds(4);
-  static constexpr Duration ProbesGiveUp = std::chrono::seconds(3);
+  static constexpr Duration KeepaliveTimeout = std::chrono::seconds(3);
 
   /// A long poll for changes.
-  struct Waiting {
+  struct LongPoll {
     std::string m_Table;        ///< To be watched.
     std::uint64_t m_After;      ///< Version.
     Done m_Done;                ///< Receives the result.
@@ -86,61 +86,61 @@
 
   class Client final : public adapter::Store {
   public:
-    explicit Client(SimulatedStore &Of) : m_Of(Of) {}
+    explicit Client(SimulatedStore &Owner) : m_Store(Owner) {}
     void read(const std::string &Table, const std::string &,
               Done OnDone) override {
-      m_Of.call(Table, 0, Duration::zero(), std::move(OnDone));
+      m_Store.call(Table, 0, Duration::zero(), std::move(OnDone));
     }
     void follow(const std::string &Table, adapter::StoreVersion After,
                 Duration Wait, Done OnDone) override {
-      m_Of.call(Table, After.value(), Wait, std::move(OnDone));
+      m_Store.call(Table, After.value(), Wait, std::move(OnDone));
     }
-    void write(const adapter::StoreWrite &What,
+    void write(const adapter::StoreWrite &Write,
                std::function<void(adapter::StoreWriteResult)> OnDone) override {
-      const bool Up = m_Of.m_Mode == Mode::Up;
-      if (Up && What.m_Value)
-        m_Of.put(What.m_Table, What.m_Key, *What.m_Value);
-      ++m_Of.m_Calls;
-      m_Of.m_Timers.after(AnswerTime, [Up, OnDone = std::move(OnDone)] {
+      const bool Up = m_Store.m_Mode == Mode::Up;
+      if (Up && Write.m_Value)
+        m_Store.put(Write.m_Table, Write.m_Key, *Write.m_Value);
+      ++m_Store.m_Calls;
+      m_Store.m_Timers.after(AnswerTime, [Up, OnDone = std::move(OnDone)] {
         OnDone(Up ? adapter::StoreWriteResult::Written
                   : adapter::StoreWriteResult::Unknown);
       });
     }
 
   private:
-    SimulatedStore &m_Of; ///< Outlives the client.
+    SimulatedStore &m_Store; ///< Outlives the client.
   };
 
   void call(const std::string &Table, std::uint64_t After, Duration Wait,
             Done OnDone) {
     ++m_Calls;
     if (m_Mode == Mode::Cut || m_Mode == Mode::Silent) {
-      const Duration Asked = m_Mode == Mode::Silent ? Wait : Duration::zero();
+      const Duration Waited = m_Mode == Mode::Silent ? Wait : Duration::zero();
       fail(adapter::StoreFailure::Unreachable,
-           Asked + adapter::StoreClient::Timeout, std::move(OnDone));
+           Waited + adapter::StoreClient::Timeout, std::move(OnDone));
     } else if (m_Mode != Mode::Up) {
       fail(m_Mode == Mode::Refusing ? adapter::StoreFailure::Refused
                                     : adapter::StoreFailure::Throttled,
            AnswerTime, std::move(OnDone));
-    } else if (After > 0 && After < m_Oldest) {
+    } else if (After > 0 && After < m_HistoryStart) {
       fail(adapter::StoreFailure::HistoryGone, AnswerTime, std::move(OnDone));
     } else if (Wait == Duration::zero() || changedAfter(Table, After)) {
       answer({Table, After, std::move(OnDone)});
     } else {
-      m_Waiting.push_back({Table, After, std::move(OnDone), ++m_LastCall});
-      m_Timers.after(Wait, [this, Number = m_LastCall] { endWait(Number); });
+      m_LongPolls.push_back({Table, After, std::move(OnDone), ++m_LastPoll});
+      m_Timers.after(Wait, [this, Number = m_LastPoll] { endPoll(Number); });
     }
   }
 
   /// Answers a call that has waited as long as it asked for.
-  void endWait(std::uint64_t Number) {
+  void endPoll(std::uint64_t Number) {
     const auto Found = std::find_if(
-        m_Waiting.begin(), m_Waiting.end(),
-        [&](const Waiting &Each) { return Each.m_Number == Number; });
-    if (Found == m_Waiting.end())
+        m_LongPolls.begin(), m_LongPolls.end(),
+        [&](const LongPoll &Poll) { return Poll.m_Number == Number; });
+    if (Found == m_LongPolls.end())
       return;
-    const Waiting Ended = *Found;
-    m_Waiting.erase(Found);
+    const LongPoll Ended = *Found;
+    m_LongPolls.erase(Found);
     answer(Ended);
   }
 
@@ -162,50 +162,50 @@
     return false;
   }
 
-  void answer(const Waiting &To) {
-    m_Timers.after(AnswerTime, [this, To] {
+  void answer(const LongPoll &Poll) {
+    m_Timers.after(AnswerTime, [this, Poll] {
       adapter::StoreRows Result;
       Result.m_Version = adapter::StoreVersion(m_Version);
       Result.m_AnsweredAt = time();
-      for (const auto &[Key, Row] : m_Tables[To.m_Table])
+      for (const auto &[Key, Row] : m_Tables[Poll.m_Table])
         // A read of a whole table contains no removed rows.
-        if (Row.m_Version.value() > To.m_After &&
-            !(To.m_After == 0 && Row.m_Gone))
+        if (Row.m_Version.value() > Poll.m_After &&
+            !(Poll.m_After == 0 && Row.m_Gone))
           Result.m_Rows.push_back(Row);
-      To.m_Done(Result);
+      Poll.m_Done(Result);
     });
   }
 
-  void wakeWaiting() {
+  void answerChanged() {
     if (m_Mode != Mode::Up)
       return;
-    for (auto Next = m_Waiting.begin(); Next != m_Waiting.end();) {
+    for (auto Next = m_LongPolls.begin(); Next != m_LongPolls.end();) {
       if (!changedAfter(Next->m_Table, Next->m_After)) {
         ++Next;
         continue;
       }
       answer(*Next);
-      Next = m_Waiting.erase(Next);
+      Next = m_LongPolls.erase(Next);
     }
   }
 
-  void endWaiting(adapter::StoreFailure Why) {
-    const std::list<Waiting> Ended = std::move(m_Waiting);
-    m_Waiting.clear();
-    for (const Waiting &Each : Ended)
-      fail(Why, Duration::zero(), Each.m_Done);
+  void failWaiting(adapter::StoreFailure Why) {
+    const std::list<LongPoll> Ended = std::move(m_LongPolls);
+    m_LongPolls.clear();
+    for (const LongPoll &Poll : Ended)
+      fail(Why, Duration::zero(), Poll.m_Done);
   }
 
-  const Clock &m_Clock;        ///< Advanced by the test.
-  ManualScheduler &m_Timers;   ///< Advanced with it.
-  Mode m_Mode = Mode::Up;      ///< See setMode().
-  std::uint64_t m_Calls = 0;   ///< Of all clients.
-  std::uint64_t m_Version = 0; ///< Of the last change.
-  std::uint64_t m_Oldest = 0;  ///< History begins after it.
+  const Clock &m_Clock;             ///< Advanced by the test.
+  ManualScheduler &m_Timers;        ///< Advanced with it.
+  Mode m_Mode = Mode::Up;           ///< See setMode().
+  std::uint64_t m_Calls = 0;        ///< Of all clients.
+  std::uint64_t m_Version = 0;      ///< Of the last change.
+  std::uint64_t m_HistoryStart = 0; ///< History begins after it.
   std::map<std::string, std::map<std::string, adapter::StoreRow>>
-      m_Tables;                 ///< Including removed rows.
-  std::list<Waiting> m_Waiting; ///< Long polls.
-  std::uint64_t m_LastCall = 0; ///< Number of the last long poll.
+      m_Tables;                    ///< Including removed rows.
+  std::list<LongPoll> m_LongPolls; ///< Not answered yet.
+  std::uint64_t m_LastPoll = 0;    ///< Number of the last long poll.
 };
 
 } // namespace crowstep::test
--- a/tests/unit/waiting_room_test.cpp
+++ b/tests/unit/waiting_room_test.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-struct World {
+struct TestEnv {
   ManualClock m_Clock;
   ManualScheduler m_Timers{m_Clock};
-  WaitingRoom m_Room{m_Timers};
-  std::vector<int> m_Asked;
-  std::vector<std::unique_ptr<WaitingRoom::Place>> m_Places;
+  WaitingRoom m_Queue{m_Timers};
+  std::vector<int> m_Retried;
+  std::vector<std::unique_ptr<WaitingRoom::Place>> m_Entries;
 
-  void enter(int Number, balance::Urgency How, const std::string &Workspace) {
-    m_Places.push_back(m_Room.enter(
-        {How, Workspace}, [this, Number] { m_Asked.push_back(Number); }));
+  void add(int Number, balance::Urgency Urgency, const std::string &Workspace) {
+    m_Entries.push_back(m_Queue.enter(
+        {Urgency, Workspace}, [this, Number] { m_Retried.push_back(Number); }));
   }
 };
 
@@ -29,43 +29,43 @@
 /// One workspace sends many calls at once, another one a single call later.
 /// Placement of the single call is retried right after the first of the many,
 /// not after all of them; more urgent calls come before both.
-BOOST_AUTO_TEST_CASE(UrgentCallsAndEachWorkspaceComeInTurn) {
-  World It;
+BOOST_AUTO_TEST_CASE(UrgentCallsThenWorkspacesInTurn) {
+  TestEnv Env;
   for (int I = 0; I < 4; ++I)
-    It.enter(I, 5, "many");
-  It.enter(10, 5, "one");
-  It.enter(20, 1, "many");
-  It.m_Timers.advance(WaitingRoom::AskInterval);
-  BOOST_TEST(It.m_Asked == (std::vector<int>{20, 0, 10, 1, 2, 3}),
+    Env.add(I, 5, "many");
+  Env.add(10, 5, "one");
+  Env.add(20, 1, "many");
+  Env.m_Timers.advance(WaitingRoom::AskInterval);
+  BOOST_TEST(Env.m_Retried == (std::vector<int>{20, 0, 10, 1, 2, 3}),
              boost::test_tools::per_element());
 }
 
 /// A callback removes its own call, which has found room, and another one whose
 /// caller has closed its connection. Neither callback runs again, and the queue
 /// stops its timer once it is empty.
-BOOST_AUTO_TEST_CASE(ACallLeavesWhileItIsAsked) {
-  World It;
+BOOST_AUTO_TEST_CASE(CallsAreRemovedDuringARetry) {
+  TestEnv Env;
   std::unique_ptr<WaitingRoom::Place> Second;
-  std::unique_ptr<WaitingRoom::Place> First = It.m_Room.enter({0, ""}, [&] {
-    It.m_Asked.push_back(1);
+  std::unique_ptr<WaitingRoom::Place> First = Env.m_Queue.enter({0, ""}, [&] {
+    Env.m_Retried.push_back(1);
     First.reset();
     Second.reset();
   });
-  Second = It.m_Room.enter({0, ""}, [&] { It.m_Asked.push_back(2); });
-  It.m_Timers.advance(1s);
-  BOOST_TEST(It.m_Asked == std::vector<int>{1},
+  Second = Env.m_Queue.enter({0, ""}, [&] { Env.m_Retried.push_back(2); });
+  Env.m_Timers.advance(1s);
+  BOOST_TEST(Env.m_Retried == std::vector<int>{1},
              boost::test_tools::per_element());
-  BOOST_TEST(It.m_Room.size() == 0U);
+  BOOST_TEST(Env.m_Queue.size() == 0U);
 }
 
 /// The queue is bounded, as it holds whole requests in memory.
-BOOST_AUTO_TEST_CASE(TheRoomIsBounded) {
-  World It;
+BOOST_AUTO_TEST_CASE(TheQueueIsBounded) {
+  TestEnv Env;
   for (std::size_t I = 0; I < WaitingRoom::MaxCalls; ++I) {
-    BOOST_TEST(!It.m_Room.full());
-    It.enter(0, 0, "");
+    BOOST_TEST(!Env.m_Queue.full());
+    Env.add(0, 0, "");
   }
-  BOOST_TEST(It.m_Room.full());
-  It.m_Places.pop_back();
-  BOOST_TEST(!It.m_Room.full());
+  BOOST_TEST(Env.m_Queue.full());
+  Env.m_Entries.pop_back();
+  BOOST_TEST(!Env.m_Queue.full());
 }
