--- a/src/gateway/admission.cpp
+++ b/src/gateway/admission.cpp
@@ -35,17 +35,17 @@
   Admitted Result;
   Result.m_Table = Table;
   Result.m_Route = Found;
-  const KeyHolder *Holder = nullptr;
+  const KeyHolder *KeyOwner = nullptr;
   if (Table->hasKeys() && Found->m_NeedsKey) {
     if (Facts.m_Key.empty())
       return NotAdmitted{RefusalReason::MissingKey, Facts.m_Id};
-    Holder = Table->holderOf(Facts.m_Key);
-    if (Holder == nullptr)
+    KeyOwner = Table->holderOf(Facts.m_Key);
+    if (KeyOwner == nullptr)
       return NotAdmitted{RefusalReason::UnknownKey, Facts.m_Id};
-    Result.m_Workspace = Holder->m_Name;
+    Result.m_Workspace = KeyOwner->m_Name;
   }
-  Result.m_Turn = Table->urgency(*Found, Holder);
-  Result.m_Urgency = Table->engineRank(*Found, Holder);
+  Result.m_Turn = Table->urgency(*Found, KeyOwner);
+  Result.m_Urgency = Table->engineRank(*Found, KeyOwner);
   Result.m_Facts = std::move(Facts);
   return Result;
 }
--- a/src/gateway/digest_exchange.h
+++ b/src/gateway/digest_exchange.h
@@ -74,8 +74,8 @@
   void linkUp(link::LinkId Link, const link::Peer &Peer) override;
   void linkFrame(link::LinkId Link, const wire::Frame &Frame) override;
   void linkDown(link::LinkId Link, const link::Peer &Peer,
-                link::CloseReason Why) override;
-  void dialFailed(const Address &Where, link::CloseReason Why) override;
+                link::CloseReason Reason) override;
+  void dialFailed(const Address &Where, link::CloseReason Reason) override;
 
   void dialAll();
   void tick();
--- a/src/gateway/directory_codec.cpp
+++ b/src/gateway/directory_codec.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::int64_t NoTime = -1;
 
-std::optional<DirectoryRow> unpacked(const wire::DirectoryRow &From) {
+std::optional<DirectoryRow> unpackRow(const wire::DirectoryRow &From) {
   if (From.key() == nullptr)
     return std::nullopt;
   DirectoryRow Result;
@@ -58,7 +58,7 @@
   if (From.rows() == nullptr)
     return Result;
   for (const wire::DirectoryRow *Encoded : *From.rows()) {
-    auto Row = unpacked(*Encoded);
+    auto Row = unpackRow(*Encoded);
     if (!Row || Row->m_Version > Result.m_Version)
       return std::nullopt;
     Result.m_Rows.push_back(std::move(*Row));
--- a/src/gateway/forwarded_request.cpp
+++ b/src/gateway/forwarded_request.cpp
@@ -29,10 +29,10 @@
       m_Stats(Context.m_Stats.route(m_What.m_Route->m_Name)),
       m_Begin(Context.m_Clock.now()), m_Limit(Context.m_Timers),
       m_Silence(Context.m_Timers) {
-  Duration Time = m_What.m_Route->m_Timeout;
+  Duration Timeout = m_What.m_Route->m_Timeout;
   if (m_What.m_Facts.m_Deadline)
-    Time = std::min(Time, *m_What.m_Facts.m_Deadline);
-  m_EndBy = m_Begin + Time;
+    Timeout = std::min(Timeout, *m_What.m_Facts.m_Deadline);
+  m_EndBy = m_Begin + Timeout;
 }
 
 ForwardedRequest::~ForwardedRequest() {
@@ -95,10 +95,10 @@
   if (m_Place != nullptr)
     m_Waited = m_World.m_Clock.now() - m_Begin;
   m_Place.reset();
-  if (const auto *None = std::get_if<balance::NotPlaced>(&Result)) {
-    m_Why = None->m_Why;
-    giveUp(None->m_Reason,
-           m_WaitedInVain ? RoomRetryAfter : None->m_RetryAfter);
+  if (const auto *Unplaced = std::get_if<balance::NotPlaced>(&Result)) {
+    m_Why = Unplaced->m_Why;
+    giveUp(Unplaced->m_Reason,
+           m_WaitedInVain ? RoomRetryAfter : Unplaced->m_RetryAfter);
     return;
   }
   send(std::get<balance::Placed>(Result));
--- a/src/gateway/route_table.cpp
+++ b/src/gateway/route_table.cpp
@@ -17,19 +17,20 @@
   return Result;
 }
 
-unsigned workspacePriority(const Route &Which, const KeyHolder *Holder) {
-  return Holder == nullptr ? Which.m_Priority
-                           : Holder->m_Priority.value_or(Which.m_Priority);
+unsigned workspacePriority(const Route &CallRoute, const KeyHolder *KeyOwner) {
+  return KeyOwner == nullptr
+             ? CallRoute.m_Priority
+             : KeyOwner->m_Priority.value_or(CallRoute.m_Priority);
 }
 
-PriorityRanks::Priorities queuePriorities(const Route &Which,
-                                          const KeyHolder *Holder) {
-  return {workspacePriority(Which, Holder), Which.m_Priority};
+PriorityRanks::Priorities queuePriorities(const Route &CallRoute,
+                                          const KeyHolder *KeyOwner) {
+  return {workspacePriority(CallRoute, KeyOwner), CallRoute.m_Priority};
 }
 
-PriorityRanks::Priorities enginePriorities(const Route &Which,
-                                           const KeyHolder *Holder) {
-  return {Which.m_Priority, workspacePriority(Which, Holder)};
+PriorityRanks::Priorities enginePriorities(const Route &CallRoute,
+                                           const KeyHolder *KeyOwner) {
+  return {CallRoute.m_Priority, workspacePriority(CallRoute, KeyOwner)};
 }
 
 } // namespace
@@ -65,14 +66,14 @@
   for (const KeyHolder &Entry : m_Data.m_Workspaces)
     for (const std::string &Key : Entry.m_Keys)
       m_ByKey.emplace(Key, &Entry);
-  const auto Add = [this](const Route &Which, const KeyHolder *Holder) {
-    m_Turns.add(queuePriorities(Which, Holder));
-    m_EngineRanks.add(enginePriorities(Which, Holder));
+  const auto Add = [this](const Route &CallRoute, const KeyHolder *KeyOwner) {
+    m_Turns.add(queuePriorities(CallRoute, KeyOwner));
+    m_EngineRanks.add(enginePriorities(CallRoute, KeyOwner));
   };
-  for (const Route &Which : m_Data.m_Routes) {
-    Add(Which, nullptr);
-    for (const KeyHolder &Holder : m_Data.m_Workspaces)
-      Add(Which, &Holder);
+  for (const Route &CallRoute : m_Data.m_Routes) {
+    Add(CallRoute, nullptr);
+    for (const KeyHolder &KeyOwner : m_Data.m_Workspaces)
+      Add(CallRoute, &KeyOwner);
   }
 }
 
@@ -99,14 +100,14 @@
   return Pairs <= Ranks ? Index : Index * Ranks / Pairs;
 }
 
-unsigned RouteTable::urgency(const Route &Which,
-                             const KeyHolder *Holder) const {
-  return m_Turns.rankOf(queuePriorities(Which, Holder));
+unsigned RouteTable::urgency(const Route &CallRoute,
+                             const KeyHolder *KeyOwner) const {
+  return m_Turns.rankOf(queuePriorities(CallRoute, KeyOwner));
 }
 
-unsigned RouteTable::engineRank(const Route &Which,
-                                const KeyHolder *Holder) const {
-  return m_EngineRanks.rankOf(enginePriorities(Which, Holder));
+unsigned RouteTable::engineRank(const Route &CallRoute,
+                                const KeyHolder *KeyOwner) const {
+  return m_EngineRanks.rankOf(enginePriorities(CallRoute, KeyOwner));
 }
 
 const KeyHolder *RouteTable::holderOf(const std::string &Key) const {
--- a/src/gateway/route_table.h
+++ b/src/gateway/route_table.h
@@ -47,15 +47,15 @@
 
   /// Returns the rank of a call in the wait queue: by the workspace's priority,
   /// or the route's if it has none, and among equals by the route's.
-  [[nodiscard]] unsigned urgency(const Route &Which,
-                                 const KeyHolder *Holder) const;
+  [[nodiscard]] unsigned urgency(const Route &CallRoute,
+                                 const KeyHolder *KeyOwner) const;
 
   /// Returns the rank of a call at an engine: by the route's priority, and
   /// among equals by the workspace's. An engine preempts its least urgent rank
   /// for a more urgent call; by the workspace first, a call of an urgent route
   /// would be preempted while one of a less urgent route runs on.
-  [[nodiscard]] unsigned engineRank(const Route &Which,
-                                    const KeyHolder *Holder) const;
+  [[nodiscard]] unsigned engineRank(const Route &CallRoute,
+                                    const KeyHolder *KeyOwner) const;
 
   /// Returns whether the table has any keys to check.
   [[nodiscard]] bool hasKeys() const { return !m_Data.m_Workspaces.empty(); }
