--- a/tests/unit/digest_exchange_test.cpp
+++ b/tests/unit/digest_exchange_test.cpp
@@ -272,9 +272,10 @@
 namespace {
 
 /// Lets an instance observe that an upstream crashes under a request.
-void observeCrash(Instance &At, std::uint64_t Upstream, TimePoint Now) {
-  At.m_Balancer.quarantine().callBroken({1, 1}, UpstreamId(Upstream), Now);
-  At.m_Balancer.quarantine().upstreamDown(UpstreamId(Upstream), Now);
+void observeCrash(Instance &Observer, std::uint64_t Upstream, TimePoint Now) {
+  Observer.m_Balancer.quarantine().callBroken({1, 1}, UpstreamId(Upstream),
+                                              Now);
+  Observer.m_Balancer.quarantine().upstreamDown(UpstreamId(Upstream), Now);
 }
 
 bool allQuarantine(Fleet &F) {
@@ -358,8 +359,9 @@
   throw std::out_of_range(Zone);
 }
 
-std::uint64_t droppedUpdates(Instance &At) {
-  return At.m_Stats.counter("crowstep_directory_updates_dropped_total").value();
+std::uint64_t droppedUpdates(Instance &Receiver) {
+  return Receiver.m_Stats.counter("crowstep_directory_updates_dropped_total")
+      .value();
 }
 
 } // namespace
@@ -428,7 +430,7 @@
     Reader.m_Exchange.passOn(Bad);
     F.run(20ms);
   }
-  Instance &Taker = instanceWithRole(F, "z1", ReadingRole::Follower);
-  BOOST_TEST(Taker.m_Updates.empty());
-  BOOST_TEST(droppedUpdates(Taker) == 2U);
+  Instance &Receiver = instanceWithRole(F, "z1", ReadingRole::Follower);
+  BOOST_TEST(Receiver.m_Updates.empty());
+  BOOST_TEST(droppedUpdates(Receiver) == 2U);
 }
--- a/tests/unit/route_table_test.cpp
+++ b/tests/unit/route_table_test.cpp
@@ -44,8 +44,8 @@
 RefusalReason refusal(const IncomingRequest &Request,
                       const RouteTablePtr &Table) {
   const auto Result = admit(Request, Table, test::PlainCodec());
-  const auto *Why = std::get_if<NotAdmitted>(&Result);
-  return Why == nullptr ? RefusalReason::None : Why->m_Reason;
+  const auto *Refused = std::get_if<NotAdmitted>(&Result);
+  return Refused == nullptr ? RefusalReason::None : Refused->m_Reason;
 }
 
 } // namespace
--- a/tests/unit/simulated_store.h
+++ b/tests/unit/simulated_store.h
@@ -151,8 +151,9 @@
            std::chrono::hours(1);
   }
 
-  void fail(adapter::StoreFailure Why, Duration After, Done OnDone) {
-    m_Timers.after(After, [Why, OnDone = std::move(OnDone)] { OnDone(Why); });
+  void fail(adapter::StoreFailure Failure, Duration After, Done OnDone) {
+    m_Timers.after(After,
+                   [Failure, OnDone = std::move(OnDone)] { OnDone(Failure); });
   }
 
   bool changedAfter(const std::string &Table, std::uint64_t After) {
@@ -189,11 +190,11 @@
     }
   }
 
-  void failWaiting(adapter::StoreFailure Why) {
+  void failWaiting(adapter::StoreFailure Failure) {
     const std::list<LongPoll> Ended = std::move(m_LongPolls);
     m_LongPolls.clear();
     for (const LongPoll &Poll : Ended)
-      fail(Why, Duration::zero(), Poll.m_Done);
+      fail(Failure, Duration::zero(), Poll.m_Done);
   }
 
   const Clock &m_Clock;             ///< Advanced by the test.
