--- a/src/gateway/forwarded_request.h
+++ b/src/gateway/forwarded_request.h
@@ -115,7 +115,7 @@
   Duration m_Waited{};                  ///< Total time that it waited for room.
   std::unique_ptr<UpstreamCall> m_Call; ///< Null between calls.
   balance::TicketId m_Ticket;           ///< Of m_Call.
-  std::string m_Upstream;               ///< Its name; of the last call.
+  std::string m_Upstream;               ///< Name of the last one called.
   Address m_Address;                    ///< Of the last call's upstream.
   balance::PlacementInputs m_Why;       ///< Of the last placement.
   TimePoint m_FirstEvent{};             ///< When it was relayed.
--- a/src/gateway/waiting_room.h
+++ b/src/gateway/waiting_room.h
@@ -35,8 +35,9 @@
   /// seventh of the smallest instance's memory.
   static constexpr std::size_t MaxCalls = 128;
 
-  /// Interval at which placement of all calls is retried: half of the interval
-  /// of digests, and well under the part of a target that a call may wait.
+  /// Interval at which placement of all calls is retried: half of
+  /// DigestExchange::Interval, and well under the part of a target that a call
+  /// may wait.
   static constexpr Duration AskInterval = std::chrono::milliseconds(50);
 
   /// A place in the queue; destroying it removes the call.
