--- a/src/gateway/admission.cpp
+++ b/src/gateway/admission.cpp
@@ -1,4 +1,4 @@
-/// Checks of a request before it is placed.
+/// Checks of a request before placement.
 #include "gateway/admission.h"
 
 namespace crowstep::gateway {
@@ -26,7 +26,7 @@
   if (std::holds_alternative<UnreadableHeader>(Read))
     return NotAdmitted{RefusalReason::MalformedHeader, {}};
   auto &Facts = std::get<RequestFacts>(Read);
-  // Without a table nobody can say that a route or key is not there.
+  // Without a table it is unknown whether a route or key exists.
   if (Table == nullptr)
     return NotAdmitted{RefusalReason::NotInForce, Facts.m_Id};
   const Route *Found = routeOf(Request, *Table);
@@ -35,17 +35,17 @@
   Admitted Result;
   Result.m_Table = Table;
   Result.m_Route = Found;
-  const KeyHolder *Holder = nullptr;
+  const KeyHolder *KeyOwner = nullptr;
   if (Table->hasKeys() && Found->m_NeedsKey) {
     if (Facts.m_Key.empty())
       return NotAdmitted{RefusalReason::MissingKey, Facts.m_Id};
-    Holder = Table->holderOf(Facts.m_Key);
-    if (Holder == nullptr)
+    KeyOwner = Table->holderOf(Facts.m_Key);
+    if (KeyOwner == nullptr)
       return NotAdmitted{RefusalReason::UnknownKey, Facts.m_Id};
-    Result.m_Workspace = Holder->m_Name;
+    Result.m_Workspace = KeyOwner->m_Name;
   }
-  Result.m_Turn = Table->urgency(*Found, Holder);
-  Result.m_Urgency = Table->engineRank(*Found, Holder);
+  Result.m_Turn = Table->urgency(*Found, KeyOwner);
+  Result.m_Urgency = Table->engineRank(*Found, KeyOwner);
   Result.m_Facts = std::move(Facts);
   return Result;
 }
--- a/src/gateway/forwarded_answer.cpp
+++ b/src/gateway/forwarded_answer.cpp
@@ -1,4 +1,4 @@
-/// What becomes of an upstream's answer, and how a request ends.
+/// Handling of an upstream's answer, and the end of a request.
 #include "core/log.h"
 #include "gateway/forward_limits.h"
 #include "gateway/forwarded_request.h"
@@ -14,9 +14,9 @@
 constexpr unsigned FirstRedirect = 300;
 constexpr unsigned FirstServerError = 500;
 
-/// Statuses by which an upstream says that it did not run a call. Without its
-/// proof they can't be passed on: they would promise that to the caller.
-bool promisesNotRun(unsigned Status) {
+/// Statuses which state that a call was not run. Without the upstream's proof
+/// they can't be passed on: they would promise that to the caller.
+bool statesNotRun(unsigned Status) {
   constexpr unsigned RequestTimeout = 408;
   constexpr unsigned Misdirected = 421;
   constexpr unsigned TooManyRequests = 429;
@@ -25,7 +25,7 @@
          Status == TooManyRequests || Status == Unavailable;
 }
 
-bool isGood(unsigned Status) {
+bool isSuccess(unsigned Status) {
   return Status >= HttpOk && Status < FirstRedirect;
 }
 
@@ -37,8 +37,8 @@
                                        const HeaderList &Headers) {
   const AnswerFacts Facts = m_World.m_Codec.readAnswer(Status, Headers);
   m_World.m_Balancer.heard(m_Ticket, m_World.m_Clock.now());
-  // The answer to an earlier call, sent late on a kept connection, or bytes
-  // that are no answer of an upstream at all.
+  // A late answer to an earlier call on a kept connection, or bytes that are
+  // not an upstream's answer at all.
   if (Facts.m_RequestId != m_What.m_Facts.m_Id && !Facts.m_NotRun) {
     m_MayHaveRun = true;
     upstreamFailed(balance::CallOutcome::Failed, RetryReason::ClosedBeforeByte);
@@ -54,15 +54,15 @@
     return;
   }
   m_MayHaveRun = true;
-  const bool Good = isGood(Status);
-  if ((Good && !Facts.m_Signed) || Facts.m_Encoded) {
+  const bool Success = isSuccess(Status);
+  if ((Success && !Facts.m_Signed) || Facts.m_Encoded) {
     upstreamFailed(balance::CallOutcome::Failed, RetryReason::ClosedBeforeByte);
     return;
   }
   m_Status = Status;
   if (!m_Streaming)
     m_AnswerHeaders = Headers;
-  if (m_Streaming && !Good) {
+  if (m_Streaming && !Success) {
     upstreamFailed(balance::CallOutcome::Failed, RetryReason::ClosedMidStream);
     return;
   }
@@ -70,8 +70,8 @@
     m_Silence.stop();
 }
 
-/// A refusal without a limit does not end one: it may come from a part of the
-/// upstream that knows nothing of it.
+/// A refusal without a limit does not clear a known one: it may come from a
+/// part of the upstream that doesn't know the limit.
 void ForwardedRequest::takeLimit(const AnswerFacts &Facts) {
   if (Facts.m_BadLimit) {
     m_World.m_Stats.limitUnreadable();
@@ -79,13 +79,14 @@
   }
   if (!Facts.m_Limit && (!Facts.m_Signed || Facts.m_NotRun))
     return;
-  const UpstreamId Which = m_Tried.back();
-  const balance::RateLimit Before = m_World.m_Balancer.limitOf(Which);
+  const UpstreamId Id = m_Tried.back();
+  const balance::RateLimit Before = m_World.m_Balancer.limitOf(Id);
   m_World.m_Balancer.stated(m_Ticket, Facts.m_Limit, m_World.m_Clock.now());
-  if (const auto Now = m_World.m_Balancer.limitOf(Which); Now != Before)
-    logEvent(LogEvent::GatewayUpstreamLimit,
-             {{"upstream", m_Upstream},
-              {"limit", Now ? std::to_string(*Now) : std::string("none")}});
+  if (const auto Current = m_World.m_Balancer.limitOf(Id); Current != Before)
+    logEvent(
+        LogEvent::GatewayUpstreamLimit,
+        {{"upstream", m_Upstream},
+         {"limit", Current ? std::to_string(*Current) : std::string("none")}});
 }
 
 void ForwardedRequest::upstreamRefused(balance::CallOutcome Outcome) {
@@ -96,17 +97,17 @@
 }
 
 void ForwardedRequest::upstreamFailed(balance::CallOutcome Outcome,
-                                      RetryReason Why) {
+                                      RetryReason Reason) {
   endCall(Outcome);
   if (repeatable()) {
-    tryAgain(Why);
+    tryAgain(Reason);
     return;
   }
   giveUp(RefusalReason::UpstreamFailed, Duration::zero());
 }
 
 bool ForwardedRequest::relaysEvents() const {
-  return isGood(m_Status) && stream() != nullptr;
+  return isSuccess(m_Status) && stream() != nullptr;
 }
 
 RetryReason ForwardedRequest::closedWhen() const {
@@ -132,7 +133,7 @@
 }
 
 void ForwardedRequest::relay(const SseEvent &Event) {
-  // A resumed stream may begin with what the caller has already.
+  // A resumed stream may begin with events that the caller already has.
   if (Event.m_Id && m_LastId && *Event.m_Id <= *m_LastId)
     return;
   if (!m_Streaming)
@@ -144,8 +145,8 @@
   ++m_Events;
   if (Event.m_Id)
     m_LastId = Event.m_Id;
-  // A caller that reads slowly must not make this process hold its whole
-  // answer; the engine is held back by its own socket instead.
+  // A caller that reads slowly must not make this process buffer its whole
+  // answer; flow control of the upstream's connection slows the engine down.
   constexpr std::size_t CallerBacklog = 64 << 10;
   if (m_Call != nullptr && m_Caller->backlog() > CallerBacklog)
     m_Call->pauseReading();
@@ -174,8 +175,8 @@
   m_Caller->beginStream(Head);
 }
 
-void ForwardedRequest::upstreamEnded(TransportEnd How) {
-  switch (How) {
+void ForwardedRequest::upstreamEnded(TransportEnd End) {
+  switch (End) {
   case TransportEnd::NotSent:
     --m_Sends;
     endCall(balance::CallOutcome::NoAnswer);
@@ -224,15 +225,16 @@
 }
 
 void ForwardedRequest::plainEnded() {
-  const bool Good = m_Status < FirstServerError;
-  endCall(Good ? balance::CallOutcome::Served : balance::CallOutcome::Failed);
-  if (!Good && repeatable() && mayTryAgain() &&
+  const bool Success = m_Status < FirstServerError;
+  endCall(Success ? balance::CallOutcome::Served
+                  : balance::CallOutcome::Failed);
+  if (!Success && repeatable() && mayTryAgain() &&
       m_World.m_Budget.take(m_Service, m_World.m_Clock.now())) {
     m_World.m_Stats.retried(RetryReason::ClosedBeforeByte);
     attempt();
     return;
   }
-  if (promisesNotRun(m_Status)) {
+  if (statesNotRun(m_Status)) {
     giveUp(RefusalReason::UpstreamFailed, Duration::zero());
     return;
   }
@@ -240,13 +242,13 @@
 }
 
 void ForwardedRequest::answerPlain() {
-  CallerAnswer Whole;
-  Whole.m_Status = m_Status;
+  CallerAnswer Answer;
+  Answer.m_Status = m_Status;
   const std::string *Type = findHeader(m_AnswerHeaders, "Content-Type");
-  Whole.m_ContentType = Type == nullptr ? "application/octet-stream" : *Type;
-  Whole.m_Headers = answerHeaders();
-  Whole.m_Body = m_Body;
-  m_Caller->answer(Whole);
+  Answer.m_ContentType = Type == nullptr ? "application/octet-stream" : *Type;
+  Answer.m_Headers = answerHeaders();
+  Answer.m_Body = m_Body;
+  m_Caller->answer(Answer);
   if (m_Status < FirstServerError)
     m_Stats.m_Finished->add();
   ended(m_Status < FirstServerError ? "served" : "upstream_error");
@@ -257,12 +259,12 @@
 void ForwardedRequest::giveUp(RefusalReason Reason, Duration RetryAfter) {
   m_World.m_Stats.refused(Reason);
   if (m_Streaming) {
-    // The caller must see that the stream is not whole.
+    // The caller must see that the stream is incomplete.
     m_Caller->drop();
     ended(nameOf(Reason));
     return;
   }
-  if (m_MayHaveRun && promisesNotRun(httpStatusOf(Reason)))
+  if (m_MayHaveRun && statesNotRun(httpStatusOf(Reason)))
     Reason = RefusalReason::UpstreamFailed;
   CallerAnswer Answer =
       refusalAnswer(Reason, m_MayHaveRun ? RunState::Unknown : RunState::NotRun,
@@ -277,7 +279,7 @@
 
 void ForwardedRequest::timeIsOver() {
   if (m_Call != nullptr) {
-    // Bytes may be on their way: whether it runs is not known.
+    // It may have been sent: whether it runs is not known.
     m_MayHaveRun = true;
     endCall(balance::CallOutcome::Dropped);
   }
@@ -296,8 +298,8 @@
   m_Limit.stop();
   m_Silence.stop();
   m_Place.reset();
-  const Duration Took = m_World.m_Clock.now() - m_Begin;
-  m_Stats.m_Total->record(Took);
+  const Duration Elapsed = m_World.m_Clock.now() - m_Begin;
+  m_Stats.m_Total->record(Elapsed);
   const bool Served = Outcome == "served";
   logEvent(
       Served ? LogEvent::GatewayRequestServed : LogEvent::GatewayRequestFailed,
@@ -321,11 +323,11 @@
        {"pause_us", std::to_string(m_LongestPause.count())},
        {"first_us",
         std::to_string(m_Streaming ? (m_FirstEvent - m_Begin).count() : 0)},
-       {"took_us", std::to_string(Took.count())}});
-  const std::function<void()> Job = std::move(m_OnEnded);
+       {"took_us", std::to_string(Elapsed.count())}});
+  const std::function<void()> OnEnded = std::move(m_OnEnded);
   m_OnEnded = nullptr;
-  if (Job)
-    Job();
+  if (OnEnded)
+    OnEnded();
 }
 
 } // namespace crowstep::gateway
--- a/src/gateway/route_table.cpp
+++ b/src/gateway/route_table.cpp
@@ -10,25 +10,27 @@
 
 namespace {
 
-std::string plainHost(std::string_view Host) {
+std::string normalizedHost(std::string_view Host) {
   std::string Result(Host.substr(0, Host.rfind(':')));
   for (char &Ch : Result)
     Ch = static_cast<char>(std::tolower(static_cast<unsigned char>(Ch)));
   return Result;
 }
 
-unsigned workspacePriority(const Route &Which, const KeyHolder *Holder) {
-  return Holder == nullptr ? Which.m_Priority
-                           : Holder->m_Priority.value_or(Which.m_Priority);
+unsigned workspacePriority(const Route &CallRoute, const KeyHolder *KeyOwner) {
+  return KeyOwner == nullptr
+             ? CallRoute.m_Priority
+             : KeyOwner->m_Priority.value_or(CallRoute.m_Priority);
 }
 
-PriorityRanks::Priorities turnOf(const Route &Which, const KeyHolder *Holder) {
-  return {workspacePriority(Which, Holder), Which.m_Priority};
+PriorityRanks::Priorities queuePriorities(const Route &CallRoute,
+                                          const KeyHolder *KeyOwner) {
+  return {workspacePriority(CallRoute, KeyOwner), CallRoute.m_Priority};
 }
 
-PriorityRanks::Priorities atEngine(const Route &Which,
-                                   const KeyHolder *Holder) {
-  return {Which.m_Priority, workspacePriority(Which, Holder)};
+PriorityRanks::Priorities enginePriorities(const Route &CallRoute,
+                                           const KeyHolder *KeyOwner) {
+  return {CallRoute.m_Priority, workspacePriority(CallRoute, KeyOwner)};
 }
 
 } // namespace
@@ -45,11 +47,11 @@
 
 std::map<std::string, Duration> tightestPauses(const RouteTableData &Table) {
   std::map<std::string, Duration> Result;
-  for (const Route &Each : Table.m_Routes) {
-    const auto *Stream = std::get_if<EventStream>(&Each.m_Kind);
+  for (const Route &Entry : Table.m_Routes) {
+    const auto *Stream = std::get_if<EventStream>(&Entry.m_Kind);
     if (Stream == nullptr || Stream->m_LongestPause == Duration::zero())
       continue;
-    for (const ServiceShare &Share : Each.m_Services) {
+    for (const ServiceShare &Share : Entry.m_Services) {
       const auto Found =
           Result.try_emplace(Share.m_Service, Stream->m_LongestPause).first;
       Found->second = std::min(Found->second, Stream->m_LongestPause);
@@ -59,53 +61,53 @@
 }
 
 RouteTable::RouteTable(RouteTableData Data) : m_Data(std::move(Data)) {
-  for (const Route &Each : m_Data.m_Routes)
-    m_ByPlace.emplace(plainHost(Each.m_Host) + Each.m_Prefix, &Each);
-  for (const KeyHolder &Each : m_Data.m_Workspaces)
-    for (const std::string &Key : Each.m_Keys)
-      m_ByKey.emplace(Key, &Each);
-  const auto Add = [this](const Route &Which, const KeyHolder *Holder) {
-    m_Turns.add(turnOf(Which, Holder));
-    m_EngineRanks.add(atEngine(Which, Holder));
+  for (const Route &Entry : m_Data.m_Routes)
+    m_ByPlace.emplace(normalizedHost(Entry.m_Host) + Entry.m_Prefix, &Entry);
+  for (const KeyHolder &Entry : m_Data.m_Workspaces)
+    for (const std::string &Key : Entry.m_Keys)
+      m_ByKey.emplace(Key, &Entry);
+  const auto Add = [this](const Route &CallRoute, const KeyHolder *KeyOwner) {
+    m_Turns.add(queuePriorities(CallRoute, KeyOwner));
+    m_EngineRanks.add(enginePriorities(CallRoute, KeyOwner));
   };
-  for (const Route &Which : m_Data.m_Routes) {
-    Add(Which, nullptr);
-    for (const KeyHolder &Holder : m_Data.m_Workspaces)
-      Add(Which, &Holder);
+  for (const Route &CallRoute : m_Data.m_Routes) {
+    Add(CallRoute, nullptr);
+    for (const KeyHolder &KeyOwner : m_Data.m_Workspaces)
+      Add(CallRoute, &KeyOwner);
   }
 }
 
 const Route *RouteTable::find(std::string_view Host,
                               std::string_view Path) const {
-  const std::string Plain = plainHost(Host);
-  // Prefixes end with a slash, so only cuts after a slash can match.
+  const std::string NormalHost = normalizedHost(Host);
+  // Path prefixes end with a slash, so only cuts after a slash can match.
   for (std::size_t Cut = Path.rfind('/'); Cut != std::string_view::npos;
        Cut = Cut == 0 ? std::string_view::npos : Path.rfind('/', Cut - 1)) {
     const auto Found =
-        m_ByPlace.find(Plain + std::string(Path.substr(0, Cut + 1)));
+        m_ByPlace.find(NormalHost + std::string(Path.substr(0, Cut + 1)));
     if (Found != m_ByPlace.end())
       return Found->second;
   }
   return nullptr;
 }
 
-unsigned PriorityRanks::rankOf(Priorities Which) const {
-  const auto Found = m_Known.find(Which);
-  const auto Place =
+unsigned PriorityRanks::rankOf(Priorities Pair) const {
+  const auto Found = m_Known.find(Pair);
+  const auto Index =
       static_cast<unsigned>(std::distance(m_Known.begin(), Found));
   const auto Pairs = static_cast<unsigned>(m_Known.size());
   constexpr auto Ranks = static_cast<unsigned>(balance::UrgencyCount);
-  return Pairs <= Ranks ? Place : Place * Ranks / Pairs;
+  return Pairs <= Ranks ? Index : Index * Ranks / Pairs;
 }
 
-unsigned RouteTable::urgency(const Route &Which,
-                             const KeyHolder *Holder) const {
-  return m_Turns.rankOf(turnOf(Which, Holder));
+unsigned RouteTable::urgency(const Route &CallRoute,
+                             const KeyHolder *KeyOwner) const {
+  return m_Turns.rankOf(queuePriorities(CallRoute, KeyOwner));
 }
 
-unsigned RouteTable::engineRank(const Route &Which,
-                                const KeyHolder *Holder) const {
-  return m_EngineRanks.rankOf(atEngine(Which, Holder));
+unsigned RouteTable::engineRank(const Route &CallRoute,
+                                const KeyHolder *KeyOwner) const {
+  return m_EngineRanks.rankOf(enginePriorities(CallRoute, KeyOwner));
 }
 
 const KeyHolder *RouteTable::holderOf(const std::string &Key) const {
