--- a/src/link/connection.cpp
+++ b/src/link/connection.cpp
@@ -1,4 +1,4 @@
-/// One TCP connection of a link.
+/// One TCP connection with its handshake, reader and send queue.
 #include "link/connection.h"
 
 #include <netinet/in.h>
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Bytes taken from a socket at a time; others get their turn in between.
+/// Bytes read from a socket at a time, so that other sockets are served in
+/// between.
 constexpr std::size_t ReadSize = 64UL << 10U;
 
 GSocketAddress *socketAddress(const Address &Where) {
@@ -17,6 +18,7 @@
       Text.substr(0, Text.rfind(':')).c_str(), Where.m_Port);
 }
 
+/// Returns why a connect failed; frees \p Failure.
 CloseReason connectReason(GError *Failure) {
   const bool Refused =
       g_error_matches(Failure, G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED) != 0;
@@ -24,6 +26,7 @@
   return Refused ? CloseReason::ConnectRefused : CloseReason::ConnectFailed;
 }
 
+/// Returns whether \p Failure only means "try again later"; frees it.
 bool wouldBlock(GError *Failure) {
   const bool Blocks =
       g_error_matches(Failure, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK) != 0;
@@ -46,7 +49,8 @@
   m_Socket = Socket;
   m_Watch.emplace(g_socket_get_fd(m_Socket), *this);
   g_socket_set_blocking(m_Socket, 0);
-  // Frames are joined already; Nagle's algorithm would only delay them.
+  // Messages are joined into frames already; Nagle's algorithm would only add
+  // delay.
   g_socket_set_option(m_Socket, IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
   m_Limit.start(m_Shared.m_Config.m_HandshakeLimit, [this] {
     fail(m_Connected ? CloseReason::HandshakeSlow : CloseReason::ConnectFailed);
@@ -57,7 +61,7 @@
   GError *Failure = nullptr;
   GSocket *Socket = g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM,
                                  G_SOCKET_PROTOCOL_TCP, nullptr);
-  if (Socket == nullptr) { // Out of descriptors.
+  if (Socket == nullptr) { // Out of file descriptors.
     m_Limit.start(Duration::zero(),
                   [this] { fail(CloseReason::ConnectFailed); });
     return;
@@ -103,7 +107,7 @@
 }
 
 void Connection::socketReady(SocketEvents What) {
-  // The owner may drop the connection while it handles a frame of it.
+  // The owner may release the connection while it handles one of its frames.
   const auto Kept = shared_from_this();
   if (!m_Connected) {
     connected();
@@ -170,8 +174,8 @@
   m_Shared.m_Owner.connectionUp(*this);
 }
 
-/// A peer that listens on every interface can't name its address in its Hello;
-/// the connection shows from where it is reached.
+/// A peer that listens on all interfaces can't state its address in its Hello;
+/// the remote address of the connection is used instead.
 void Connection::learnPeerAddress() {
   if (m_Peer.m_Address.m_Port == 0 || m_Peer.m_Address.m_Ip != 0)
     return;
--- a/src/link/connection.h
+++ b/src/link/connection.h
@@ -14,17 +14,17 @@
 
 class Connection;
 
-/// Who owns connections and hears what becomes of them.
+/// The owner of connections, which is notified of their events.
 class ConnectionOwner {
 public:
   virtual ~ConnectionOwner() = default;
   virtual void connectionUp(Connection &Which) = 0;
   virtual void connectionFrame(Connection &Which, const wire::Frame &Frame) = 0;
-  /// The connection is closed; called once, unless close() was called.
+  /// The connection was closed; called once, but not after close().
   virtual void connectionFailed(Connection &Which, CloseReason Why) = 0;
 };
 
-/// What the connections of one process share.
+/// Shared by the connections of one process.
 struct ConnectionShared {
   const LinkConfig &m_Config; ///< Outlives the connections.
   Scheduler &m_Timers;        ///< Outlives the connections.
@@ -33,30 +33,30 @@
   FrameAccount m_Out;         ///< Counts what is written.
 };
 
-/// One connection; closed for good after its first failure.
+/// One connection; it stays closed after its first failure.
 class Connection final : public std::enable_shared_from_this<Connection>,
                          public SocketListener {
 public:
-  /// \p Where is the address dialled, or none for an accepted connection.
+  /// \p Dialled is the address to dial, or none for an accepted connection.
   Connection(ConnectionShared &Shared, LinkId Id, const Address &Where);
   ~Connection() override;
   Connection(const Connection &) = delete;
   Connection &operator=(const Connection &) = delete;
 
-  /// Begins to connect. A refusal that is known at once is reported later,
-  /// never from within this call.
+  /// Starts to connect. A failure is always reported later, never from within
+  /// this call.
   void connect();
 
-  /// Takes over an accepted socket and its reference.
+  /// Takes ownership of an accepted socket and starts the handshake.
   void adopt(GSocket *Socket);
 
   /// Returns the frame under assembly.
   [[nodiscard]] wire::FrameT &outbox() { return m_Outbox; }
 
-  /// Sends the outbox, as far as the socket takes it now.
+  /// Sends the outbox; what the socket does not accept now stays queued.
   void flush();
 
-  /// Closes without telling the owner.
+  /// Closes without notifying the owner.
   void close();
 
   [[nodiscard]] LinkId id() const { return m_Id; }
@@ -80,21 +80,21 @@
   void learnPeerAddress();
   void fail(CloseReason Why);
 
-  ConnectionShared &m_Shared;         ///< Config, timers, owner, counters.
-  LinkId m_Id;                        ///< Of the link that this may become.
-  Address m_Where;                    ///< Dialled; none: accepted.
-  GSocket *m_Socket = nullptr;        ///< Owned; null once closed.
+  ConnectionShared &m_Shared;  ///< Outlives this.
+  LinkId m_Id;                 ///< Also the id of the link once it is up.
+  Address m_Where;             ///< None if accepted.
+  GSocket *m_Socket = nullptr; ///< Owned; null once closed.
   std::optional<SocketWatch> m_Watch; ///< Set with m_Socket.
-  bool m_Blocked = false;             ///< Waits until it can write.
+  bool m_Blocked = false;             ///< Waits until the socket is writable.
   bool m_Connected = false;           ///< TCP is established.
-  bool m_Up = false;                  ///< The peer has proved itself.
+  bool m_Up = false;                  ///< The peer is authenticated.
   Timer m_Limit;                      ///< Runs until m_Up.
   Handshake m_Handshake;              ///< In use until m_Up.
-  FrameReader m_Reader;               ///< Cuts frames.
+  FrameReader m_Reader;               ///< Splits the input into frames.
   Peer m_Peer;                        ///< Valid once m_Up.
   wire::FrameT m_Outbox;              ///< Under assembly.
-  std::vector<std::uint8_t> m_Queue;  ///< Encoded, not yet written.
-  std::size_t m_Written = 0;          ///< Of m_Queue, already written.
+  std::vector<std::uint8_t> m_Queue;  ///< Encoded frames.
+  std::size_t m_Written = 0;          ///< Bytes of m_SendQueue written.
 };
 
 } // namespace crowstep::link
--- a/src/link/frame_account.cpp
+++ b/src/link/frame_account.cpp
@@ -1,4 +1,4 @@
-/// Accounts for the bytes of frames by mechanism.
+/// Counts the bytes and messages of frames by mechanism.
 #include "link/frame_account.h"
 
 #include <algorithm>
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// How one field of a frame is accounted for.
+/// How one field of a frame is counted.
 struct FieldRow {
-  flatbuffers::voffset_t m_Field; ///< Its slot in the vtable.
-  Mechanism m_Mechanism;          ///< Who pays.
-  bool m_IsVector;                ///< Holds several messages.
+  flatbuffers::voffset_t m_Field; ///< Offset of its slot in the vtable.
+  Mechanism m_Mechanism;          ///< Counts its bytes and messages.
+  bool m_IsVector;                ///< Contains several messages.
 };
 
 using F = wire::Frame;
@@ -45,15 +45,15 @@
 constexpr const char *MechanismNames[] = {"framing", "serving",    "membership",
                                           "table",   "attachment", "claims"};
 
-/// The part of a frame that one field takes.
+/// The part of an encoded frame that one field occupies.
 struct Piece {
   const std::uint8_t *m_Start; ///< Lowest address.
-  Mechanism m_Mechanism;       ///< Who pays.
-  std::uint32_t m_Messages;    ///< How many.
+  Mechanism m_Mechanism;       ///< Of the field.
+  std::uint32_t m_Messages;    ///< Number of messages.
 };
 
 std::vector<Piece> piecesOf(const wire::Frame &Frame) {
-  // Frame hides its base; the accessors below are those of any table.
+  // Frame inherits Table privately; the accessors below are those of Table.
   const auto *Root = reinterpret_cast<const flatbuffers::Table *>(&Frame);
   std::vector<Piece> Result;
   for (const FieldRow &Row : Fields) {
@@ -70,8 +70,8 @@
 } // namespace
 
 bool hasMessages(const wire::Frame &Frame) {
-  // By the slots of the vtable and not by the rows above: a field that is
-  // added to the schema and forgotten here must not pass the handshake.
+  // Checks the slots of the vtable instead of the rows above: a field that is
+  // in the schema but missing in the rows must not pass the handshake.
   const auto *Root = reinterpret_cast<const flatbuffers::Table *>(&Frame);
   const auto Slots =
       flatbuffers::ReadScalar<flatbuffers::voffset_t>(Root->GetVTable());
@@ -101,8 +101,8 @@
 void FrameAccount::count(const wire::Frame &Frame, Bytes Encoded) {
   m_Bytes->add(Encoded.size() + LengthSize);
   m_Frames->add();
-  // The encoder writes from the highest address downwards, a field after the
-  // other, so that a field reaches up to where the one before it began.
+  // The encoder writes one field after the other from the highest address
+  // downwards, so that each field ends where the previous one starts.
   std::vector<Piece> Pieces = piecesOf(Frame);
   std::ranges::sort(Pieces, [](const Piece &Left, const Piece &Right) {
     return Left.m_Start > Right.m_Start;
--- a/src/link/frame_account.h
+++ b/src/link/frame_account.h
@@ -1,7 +1,7 @@
-/// Accounts for the bytes of frames by the mechanism that caused them.
+/// Counts the bytes and messages of frames by the mechanism that sent them.
 ///
-/// One frame carries messages of several mechanisms; the cost of each must
-/// still be visible, as a node's budget for control is only a few KB a second.
+/// One frame carries messages of several mechanisms. Their cost must be visible
+/// separately, as an instance's budget for control traffic is only a few KB/s.
 #ifndef CROWSTEP_LINK_FRAME_ACCOUNT_H
 #define CROWSTEP_LINK_FRAME_ACCOUNT_H
 
@@ -12,13 +12,13 @@
 
 namespace crowstep::link {
 
-/// What a message belongs to.
+/// The protocol that a message belongs to.
 enum class Mechanism : std::uint8_t {
   Framing,    ///< Lengths, frame headers, handshakes.
-  Serving,    ///< Bids, grants and what becomes of them.
+  Serving,    ///< Bids, grants and their outcomes.
   Membership, ///< Heartbeats and members.
-  Table,      ///< The operators' table and its confirmation.
-  Attachment, ///< What a dispatcher tells its entries.
+  Table,      ///< The operators' table and its probes.
+  Attachment, ///< Between a dispatcher and its entries.
   Claims,     ///< At-most-once claims.
   Count,      ///< Number of mechanisms; not a mechanism.
 };
@@ -32,14 +32,14 @@
   /// \p Direction is "in" or "out".
   FrameAccount(Metrics &Stats, const std::string &Direction);
 
-  /// Counts a verified frame.
+  /// Counts a verified frame; \p Encoded is its encoding without the length.
   void count(const wire::Frame &Frame, Bytes Encoded);
 
 private:
   static constexpr auto MechanismCount =
       static_cast<std::size_t>(Mechanism::Count);
-  Counter *m_Bytes;  ///< All bytes, lengths included.
-  Counter *m_Frames; ///< All frames.
+  Counter *m_Bytes;  ///< Bytes, lengths included.
+  Counter *m_Frames; ///< Frames.
   std::array<Counter *, MechanismCount> m_MechanismBytes{};    ///< Never null.
   std::array<Counter *, MechanismCount> m_MechanismMessages{}; ///< Never null.
 };
--- a/src/link/frame_codec.cpp
+++ b/src/link/frame_codec.cpp
@@ -9,8 +9,8 @@
 
 constexpr std::array<std::uint8_t, 6> Magic = {'C', 'R', 'W', 'S', 'T', 'P'};
 
-// Bounds on what the verifier walks through: a small frame whose offsets point
-// at shared tables can otherwise keep it busy for long.
+// Limits of the verifier: a small frame whose offsets point at shared tables
+// could otherwise occupy it for long.
 constexpr std::uint32_t MaxDepth = 8;
 constexpr std::uint32_t MaxTables = 200'000;
 
@@ -85,8 +85,8 @@
 }
 
 ReadResult FrameReader::takeBody() {
-  // The body stands alone in its vector, so that it is aligned as FlatBuffers'
-  // accessors need it, wherever in a read from the socket it began.
+  // The body is at the start of its own vector and thus aligned as FlatBuffers'
+  // accessors require, wherever it started in a read from the socket.
   m_Frame.swap(m_Buffer);
   m_Buffer.clear();
   m_Part = Part::Length;
--- a/src/link/handshake.cpp
+++ b/src/link/handshake.cpp
@@ -16,15 +16,16 @@
 
 std::vector<std::uint8_t> freshNonce() {
   std::vector<std::uint8_t> Result(NonceSize);
-  // Up to 256 bytes getrandom() neither blocks after boot nor comes short.
+  // For up to 256 bytes, getrandom() neither blocks, once the kernel's
+  // generator is seeded at boot, nor returns fewer.
   if (getrandom(Result.data(), Result.size(), 0) !=
       static_cast<ssize_t>(Result.size()))
     g_error("getrandom() failed");
   return Result;
 }
 
-/// HMAC-SHA256 over fields; each with its length, so that moving a byte from
-/// one field to the next gives another code.
+/// HMAC-SHA256 over fields. Each is prefixed with its length, so that moving a
+/// byte from one field to the next changes the code.
 class Authenticator {
 public:
   explicit Authenticator(const std::string &Key)
@@ -126,8 +127,9 @@
   Theirs.UnPackTo(&Hello);
   if (Hello.nonce.size() != NonceSize || Hello.instance.empty())
     return Rejected{CloseReason::BadFrame};
-  // A process that finds its own address among its hints would otherwise count
-  // itself as a peer. The check also ends a relay of this process to itself.
+  // A process that dials its own address, as one of its hints, would otherwise
+  // count itself as a peer. The check also rejects a relay that connects this
+  // process to itself.
   if (Hello.role == m_Own.role && Hello.instance == m_Own.instance &&
       Hello.incarnation == m_Own.incarnation)
     return Rejected{CloseReason::BadProof};
--- a/src/link/handshake.h
+++ b/src/link/handshake.h
@@ -1,9 +1,10 @@
-/// The handshake that opens a link: challenge and response over a shared key.
+/// The handshake that opens a link: challenge-response with a shared key.
 ///
 /// Both sides send a Hello with a fresh nonce. The dialer proves first that it
-/// knows the key, then the acceptor; so an acceptor answers no stranger. The
-/// proof covers the direction, both Hellos and with them both nonces: it can't
-/// be replayed on another connection or reflected to its sender.
+/// knows the key, then the acceptor, so that an acceptor sends no proof to an
+/// unauthenticated peer. A proof covers the prover's side and both Hellos with
+/// their nonces, so that it can't be replayed on another connection or
+/// reflected to its sender.
 #ifndef CROWSTEP_LINK_HANDSHAKE_H
 #define CROWSTEP_LINK_HANDSHAKE_H
 
@@ -17,32 +18,32 @@
 /// Which side of a connection this process is.
 enum class Side : std::uint8_t { Dialer, Acceptor };
 
-/// Longest frame before the peer is authenticated: a stranger must not make
-/// this process hold megabytes.
+/// Bytes of the longest frame before the peer is authenticated: keeps an
+/// unauthenticated peer from making this process buffer megabytes.
 inline constexpr std::uint32_t MaxHandshakeFrame = 1024;
 
-/// Nothing to do until the next frame but to send \p m_Reply, if any.
+/// The handshake waits for the next frame.
 struct HandshakeGoesOn {
-  std::optional<wire::ProofT> m_Reply; ///< To be sent.
+  std::optional<wire::ProofT> m_Reply; ///< To be sent first, if any.
 };
 
-/// The peer has proved itself.
+/// The peer is authenticated.
 struct HandshakeDone {
-  std::optional<wire::ProofT> m_Reply; ///< To be sent.
-  Peer m_Peer;                         ///< Who it is.
+  std::optional<wire::ProofT> m_Reply; ///< To be sent, if any.
+  Peer m_Peer;
 };
 
 using HandshakeStep = std::variant<HandshakeGoesOn, HandshakeDone, Rejected>;
 
-/// One handshake; without I/O.
+/// One handshake, without I/O.
 class Handshake {
 public:
   Handshake(const LinkConfig &Config, Side Own);
 
-  /// Returns what this side sends first.
+  /// Returns the Hello of this side, which it sends first.
   [[nodiscard]] const wire::HelloT &hello() const { return m_Own; }
 
-  /// Takes the peer's next frame.
+  /// Handles the peer's next frame.
   HandshakeStep take(const wire::Frame &Frame);
 
 private:
--- a/src/link/link.cpp
+++ b/src/link/link.cpp
@@ -1,4 +1,4 @@
-/// Names of the reasons for which links close.
+/// Names of the reasons for which links are closed.
 #include "link/link_func.h"
 
 #include <array>
--- a/src/link/link_func.h
+++ b/src/link/link_func.h
@@ -1,4 +1,4 @@
-/// Helpers on link types.
+/// Functions on link types.
 #ifndef CROWSTEP_LINK_LINK_FUNC_H
 #define CROWSTEP_LINK_LINK_FUNC_H
 
@@ -6,7 +6,7 @@
 
 namespace crowstep::link {
 
-/// Returns the reason's name as counters and logs print it.
+/// Returns the reason's name for metrics and logs.
 const char *closeReasonName(CloseReason Why);
 
 } // namespace crowstep::link
--- a/src/link/link_tcp.cpp
+++ b/src/link/link_tcp.cpp
@@ -1,4 +1,4 @@
-/// Links over TCP: accepts, dials with back-off, and joins what is sent.
+/// Links over TCP: accepts, dials with backoff, and joins messages into frames.
 #include "link/link_tcp.h"
 
 #include "core/http_server.h"
@@ -14,19 +14,20 @@
 
 namespace {
 
-/// An address that is kept connected.
+/// An address to which a link is kept open.
 struct Dial {
   explicit Dial(Scheduler &Timers) : m_Retry(Timers) {}
 
-  LinkId m_Attempt;                      ///< None while waiting.
-  Timer m_Retry;                         ///< Runs while waiting.
-  Duration m_Backoff = Duration::zero(); ///< Of the next failure.
+  LinkId m_Attempt;                      ///< None between attempts.
+  Timer m_Retry;                         ///< Runs between attempts.
+  Duration m_Backoff = Duration::zero(); ///< After the next failure.
 };
 
-/// A link that this process closed and whose end is yet to be told.
+/// A link that this process closed and of which the listener is not yet
+/// notified.
 struct Ended {
-  LinkId m_Link; ///< Which.
-  Peer m_Peer;   ///< Who was there.
+  LinkId m_Link;
+  Peer m_Peer;
 };
 
 } // namespace
@@ -61,19 +62,19 @@
   void countClose(CloseReason Why);
   void showOpen();
 
-  LinkConfig m_Config;            ///< As given.
+  LinkConfig m_Config;
   Scheduler &m_Timers;            ///< Outlives this.
   LinkListener &m_Listener;       ///< Outlives this.
-  ConnectionShared m_Shared;      ///< What the connections use.
-  GSocket *m_Socket = nullptr;    ///< Listens; null for one that only dials.
+  ConnectionShared m_Shared;      ///< Used by the connections.
+  GSocket *m_Socket = nullptr;    ///< Listens; null if nothing is accepted.
   GSource *m_Accepting = nullptr; ///< Set with m_Socket.
   std::uint64_t m_LastId = 0;     ///< Ids start at 1.
   std::map<LinkId, std::shared_ptr<Connection>> m_Connections; ///< All open.
-  std::map<Address, Dial> m_Dials; ///< Until hangUp().
-  std::vector<LinkId> m_Dirty;     ///< Links whose outbox was asked for.
-  std::vector<Ended> m_Ended;      ///< Told by the next flush.
-  Timer m_Flush;                   ///< Runs while there is something to do.
-  wire::FrameT m_Nowhere;          ///< Outbox of unknown links.
+  std::map<Address, Dial> m_Dials; ///< Until disconnect().
+  std::vector<LinkId> m_Dirty;     ///< Links whose outbox may have messages.
+  std::vector<Ended> m_Ended;      ///< Reported by the next flush.
+  Timer m_Flush;                   ///< Runs while a flush is due.
+  wire::FrameT m_Nowhere;          ///< Outbox of links that are not up.
   std::mt19937_64 m_Random;        ///< Only for jitter.
   std::vector<Counter *> m_Closed; ///< By CloseReason.
   Counter &m_DialCount;            ///< Attempts to connect.
@@ -140,9 +141,10 @@
   Made->connect();
 }
 
-/// Waits before the next attempt. The first wait is the shortest, so that a
-/// killed process is soon told from a lost connection; the waits then double,
-/// so that a peer that is down for long costs little.
+/// Schedules the next attempt with exponential backoff. The first delay is the
+/// shortest, so that a killed process is soon distinguished from a lost
+/// connection; the delays then double, so that a peer that is down for long
+/// costs little.
 void TcpLinks::Impl::retry(const Address &Where) {
   Dial &Which = m_Dials.at(Where);
   Which.m_Attempt = LinkId();
@@ -151,7 +153,8 @@
   Which.m_Retry.start(jittered(Longest), [this, Where] { attempt(Where); });
 }
 
-/// Spreads the dials of many processes that lost the same peer at once.
+/// Returns a random delay between half of \p Longest and all of it, to spread
+/// the dials of many processes that lost the same peer at once.
 Duration TcpLinks::Impl::jittered(Duration Longest) {
   std::uniform_int_distribution<Duration::rep> Spread(Longest.count() / 2,
                                                       Longest.count());
@@ -172,13 +175,13 @@
   if (Found == m_Connections.end())
     return;
   const std::shared_ptr<Connection> Which = Found->second;
-  Which->flush(); // A goodbye put in just now still goes out.
+  Which->flush(); // Messages put in just now, like a leave, are still sent.
   if (m_Connections.erase(Link) == 0)
-    return; // The flush failed and has reported it.
+    return; // The flush failed and reported the failure.
   Which->close();
   countClose(CloseReason::Local);
-  // Told from the loop, not from here: a caller that is walking through its
-  // own links would otherwise have them change under it.
+  // The listener is notified from the loop and not from here: a caller may be
+  // iterating over links that the listener changes.
   if (Which->isUp())
     m_Ended.push_back({Link, Which->peer()});
   if (m_Dials.contains(Which->dialled()))
@@ -198,8 +201,8 @@
   return Found->second->outbox();
 }
 
-/// A timer that is due at once runs after the sources that are ready now, so
-/// that what they send joins into one frame a link.
+/// A timer without delay runs after the sources that are ready now, so that all
+/// messages that these send are joined into one frame per link.
 void TcpLinks::Impl::scheduleFlush() {
   if (!m_Flush.running())
     m_Flush.start(Duration::zero(), [this] { flush(); });
--- a/src/link/link_tcp.h
+++ b/src/link/link_tcp.h
@@ -10,22 +10,22 @@
 
 namespace crowstep::link {
 
-/// Who this process is and how its links behave.
+/// Identity of this process and parameters of its links.
 struct LinkConfig {
   wire::Role m_Role = wire::Role::Entry; ///< Kind of this process.
-  std::string m_Name;                    ///< Name of this instance.
-  Incarnation m_Incarnation;             ///< This start.
-  AvailabilityZone m_Zone;               ///< Where this instance is.
-  Address m_Listen;                      ///< None: dials only.
+  std::string m_Name;                    ///< Of this instance.
+  Incarnation m_Incarnation;             ///< Of this process.
+  AvailabilityZone m_Zone;               ///< Of this instance.
+  Address m_Listen;                      ///< None: accepts no links.
   std::string m_Key;                     ///< Shared secret of all processes.
-  std::uint32_t m_MaxFrame = 4U << 20;   ///< Bytes, on both ways.
+  std::uint32_t m_MaxFrame = 4U << 20;   ///< Bytes, in both directions.
   std::size_t m_MaxQueued = 16U << 20;   ///< Bytes waiting for a slow peer.
   Duration m_HandshakeLimit = std::chrono::seconds(2);    ///< > 0.
-  Duration m_MinBackoff = std::chrono::milliseconds(100); ///< First wait.
-  Duration m_MaxBackoff = std::chrono::seconds(2);        ///< Longest wait.
+  Duration m_MinBackoff = std::chrono::milliseconds(100); ///< First delay.
+  Duration m_MaxBackoff = std::chrono::seconds(2);        ///< Longest delay.
 };
 
-/// Links over TCP; one listener hears of all of them.
+/// Links over TCP; one listener is notified of all of them.
 class TcpLinks final : public Links {
 public:
   TcpLinks(LinkConfig Config, Scheduler &Timers, Metrics &Stats,
@@ -34,7 +34,7 @@
   TcpLinks(const TcpLinks &) = delete;
   TcpLinks &operator=(const TcpLinks &) = delete;
 
-  /// Begins to accept. \throws ListenError.
+  /// Starts to accept links. \throws ListenError.
   void start();
 
   void dial(const Address &Where) override;
--- a/src/link/link_type.h
+++ b/src/link/link_type.h
@@ -1,6 +1,6 @@
-/// Links between crowstep's own processes: plain types and the interface.
+/// Links between crowstep's processes: plain types and interfaces.
 ///
-/// A Link is an authenticated TCP connection that carries length-prefixed
+/// A link is an authenticated TCP connection that carries length-prefixed
 /// FlatBuffers frames. The daemons use TcpLinks (link_tcp.h); tests use fakes.
 #ifndef CROWSTEP_LINK_LINK_TYPE_H
 #define CROWSTEP_LINK_LINK_TYPE_H
@@ -13,63 +13,64 @@
 
 namespace crowstep::link {
 
-/// Names one connection; never reused within a process.
+/// Identifies a connection; never reused within a process.
 using LinkId = StrongId<struct LinkTag, std::uint64_t>;
 
-/// Who is at the other end, as proved by the handshake.
+/// The process at the other end of a link, authenticated by the handshake.
 struct Peer {
   wire::Role m_Role = wire::Role::Entry; ///< Kind of process.
-  std::string m_Name;                    ///< Name of its instance.
+  std::string m_Name;                    ///< Of its instance.
   InstanceId m_Instance;                 ///< Hash of the name.
-  Incarnation m_Incarnation;             ///< Its start.
-  AvailabilityZone m_Zone;               ///< Where it is.
-  Address m_Address;                     ///< Where it listens; none: entry.
+  Incarnation m_Incarnation;             ///< Of the process.
+  AvailabilityZone m_Zone;               ///< Of its instance.
+  Address m_Address; ///< Where it listens; none for an entry.
 };
 
-/// Why a link closed; each is counted.
+/// Why a link was closed; metrics count each reason.
 enum class CloseReason : std::uint8_t {
   Local,          ///< This process closed it.
   PeerClosed,     ///< End of stream or reset.
-  ConnectRefused, ///< Nobody listens there: the process is gone.
-  ConnectFailed,  ///< No route, timeout.
+  ConnectRefused, ///< Nothing listens at the address.
+  ConnectFailed,  ///< No route, or no answer in time.
   BadFrame,       ///< Not a valid FlatBuffers frame.
   FrameTooLarge,  ///< Over the size limit.
-  Foreign,        ///< First bytes are not ours.
-  WrongSchema,    ///< A schema version that this build can't read.
+  Foreign,        ///< Not the preamble of this protocol.
+  WrongSchema,    ///< Schema version not supported.
   BadProof,       ///< The peer does not know the link key.
-  HandshakeSlow,  ///< No proof within the limit.
-  Backlog,        ///< The peer reads too slowly; the send queue is full.
+  HandshakeSlow,  ///< No proof within the timeout.
+  Backlog,        ///< Send queue full: the peer reads too slowly.
   Count,          ///< Number of reasons; not a reason.
 };
 
-/// Who hears of links.
+/// Receives the events of links.
 class LinkListener {
 public:
   virtual ~LinkListener() = default;
   /// The handshake succeeded.
   virtual void linkUp(LinkId Link, const Peer &Who) = 0;
-  /// A verified frame arrived; it is valid during the call only.
+  /// A verified frame arrived; it is valid only during the call.
   virtual void linkFrame(LinkId Link, const wire::Frame &Frame) = 0;
-  /// A link that was up closed.
+  /// A link that was up has closed.
   virtual void linkDown(LinkId Link, const Peer &Who, CloseReason Why) = 0;
-  /// A dial did not get as far as up; it is tried again with back-off.
+  /// A dial failed before the link was up; it is retried with backoff.
   virtual void dialFailed(const Address &Where, CloseReason Why) = 0;
 };
 
-/// Opens and feeds links.
+/// Opens links and sends frames over them.
 class Links {
 public:
   virtual ~Links() = default;
 
-  /// Keeps a link to \p Where open, with jittered back-off, until hangUp().
+  /// Keeps a link to \p Remote open, with jittered backoff, until
+  /// disconnect().
   virtual void dial(const Address &Where) = 0;
 
-  /// Drops the link to \p Where and stops dialling it.
+  /// Closes the link to \p Remote and stops dialling it.
   virtual void hangUp(const Address &Where) = 0;
 
-  /// Returns the frame under assembly for \p Link. What is put into it goes
-  /// out joined, at the end of the loop iteration. For an unknown link the
-  /// frame is thrown away.
+  /// Returns the frame under assembly for \p Link. Its messages are sent as one
+  /// frame at the end of the loop iteration. For a link that is not up the
+  /// frame is discarded.
   virtual wire::FrameT &outbox(LinkId Link) = 0;
 
   /// Closes one link at once.
--- a/src/membership/dial_plan.cpp
+++ b/src/membership/dial_plan.cpp
@@ -1,11 +1,11 @@
-/// Which addresses this process keeps dialled.
+/// Which addresses this process dials, and for how long.
 #include "membership/dial_plan.h"
 
 namespace crowstep::membership {
 
 namespace {
 
-/// Long enough for a handshake and an exchange of views across regions.
+/// Enough for a handshake and an exchange of views across regions.
 constexpr Duration ProbeTime = std::chrono::seconds(3);
 
 } // namespace
@@ -15,8 +15,8 @@
   for (const auto &[Where, Id] : Targets)
     if (!m_Targets.contains(Where) && m_Probes.erase(Where) == 0)
       Out.emplace_back(Dial{Where});
-  // A link that is no longer wanted stays a while: news of the change that
-  // made it superfluous may be under way on it.
+  // The link to a former target is kept for a while, as updates about the
+  // change that removed the target may be under way on it.
   for (const auto &[Where, Id] : m_Targets)
     if (!Targets.contains(Where))
       m_Probes[Where] = Now + ProbeTime;
--- a/src/membership/dial_plan.h
+++ b/src/membership/dial_plan.h
@@ -1,4 +1,4 @@
-/// Which addresses this process keeps dialled, and why.
+/// Which addresses this process dials, and for how long.
 #ifndef CROWSTEP_MEMBERSHIP_DIAL_PLAN_H
 #define CROWSTEP_MEMBERSHIP_DIAL_PLAN_H
 
@@ -10,26 +10,27 @@
 
 namespace crowstep::membership {
 
-/// Targets stay dialled; probes of hints and of the dead are short.
+/// Targets are dialled permanently; hints and dead members are probed for a
+/// short time each. All functions append their actions to \p Actions.
 class DialPlan {
 public:
-  /// Replaces the targets and appends the dials and hang-ups to \p Out.
+  /// Replaces the targets. Former ones are kept like probes for a while.
   void setTargets(const std::map<Address, InstanceId> &Targets, TimePoint Now,
                   std::vector<Action> &Out);
 
-  /// Dials \p Where for a short time, unless it is dialled already.
+  /// Dials \p Candidate for a short time, unless it is dialled already.
   void probe(const Address &Where, TimePoint Now, std::vector<Action> &Out);
 
-  /// Hangs up probes that have had their time.
+  /// Disconnects probes whose time has passed.
   void expire(TimePoint Now, std::vector<Action> &Out);
 
-  /// A dial failed: ends a probe, or returns the target's member.
+  /// A dial failed: ends a probe, or returns the member that is the target.
   std::optional<InstanceId> failed(const Address &Where,
                                    std::vector<Action> &Out);
 
 private:
-  std::map<Address, InstanceId> m_Targets; ///< Kept dialled.
-  std::map<Address, TimePoint> m_Probes;   ///< Until when; no targets.
+  std::map<Address, InstanceId> m_Targets; ///< Dialled permanently.
+  std::map<Address, TimePoint> m_Probes; ///< Time of expiry; none is a target.
 };
 
 } // namespace crowstep::membership
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -1,4 +1,4 @@
-/// Helpers on members.
+/// Functions on members.
 #include "membership/member_func.h"
 
 #include <array>
--- a/src/membership/member_func.h
+++ b/src/membership/member_func.h
@@ -1,4 +1,4 @@
-/// Helpers on members.
+/// Functions on members.
 #ifndef CROWSTEP_MEMBERSHIP_MEMBER_FUNC_H
 #define CROWSTEP_MEMBERSHIP_MEMBER_FUNC_H
 
@@ -7,20 +7,21 @@
 
 namespace crowstep::membership {
 
-/// Returns whether a member of this state counts as one of the fleet.
+/// Returns whether a member in this state belongs to the fleet.
 constexpr bool isLive(MemberState State) {
   return State == MemberState::Alive || State == MemberState::Suspect;
 }
 
-/// Returns the state's name as counters and logs print it.
+/// Returns the state's name for metrics.
 const char *stateName(MemberState State);
 
-/// Returns the incarnation of a process that starts now: the wall clock in ms.
+/// Returns the incarnation of a process that starts now: the wall clock in
+/// milliseconds.
 ///
-/// It is only ever compared with earlier starts of the same instance, so no
-/// clocks of two machines meet in the comparison. Should the instance's clock
-/// have gone back, the peers still know the higher number and the process
-/// raises its own past it when it hears of it.
+/// It is compared only with earlier starts of the same instance, so that the
+/// clocks of two machines are never compared. If the instance's clock was set
+/// back, the peers still hold the higher incarnation, and the process raises
+/// its own above it once it receives it.
 Incarnation freshIncarnation();
 
 } // namespace crowstep::membership
--- a/src/membership/member_view.cpp
+++ b/src/membership/member_view.cpp
@@ -1,4 +1,4 @@
-/// What one process believes of all members.
+/// The view that one process has of all members.
 #include "membership/member_view.h"
 
 #include "membership/member_func.h"
--- a/src/membership/member_view.h
+++ b/src/membership/member_view.h
@@ -1,8 +1,8 @@
-/// What one process believes of all members.
+/// The view that one process has of all members.
 ///
-/// Merging is a join: incarnation first, then state, then table version, each
-/// only growing. Views that have merged the same news in any order and any
-/// number of times are therefore equal.
+/// Merging is a join of a semilattice: a higher incarnation wins; within one,
+/// state and table version only grow. Views that have merged the same updates,
+/// in any order and any number of times, are therefore equal.
 #ifndef CROWSTEP_MEMBERSHIP_MEMBER_VIEW_H
 #define CROWSTEP_MEMBERSHIP_MEMBER_VIEW_H
 
@@ -16,35 +16,38 @@
 
 /// What a merge changed.
 enum class MergeResult : std::uint8_t {
-  Nothing,     ///< The news was known or is outdated.
+  Nothing,     ///< The update is known or outdated.
   VersionOnly, ///< Only the confirmed table version rose.
-  StateOnly,   ///< Same incarnation, higher state.
+  StateOnly,   ///< Same incarnation, higher state; the
+               ///< version may have risen too.
   Joined,      ///< A new member or a higher incarnation.
 };
 
-/// All members known, the dead included until they are forgotten.
+/// All known members, including tombstones of those that died or left.
 class MemberView {
 public:
   explicit MemberView(const Member &Self);
 
-  /// Merges news. A dead member that is not known stays unknown: taking it in
-  /// would let the memory of the dead circulate for ever.
+  /// Merges an update. Ignores an unknown member that is dead or left: storing
+  /// it would let tombstones circulate for ever.
   MergeResult merge(const Member &News, TimePoint Now);
 
-  /// Forgets who has been dead or gone since before \p Limit.
+  /// Removes the members that died or left before \p Limit; returns whether
+  /// there were any.
   bool forgetBefore(TimePoint Limit);
 
   /// Returns a member, or null.
   [[nodiscard]] const Member *find(InstanceId Id) const;
 
-  /// Returns the ids of suspects that have been so since before \p Limit.
+  /// Returns the members that have been suspect since before \p Limit.
   [[nodiscard]] std::vector<InstanceId> suspectsBefore(TimePoint Limit) const;
 
-  /// Returns all members in the order of their ids; valid until a change.
+  /// Returns all members in the order of their ids. The reference stays valid;
+  /// the content is that of the last call.
   [[nodiscard]] const std::vector<Member> &all() const;
 
-  /// Returns the hash of the live members; equal for equal views. The dead are
-  /// left out, as processes forget them at different times.
+  /// Returns the hash of the live members; equal for equal views. Tombstones
+  /// are left out, as processes remove them at different times.
   [[nodiscard]] std::uint64_t hash() const { return m_Hash; }
 
 private:
@@ -55,11 +58,11 @@
 
   void store(const Member &News, TimePoint Now);
 
-  std::map<InstanceId, Known> m_Known; ///< By id; the process itself is in.
-  std::set<InstanceId> m_Suspects;     ///< Those of m_Known in state Suspect.
+  std::map<InstanceId, Known> m_Known; ///< By id; contains this process.
+  std::set<InstanceId> m_Suspects;     ///< Members in state Suspect.
   std::uint64_t m_Hash = 0;            ///< XOR over the live members.
-  mutable std::vector<Member> m_All;   ///< Copy of m_Known, made on demand.
-  mutable bool m_AllIsCurrent = false; ///< m_All equals m_Known.
+  mutable std::vector<Member> m_All;   ///< Copy of m_Records, made on demand.
+  mutable bool m_AllIsCurrent = false; ///< m_All equals m_Records.
 };
 
 } // namespace crowstep::membership
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -1,4 +1,4 @@
-/// Ties the membership's state machine to links, timers and the clock.
+/// Connects the membership state machine to links, timers and the clock.
 #include "membership/membership.h"
 
 #include "core/log.h"
@@ -47,9 +47,9 @@
 
   const Clock &m_Clock;                      ///< Outlives this.
   link::Links &m_Wire;                       ///< Outlives this.
-  MembershipCore m_Core;                     ///< Decides.
-  std::set<LinkId> m_Links;                  ///< Those to other dispatchers.
-  std::vector<std::function<void()>> m_Jobs; ///< Run after each change.
+  MembershipCore m_Core;                     ///< The protocol.
+  std::set<LinkId> m_Links;                  ///< To other dispatchers.
+  std::vector<std::function<void()>> m_Jobs; ///< Called after each change.
 
 private:
   void tick();
@@ -168,8 +168,8 @@
 }
 
 bool Membership::hearsMajority() const {
-  // The time read just now: a process that was frozen must not go by what it
-  // heard before.
+  // Reads the clock anew: a process that was frozen must not rely on what it
+  // received before.
   return m_Impl->m_Core.hearsMajority(m_Impl->m_Clock.fresh());
 }
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,7 +1,7 @@
-/// Membership of the fleet's dispatchers, as a daemon uses it.
+/// Membership of the fleet's dispatchers: the interface for daemons.
 ///
-/// The state machine without I/O is in membership_core.h; this class ties it
-/// to links, timers and the clock.
+/// The state machine without I/O is in membership_core.h; this class connects
+/// it to links, timers and the clock.
 #ifndef CROWSTEP_MEMBERSHIP_MEMBERSHIP_H
 #define CROWSTEP_MEMBERSHIP_MEMBERSHIP_H
 
@@ -16,16 +16,16 @@
 
 namespace crowstep::membership {
 
-/// How fast silence is noticed.
+/// Timeouts and fan-out of failure detection.
 struct MembershipConfig {
   Duration m_HeartbeatInterval = std::chrono::milliseconds(500); ///< > 0.
   Duration m_SuspectAfter = std::chrono::milliseconds(1200); ///< Of silence.
   Duration m_DeadAfter = std::chrono::milliseconds(1500);    ///< Of suspicion.
-  std::size_t m_Degree = 4; ///< Links that a member opens to watch others.
-  std::uint64_t m_Seed = 1; ///< For the choice of whom to watch.
+  std::size_t m_Degree = 4; ///< Links that a member opens; at least 2 are.
+  std::uint64_t m_Seed = 1; ///< For the random choice of targets and probes.
 };
 
-/// The fleet as this dispatcher sees it.
+/// The members of the fleet that this dispatcher knows.
 class Membership {
 public:
   Membership(MembershipConfig Config, const Member &Self, const Clock &Time,
@@ -34,39 +34,43 @@
   Membership(const Membership &) = delete;
   Membership &operator=(const Membership &) = delete;
 
-  /// Begins to send heartbeats.
+  /// Starts ticks and with them heartbeats.
   void start();
 
-  /// Adds addresses to try while few members are known (instance list,
-  /// settings); they are hints and may be stale.
+  /// Replaces the addresses (from the instance list or the settings) that are
+  /// probed while no live member is known at them. They may be stale.
   void seed(const std::vector<Address> &Hints);
 
-  /// The daemon passes on what its links report; other roles' are ignored.
+  /// To be called on each event of the daemon's links; links to other roles
+  /// than dispatchers are ignored.
   void linkUp(link::LinkId Link, const link::Peer &Who);
   void linkFrame(link::LinkId Link, const wire::Frame &Frame);
   void linkDown(link::LinkId Link, const link::Peer &Who,
                 link::CloseReason Why);
   void dialFailed(const Address &Where, link::CloseReason Why);
 
-  /// Returns everyone known, this process included; the dead are left out
-  /// once they are forgotten.
+  /// Returns all known members, this process included. Dead members and those
+  /// that left are listed until TombstoneRetention has passed.
   [[nodiscard]] const std::vector<Member> &members() const;
 
-  /// Calls \p Job after each change of members().
+  /// Calls \p Callback after each change of members().
   void onChange(std::function<void()> Job);
 
-  /// Sets the table version that this process has in force; it goes out with
-  /// the next heartbeat.
+  /// Sets the table version that this process has in force. The others are
+  /// sent an update at once; later heartbeats carry the version as well.
   void setTableVersion(TableVersion Version);
 
-  /// Returns whether more than half of the members of the last view in which
-  /// this process heard a majority were heard within the suspicion time.
+  /// Returns whether this process is in contact with a majority: more than
+  /// half of the reference members (those that were live when it last was) are
+  /// alive in its view, and more than half of the live members that it watches,
+  /// itself counted, sent a frame within the suspicion time.
   [[nodiscard]] bool hearsMajority() const;
 
-  /// Returns the link to a member, or none while there is no direct one.
+  /// Returns a direct link to a member, or none.
   [[nodiscard]] link::LinkId linkTo(InstanceId Id) const;
 
-  /// Says goodbye to all, so that pools move without a suspicion.
+  /// Announces to all members that this process leaves, so that pools move
+  /// without waiting for failure detection.
   void leave();
 
 private:
--- a/src/membership/membership_core.cpp
+++ b/src/membership/membership_core.cpp
@@ -1,4 +1,4 @@
-/// Membership as a state machine without I/O.
+/// The membership protocol as a state machine without I/O.
 #include "membership/membership_core.h"
 
 #include "membership/member_func.h"
@@ -10,8 +10,9 @@
 
 namespace {
 
-/// A tick that comes later than this was held up by this process itself, or
-/// by its machine: the time beyond is not held against others.
+/// Longest interval between ticks that counts as running time. A later tick was
+/// delayed by this process or its machine; the rest of the interval must not
+/// count as silence of others.
 constexpr Duration MaxTickGap = 2 * TickInterval;
 
 constexpr std::size_t ProbesWhenAlone = 3;
@@ -52,7 +53,7 @@
   return std::move(m_Out);
 }
 
-/// Floods what the event changed, and follows the change with the links.
+/// Floods what the event changed and adapts targets to the changed view.
 void MembershipCore::settle() {
   for (const auto &[Link, Peer] : m_Watches.links()) {
     if (Link == m_Source)
@@ -117,8 +118,8 @@
   countMajority();
 }
 
-/// Counted when the view changes and not at each tick: what a tick costs must
-/// not grow with the fleet.
+/// Called when the view changes and not at each tick, so that the cost of a
+/// tick does not grow with the fleet.
 void MembershipCore::countMajority() {
   const auto IsAlive = [this](InstanceId Id) {
     const Member *Known = m_View.find(Id);
@@ -149,9 +150,9 @@
     sendHeartbeat(Link);
 }
 
-/// Versions that others confirmed go out joined, a tick at a time: after each
-/// change of the table every member confirms, and a frame for each would cost
-/// more than the news in it.
+/// Versions that others confirmed are sent in one message per tick and link:
+/// after each change of the table every member confirms, and a frame for each
+/// confirmation would cost more than its content.
 void MembershipCore::sendHeldVersions() {
   for (const auto &[Link, Peer] : m_Watches.links()) {
     std::vector<MemberNews> News;
@@ -184,9 +185,9 @@
   m_NextProbe = m_Now + Duration(Spread(m_Random));
 }
 
-/// Hints and the dead are tried now and then for as long as they are known:
-/// after a cut between regions each side holds the other for dead, and nobody
-/// else would ever dial across again.
+/// Hints and dead members are probed from time to time for as long as they are
+/// known: after a partition between regions each side takes the other for dead,
+/// and without probes nobody would dial across again.
 std::vector<Address> MembershipCore::probeCandidates() const {
   std::set<Address> Live;
   std::set<Address> Result(m_Hints.begin(), m_Hints.end());
@@ -215,9 +216,9 @@
   m_Exchange.drop(What.m_Link);
 }
 
-/// A process that closed its links and whose address refuses new ones is gone:
-/// its kernel answers in its place, which neither a frozen process nor a cut
-/// link can bring about. A refusal alone may be a stale address.
+/// A process that closed its links and whose address refuses connections has
+/// ended: the refusal comes from the kernel, and neither a frozen process nor a
+/// cut link can cause both. A refusal alone may come from a stale address.
 void MembershipCore::on(const DialFailed &What) {
   const std::optional<InstanceId> Target = m_Dials.failed(What.m_Where, m_Out);
   if (!Target || What.m_Why != CloseReason::ConnectRefused)
@@ -235,8 +236,8 @@
   const Member *Sender = m_View.find(m_Watches.peerOf(What.m_Link));
   if (Sender == nullptr)
     return;
-  // A member that was frozen does not know that it was given up. It is told at
-  // once, so that it comes back with a higher incarnation.
+  // A member that was frozen does not know that it was declared dead. Notify it
+  // at once, so that it rejoins with a higher incarnation.
   if (!isLive(Sender->m_State)) {
     m_Out.emplace_back(SendNews{What.m_Link, {newsOf(*Sender)}});
     return;
@@ -247,7 +248,7 @@
   notice(NoticeKind::Exchanged, *Sender);
 }
 
-// ---- News ----
+// ---- Updates ----
 
 void MembershipCore::on(const MembersHeard &What) {
   m_Source = What.m_Link;
@@ -255,8 +256,9 @@
     accept(Each);
 }
 
-/// News lacks name and address. Of a member that is not known at this
-/// incarnation it is left aside; the difference of hashes brings it whole.
+/// An update lacks the member's name and address. It is ignored for a member
+/// that is not known with this incarnation; the difference of view hashes then
+/// leads to an exchange of full records.
 void MembershipCore::on(const NewsHeard &What) {
   m_Source = What.m_Link;
   for (const MemberNews &Each : What.m_News) {
@@ -280,7 +282,7 @@
   const MergeResult Result = m_View.merge(News, m_Running);
   if (const auto Held = m_Held.find(News.m_Id);
       Result == MergeResult::Nothing && Held != m_Held.end())
-    Held->second.insert(m_Source); // It need not be told.
+    Held->second.insert(m_Source); // The sender has the version.
   if (Result == MergeResult::Nothing)
     return;
   m_ViewChanged = true;
@@ -302,8 +304,8 @@
       m_Out.emplace_back(Drop{Link});
 }
 
-/// Raises the own incarnation past whatever others hold against this process,
-/// or remember of an earlier start of the instance.
+/// Raises the own incarnation above that of an update which suspects this
+/// process, or which stems from an earlier start of the instance.
 void MembershipCore::acceptAboutSelf(const Member &News) {
   Member Own = self();
   const bool Newer = News.m_Incarnation > Own.m_Incarnation;
@@ -315,7 +317,7 @@
   Own.m_State = MemberState::Alive;
   m_View.merge(Own, m_Running);
   m_Whole.push_back(Own);
-  m_Source = LinkId(); // Whoever sent it must hear this, too.
+  m_Source = LinkId(); // The sender must receive the refutation, too.
   m_ViewChanged = true;
   notice(NoticeKind::Refuted, Own);
 }
@@ -355,10 +357,11 @@
 
 // ---- Majority ----
 
-/// Two conditions, as the overlay shows a member few others directly. The view
-/// alone lags: in a small group that is cut off from a large fleet most others
-/// are watched by nobody and stay alive in it for several rounds of suspicion.
-/// The direct peers alone are a sample: a few of the fleet, chosen at random.
+/// Checks the view and the direct peers, as the overlay connects a member to
+/// few others. The view alone lags: in a small group that is cut off from a
+/// large fleet, most others are watched by nobody and stay alive in it for
+/// several rounds of suspicion. The direct peers alone are only a random sample
+/// of the fleet.
 bool MembershipCore::hearsMajority(TimePoint Now) const {
   const auto IsKnownLive = [this](InstanceId Id) {
     const Member *Known = m_View.find(Id);
--- a/src/membership/membership_core.h
+++ b/src/membership/membership_core.h
@@ -1,5 +1,6 @@
-/// Membership as a state machine without I/O: typed events and the time go in,
-/// typed actions come out. docs/MEMBERSHIP.md argues why it is correct.
+/// The membership protocol as a state machine without I/O: handles typed events
+/// with the current time and returns typed actions. docs/MEMBERSHIP.md argues
+/// why it is correct.
 #ifndef CROWSTEP_MEMBERSHIP_MEMBERSHIP_CORE_H
 #define CROWSTEP_MEMBERSHIP_MEMBERSHIP_CORE_H
 
@@ -13,21 +14,22 @@
 
 namespace crowstep::membership {
 
-/// How often the core wants a Tick.
+/// Interval at which the core expects a Tick.
 inline constexpr Duration TickInterval = std::chrono::milliseconds(100);
 
-/// How long the dead are remembered. Older news that would bring one back
-/// must not outlive this; a process that was cut off for longer may bring a
-/// dead member back, until its new watchers find nobody there.
+/// How long tombstones of members that died or left are kept. A tombstone keeps
+/// outdated updates from reviving its member. A process that was cut off for
+/// longer may revive a dead member, until those that then watch it detect that
+/// nothing answers.
 inline constexpr Duration RememberDead = std::chrono::minutes(10);
 
-/// The decisions of one member.
+/// The protocol state of one member.
 class MembershipCore {
 public:
   MembershipCore(const MembershipConfig &Config, const Member &Self,
                  TimePoint Now);
 
-  /// Takes one event and returns what is to be done, in order.
+  /// Handles one event and returns the actions to take, in order.
   std::vector<Action> handle(TimePoint Now, const Event &What);
 
   /// See Membership.
@@ -64,37 +66,38 @@
   void notice(NoticeKind Kind, const Member &Whom);
   [[nodiscard]] const Member &self() const;
 
-  MembershipConfig m_Config;    ///< As given.
+  MembershipConfig m_Config;
   InstanceId m_Self;            ///< This member.
-  MemberView m_View;            ///< Always holds this member.
-  WatchList m_Watches;          ///< Who is heard.
-  ViewExchange m_Exchange;      ///< When whole views go out.
-  DialPlan m_Dials;             ///< Whom to dial.
+  MemberView m_View;            ///< Always contains this member.
+  WatchList m_Watches;          ///< Detects silent members.
+  ViewExchange m_Exchange;      ///< Decides when to send the full view.
+  DialPlan m_Dials;             ///< Which addresses to dial.
   std::vector<Address> m_Hints; ///< May be stale.
-  std::mt19937_64 m_Random;     ///< Only for the choice of probes.
-  TimePoint m_Now;              ///< Of the present event.
-  TimePoint m_LastTick;         ///< On the clock of m_Now.
-  TimePoint m_Running;          ///< Stands still while the process does.
-  TimePoint m_NextHeartbeat;    ///< When to send the next round.
-  TimePoint m_NextForget;       ///< When to look for the long dead.
-  TimePoint m_NextProbe;        ///< When to try a hint or a dead member.
+  std::mt19937_64 m_Random;     ///< For the choice and the times of probes.
+  TimePoint m_Now;              ///< Time of the current event.
+  TimePoint m_LastTick;         ///< Real time, like m_Now.
+  TimePoint m_Running;          ///< Stands still while the process is frozen.
+  TimePoint m_NextHeartbeat;    ///< Real time of the next round.
+  TimePoint m_NextForget;       ///< On running time.
+  TimePoint m_NextProbe;        ///< Real time of the next probes.
   std::uint64_t m_Sequence = 0; ///< Of the last round of heartbeats.
-  std::map<InstanceId, std::set<LinkId>> m_Held; ///< Versions to pass on, and
-                                                 ///< who has them.
-  std::vector<InstanceId> m_Reference; ///< Live members when a majority was
-                                       ///< last heard.
-  bool m_ReferenceIsOld = false;       ///< Who is live has changed since.
+  /// Members whose confirmed version is to be passed on, each with the links
+  /// whose peers have it already.
+  std::map<InstanceId, std::set<LinkId>> m_Held;
+  std::vector<InstanceId> m_Reference; ///< Live members when this process was
+                                       ///< last in a majority.
+  bool m_ReferenceIsOld = false;       ///< The live members have changed since.
   bool m_ViewHasMajority = true;       ///< More than half of m_Reference are
                                        ///< alive in m_View.
   bool m_Leaving = false;              ///< After Leave.
 
-  // Of the present event:
-  std::vector<Action> m_Out;      ///< What handle() returns.
-  LinkId m_Source;                ///< Where the news came from.
-  std::vector<Member> m_Whole;    ///< To be flooded whole.
-  std::vector<MemberNews> m_News; ///< To be flooded.
-  bool m_ViewChanged = false;     ///< Something in the view changed.
-  bool m_LiveChanged = false;     ///< Who is live, or where, changed.
+  // State of the current event:
+  std::vector<Action> m_Out;      ///< Returned by handle().
+  LinkId m_Source;                ///< Source of the update, if any.
+  std::vector<Member> m_Whole;    ///< Full records to be flooded.
+  std::vector<MemberNews> m_News; ///< Updates to be flooded.
+  bool m_ViewChanged = false;     ///< The view changed in any way.
+  bool m_LiveChanged = false;     ///< A state or an incarnation changed.
 };
 
 } // namespace crowstep::membership
--- a/src/membership/membership_event.h
+++ b/src/membership/membership_event.h
@@ -1,4 +1,4 @@
-/// What goes into the membership's state machine and what comes out of it.
+/// Events that the membership state machine handles and actions it returns.
 #ifndef CROWSTEP_MEMBERSHIP_MEMBERSHIP_EVENT_H
 #define CROWSTEP_MEMBERSHIP_MEMBERSHIP_EVENT_H
 
@@ -12,10 +12,10 @@
 using link::CloseReason;
 using link::LinkId;
 
-/// What changes in a member that is already known.
+/// The changeable fields of a member that the receiver knows already.
 struct MemberNews {
-  InstanceId m_Id;                          ///< Whose.
-  Incarnation m_Incarnation;                ///< Of its present start.
+  InstanceId m_Id;                          ///< Of the member.
+  Incarnation m_Incarnation;                ///< Of the start that it concerns.
   MemberState m_State = MemberState::Alive; ///< New state.
   TableVersion m_TableVersion;              ///< Confirmed version.
 
@@ -24,51 +24,51 @@
 
 // ---- Events ----
 
-/// Time went by; comes every TickInterval.
+/// Comes every TickInterval.
 struct Tick {};
-/// A link to another member is up; \p m_Peer is what its Hello says.
+/// A link to another member is up; m_Peer is taken from its Hello.
 struct PeerUp {
-  LinkId m_Link; ///< Which.
+  LinkId m_Link;
   Member m_Peer; ///< State Alive, table version 0.
 };
 /// A link to another member closed.
 struct PeerDown {
-  LinkId m_Link;                          ///< Which.
-  CloseReason m_Why = CloseReason::Local; ///< Why.
+  LinkId m_Link;
+  CloseReason m_Why = CloseReason::Local;
 };
-/// A dial did not get as far as up.
+/// A dial failed before the link was up.
 struct DialFailed {
-  Address m_Where;                        ///< Dialled.
-  CloseReason m_Why = CloseReason::Local; ///< Why.
+  Address m_Where; ///< The address dialled.
+  CloseReason m_Why = CloseReason::Local;
 };
-/// A member sent a frame, whatever is in it.
+/// A frame arrived from a member, with any content.
 struct PeerHeard {
-  LinkId m_Link; ///< From where.
+  LinkId m_Link; ///< Source.
 };
 /// A member sent a heartbeat.
 struct HeartbeatHeard {
-  LinkId m_Link;                ///< From where.
+  LinkId m_Link;                ///< Source.
   std::uint64_t m_ViewHash = 0; ///< Of the sender's view.
 };
-/// A member sent whole members.
+/// A member sent full member records.
 struct MembersHeard {
-  LinkId m_Link;                 ///< From where.
-  std::vector<Member> m_Members; ///< As it believes.
+  LinkId m_Link;                 ///< Source.
+  std::vector<Member> m_Members; ///< From the sender's view.
 };
-/// A member sent changes of members.
+/// A member sent updates of members.
 struct NewsHeard {
-  LinkId m_Link;                  ///< From where.
-  std::vector<MemberNews> m_News; ///< As it believes.
+  LinkId m_Link;                  ///< Source.
+  std::vector<MemberNews> m_News; ///< From the sender's view.
 };
-/// Addresses where members may be.
+/// Addresses at which members may be reached.
 struct HintsGiven {
-  std::vector<Address> m_Hints; ///< In place of the earlier ones.
+  std::vector<Address> m_Hints; ///< Replace the earlier ones.
 };
 /// This process has a table version in force.
 struct VersionConfirmed {
-  TableVersion m_Version; ///< Which.
+  TableVersion m_Version;
 };
-/// This process goes.
+/// This process is about to stop.
 struct Leave {};
 
 using Event =
@@ -81,49 +81,49 @@
 struct Dial {
   Address m_Where; ///< Of a member or a hint.
 };
-/// Stop keeping a link to this address.
+/// Close the link to this address and stop dialling it.
 struct HangUp {
-  Address m_Where; ///< Dialled before.
+  Address m_Where; ///< Of an earlier Dial.
 };
-/// Close one link; a dialled one comes back.
+/// Close one link; if this process dialled it, it is dialled again.
 struct Drop {
-  LinkId m_Link; ///< Which.
+  LinkId m_Link;
 };
 /// Send a heartbeat.
 struct SendHeartbeat {
-  LinkId m_Link;                ///< Where to.
+  LinkId m_Link;                ///< Destination.
   std::uint64_t m_Sequence = 0; ///< Grows by one with each round.
-  TableVersion m_TableVersion;  ///< Of this process.
-  std::uint64_t m_ViewHash = 0; ///< Of this process.
+  TableVersion m_TableVersion;  ///< Confirmed by this process.
+  std::uint64_t m_ViewHash = 0; ///< Of this process's view.
 };
-/// Send whole members.
+/// Send full member records.
 struct SendMembers {
-  LinkId m_Link;                 ///< Where to.
-  std::vector<Member> m_Members; ///< To be sent.
+  LinkId m_Link; ///< Destination.
+  std::vector<Member> m_Members;
 };
-/// Send changes of members.
+/// Send updates of members.
 struct SendNews {
-  LinkId m_Link;                  ///< Where to.
-  std::vector<MemberNews> m_News; ///< To be sent.
+  LinkId m_Link; ///< Destination.
+  std::vector<MemberNews> m_News;
 };
 
-/// What is worth a counter and a log line.
+/// Occurrences that are counted and logged.
 enum class NoticeKind : std::uint8_t {
-  Joined,    ///< A member is new or came back.
-  Suspected, ///< A member turned suspect.
-  Died,      ///< A member is dead.
-  Left,      ///< A member said goodbye.
-  Refuted,   ///< This process refuted news of its own end.
-  Slow,      ///< This process lags or hears nobody, and accuses nobody.
-  Exchanged, ///< The whole view went out, as views differed.
+  Joined,    ///< A member is new or has a higher incarnation.
+  Suspected, ///< A member became suspect.
+  Died,      ///< A member was declared dead.
+  Left,      ///< A member announced that it leaves.
+  Refuted,   ///< This process raised its own incarnation.
+  Slow,      ///< A tick of this process was late.
+  Exchanged, ///< The full view was sent to a peer whose view differs.
   Count,     ///< Number of kinds; not a kind.
 };
 struct Notice {
-  NoticeKind m_Kind = NoticeKind::Joined; ///< What.
-  Member m_Member;                        ///< Whom it is about.
+  NoticeKind m_Kind = NoticeKind::Joined;
+  Member m_Member; ///< The member concerned.
 };
 
-/// members() is not what it was.
+/// The result of members() changed.
 struct ViewChanged {};
 
 using Action = std::variant<Dial, HangUp, Drop, SendHeartbeat, SendMembers,
--- a/src/membership/membership_type.h
+++ b/src/membership/membership_type.h
@@ -1,4 +1,4 @@
-/// Membership as the rest of the program sees it: plain types.
+/// Public plain types of the membership protocol.
 #ifndef CROWSTEP_MEMBERSHIP_MEMBERSHIP_TYPE_H
 #define CROWSTEP_MEMBERSHIP_MEMBERSHIP_TYPE_H
 
@@ -12,34 +12,34 @@
 
 namespace crowstep::membership {
 
-/// What is believed of a member.
+/// State of a member, as one process knows it.
 enum class MemberState : std::uint8_t {
-  Alive,   ///< Answers, or nobody says otherwise.
-  Suspect, ///< Silent; may still refute it.
-  Dead,    ///< Removed; comes back only with a higher incarnation.
-  Left,    ///< Said goodbye; comes back only with a higher incarnation.
+  Alive,   ///< Not suspected by anyone.
+  Suspect, ///< Suspected to have failed; may refute it.
+  Dead,    ///< Given up; returns only with a higher incarnation.
+  Left,    ///< Announced that it leaves; returns like a dead one.
 };
 
 /// One dispatcher process of the fleet.
 struct Member {
   InstanceId m_Id;                          ///< Hash of the name.
-  std::string m_Name;                       ///< Of the instance.
+  std::string m_Name;                       ///< Of its instance.
   Incarnation m_Incarnation;                ///< Higher wins.
   MemberState m_State = MemberState::Alive; ///< At equal incarnation the
                                             ///< higher state wins.
-  Address m_Address;                        ///< Where it takes links.
-  AvailabilityZone m_Zone;                  ///< Where it is.
+  Address m_Address;                        ///< Where it accepts links.
+  AvailabilityZone m_Zone;                  ///< Of its instance.
   TableVersion m_TableVersion; ///< The highest that it has confirmed.
 
   bool operator==(const Member &) const = default;
 };
 
 /// Returns the member that owns \p Pool by rendezvous hashing over those of
-/// \p Members that are alive or suspect, or null where there is none.
+/// \p Members that are alive or suspect, or null if there is none.
 const Member *ownerOf(PoolId Pool, const std::vector<Member> &Members);
 
-/// Returns the up to \p Count members that come first for \p Key by rendezvous
-/// hashing, in order.
+/// Returns at most \p Count live members, in descending order of their
+/// rendezvous score for \p Key.
 std::vector<const Member *> homesOf(std::uint64_t Key, std::size_t Count,
                                     const std::vector<Member> &Members);
 
--- a/src/membership/membership_wire.cpp
+++ b/src/membership/membership_wire.cpp
@@ -1,4 +1,4 @@
-/// Members and heartbeats between the state machine and the wire.
+/// Converts between the types of the state machine and those of the wire.
 #include "membership/membership_wire.h"
 
 #include "wire/wire_text.h"
@@ -96,7 +96,7 @@
 }
 
 void put(const SendHeartbeat &What, wire::FrameT &Frame) {
-  // Others add fields of their own to the heartbeat.
+  // The frame may contain a heartbeat already.
   if (!Frame.heartbeat)
     Frame.heartbeat = std::make_unique<wire::HeartbeatT>();
   Frame.heartbeat->sequence = What.m_Sequence;
--- a/src/membership/membership_wire.h
+++ b/src/membership/membership_wire.h
@@ -1,4 +1,4 @@
-/// Members and heartbeats between the state machine and the wire.
+/// Converts between the types of the state machine and those of the wire.
 #ifndef CROWSTEP_MEMBERSHIP_MEMBERSHIP_WIRE_H
 #define CROWSTEP_MEMBERSHIP_MEMBERSHIP_WIRE_H
 
@@ -6,18 +6,19 @@
 
 namespace crowstep::membership {
 
-/// Returns the member as a peer's handshake shows it.
+/// Returns the member that a peer's handshake describes.
 Member memberOf(const link::Peer &Who);
 
-/// Returns a member as it stands in a frame, and the other way round.
+/// Converts a member from and to its form in a frame.
 Member memberOf(const wire::Member &From);
 std::unique_ptr<wire::MemberT> wireOf(const Member &From);
 
-/// Returns the events in a frame that came over \p Link, in the order in which
-/// they must be handled. Members without a name or an address are left out.
+/// Returns the events in a frame received over \p Link, in the order in which
+/// they must be handled. Leaves out members without a name or a port and
+/// anything with an unknown state.
 std::vector<Event> eventsOf(LinkId Link, const wire::Frame &Frame);
 
-/// Puts messages into the frame under assembly.
+/// Adds a message to the frame under assembly.
 void put(const SendMembers &What, wire::FrameT &Frame);
 void put(const SendNews &What, wire::FrameT &Frame);
 void put(const SendHeartbeat &What, wire::FrameT &Frame);
--- a/src/membership/overlay.cpp
+++ b/src/membership/overlay.cpp
@@ -1,4 +1,4 @@
-/// Whom a member dials.
+/// The members that a member dials.
 #include "membership/overlay.h"
 
 #include "membership/member_func.h"
@@ -20,7 +20,7 @@
   for (const Member &Each : Members)
     if (isLive(Each.m_State) && Each.m_Id != Self)
       Others.push_back(&Each);
-  // Ids are hashes, so that their order is a ring at random. The distance
+  // Ids are hashes, so that the ring is in random order. The unsigned distance
   // wraps around.
   const auto Distance = [Self](const Member *Which) {
     return Which->m_Id.value() - Self.value();
--- a/src/membership/overlay.h
+++ b/src/membership/overlay.h
@@ -1,8 +1,10 @@
-/// Whom a member dials: a sparse overlay that every process computes alone.
+/// The members that a member dials: a sparse overlay network that each process
+/// computes on its own.
 ///
-/// Two successors on a ring of ids give everyone two predecessors that watch
-/// it, whatever fails elsewhere; random choices beyond them give the graph a
-/// diameter that grows with the logarithm of its size.
+/// Each member dials its two successors on a ring of ids, so that each is
+/// watched by its two predecessors whatever fails elsewhere. Random targets
+/// beyond them give the graph a diameter that grows with the logarithm of its
+/// size.
 #ifndef CROWSTEP_MEMBERSHIP_OVERLAY_H
 #define CROWSTEP_MEMBERSHIP_OVERLAY_H
 
@@ -10,8 +12,9 @@
 
 namespace crowstep::membership {
 
-/// Returns the up to \p Degree live members, other than \p Self, that \p Self
-/// dials. The same for the same members; \p Seed varies the random part.
+/// Returns the live members that \p Self dials: \p Degree of them, but at least
+/// its two successors, as far as there are others. The result is a function of
+/// the arguments; \p Seed varies the random targets.
 std::vector<const Member *> targetsOf(InstanceId Self, std::size_t Degree,
                                       std::uint64_t Seed,
                                       const std::vector<Member> &Members);
--- a/src/membership/rendezvous.cpp
+++ b/src/membership/rendezvous.cpp
@@ -1,7 +1,7 @@
-/// Rendezvous hashing: who owns a pool, who is home to a key.
+/// Rendezvous hashing: the owner of a pool, the members ranked for a key.
 ///
-/// Every process computes the same answer from the same view, and the loss of
-/// a member moves only what that member owned.
+/// All processes compute the same result from the same view, and the loss of a
+/// member moves only what that member owned.
 #include "membership/membership_type.h"
 
 #include "membership/member_func.h"
--- a/src/membership/view_exchange.cpp
+++ b/src/membership/view_exchange.cpp
@@ -1,12 +1,12 @@
-/// Decides when two neighbours must exchange their whole views.
+/// Decides when two neighbours must exchange their full views.
 #include "membership/view_exchange.h"
 
 namespace crowstep::membership {
 
 namespace {
 
-/// Under news without a pause the hashes never stand still; after so many
-/// differing heartbeats the view goes out all the same.
+/// Under a constant stream of updates the hashes never settle. After this many
+/// differing heartbeats in a row the view is sent anyway.
 constexpr std::uint32_t MaxDiffering = 10;
 
 } // namespace
--- a/src/membership/view_exchange.h
+++ b/src/membership/view_exchange.h
@@ -1,7 +1,7 @@
-/// Decides when two neighbours must exchange their whole views.
+/// Decides when two neighbours must exchange their full views (anti-entropy).
 ///
-/// News floods once. What a broken link has swallowed is found by comparing
-/// hashes of views, which ride on the heartbeats.
+/// Each update is flooded once. Updates that were lost with a broken link are
+/// detected by comparing the view hashes that heartbeats carry.
 #ifndef CROWSTEP_MEMBERSHIP_VIEW_EXCHANGE_H
 #define CROWSTEP_MEMBERSHIP_VIEW_EXCHANGE_H
 
@@ -11,25 +11,27 @@
 
 namespace crowstep::membership {
 
-/// The hashes last seen on each link.
+/// The last view hashes on each link.
 class ViewExchange {
 public:
-  /// Takes a heartbeat's hash and returns whether to send the whole view now:
-  /// at the first difference on a new link; later only when neither side's
-  /// hash has changed since the last heartbeat, as a difference that moves is
-  /// news still under way and would cost whole views at each change.
+  /// Records the hashes at a heartbeat and returns whether to send the full
+  /// view now: if they differ at the first heartbeat of a link; later only if
+  /// neither hash has changed since the last heartbeat, or after several
+  /// differing heartbeats in a row. While hashes change, updates are still
+  /// under way, and each change would cost a full view.
   bool differs(LinkId Link, std::uint64_t Own, std::uint64_t Theirs);
 
-  /// Forgets a link.
+  /// Removes a closed link.
   void drop(LinkId Link) { m_Last.erase(Link); }
 
 private:
   struct Seen {
     std::uint64_t m_Own = 0;    ///< At the last heartbeat.
     std::uint64_t m_Theirs = 0; ///< In the last heartbeat.
-    std::uint32_t m_Count = 0;  ///< Differing heartbeats in a row.
+    std::uint32_t m_Count = 0;  ///< Differing heartbeats in a row
+                                ///< since the last exchange.
   };
-  std::map<LinkId, Seen> m_Last; ///< Links that have had a heartbeat.
+  std::map<LinkId, Seen> m_Last; ///< By link; since its first heartbeat.
 };
 
 } // namespace crowstep::membership
--- a/src/membership/watch_list.cpp
+++ b/src/membership/watch_list.cpp
@@ -1,4 +1,4 @@
-/// Whom this process watches.
+/// The members that this process watches.
 #include "membership/watch_list.h"
 
 #include <algorithm>
@@ -7,10 +7,12 @@
 
 namespace {
 
-/// How much later a process that hears nobody begins to accuse.
+/// Suspicion times, instead of one, that must pass before a silent member is
+/// reported while all watched members are silent.
 constexpr int Stretch = 3;
 
-/// Bound on the patience with a member that only this process can't reach.
+/// Upper limit of the timeout factor of a member that other processes reach
+/// but this one does not.
 constexpr std::uint32_t MaxPatience = 32;
 
 } // namespace
--- a/src/membership/watch_list.h
+++ b/src/membership/watch_list.h
@@ -1,4 +1,4 @@
-/// Whom this process watches: its targets, and whoever has a link to it.
+/// The members that this process watches: its targets and all linked peers.
 #ifndef CROWSTEP_MEMBERSHIP_WATCH_LIST_H
 #define CROWSTEP_MEMBERSHIP_WATCH_LIST_H
 
@@ -11,66 +11,70 @@
 
 namespace crowstep::membership {
 
-/// When each watched member was last heard, and over which links.
+/// When the last frame of each watched member arrived, and over which links it
+/// is reached.
 ///
-/// Two clocks: silence is measured on running time, which stands still while
-/// this process is frozen, so that it does not accuse others of its own pause;
-/// whether a majority is heard is measured on real time, which does not.
+/// Uses two clocks. Silence is measured on running time, which stands still
+/// while this process is frozen, so that its own pause is not taken for silence
+/// of others. Contact with a majority is measured on real time, which goes on.
 class WatchList {
 public:
   explicit WatchList(Duration SuspectAfter) : m_SuspectAfter(SuspectAfter) {}
 
   void linkUp(InstanceId Peer, LinkId Link, TimePoint Running, TimePoint Now);
   void linkDown(LinkId Link, CloseReason Why);
+  /// A frame arrived.
   void heard(LinkId Link, TimePoint Running, TimePoint Now);
 
   /// Replaces the targets, which are watched even without a link.
   void setTargets(const std::set<InstanceId> &Targets, TimePoint Running);
 
-  /// Returns who has been silent for too long; nobody while this process hears
-  /// no one at all and is not \p Stretch times as late, as then the fault is
-  /// rather its own.
+  /// Returns the members silent for longer than their suspicion time. While
+  /// everyone watched is silent, the fault is likely this process's own, and
+  /// two more suspicion times must pass before any of them is returned.
   [[nodiscard]] std::vector<InstanceId> silent(TimePoint Running) const;
 
-  /// Returns whether everyone watched is silent, with two at least.
+  /// Returns whether all watched members, and at least two, are silent.
   [[nodiscard]] bool allSilent(TimePoint Running) const;
 
-  /// Remembers that this process has accused \p Peer.
+  /// Records that this process has reported \p Peer as suspect or dead.
   void accused(InstanceId Peer);
 
-  /// \p Peer is alive by the word of others. If this process had accused it,
-  /// its own path to it is at fault: returns the links to close, and accuses
-  /// it only after twice the time from now on.
+  /// An update shows that \p Peer is alive. If this process had reported a
+  /// failure of it, its own path to the peer is at fault: returns the links to
+  /// close and doubles the suspicion time of the peer, until a frame of it
+  /// arrives.
   std::vector<LinkId> vouched(InstanceId Peer, TimePoint Running);
 
-  /// Returns whether \p Peer closed its last link to here.
+  /// Returns whether \p Peer has no link left and closed the last one itself.
   [[nodiscard]] bool closedByPeer(InstanceId Peer) const;
 
-  /// Returns whether more than half of those watched that \p Counts, and this
-  /// process, were heard within the suspicion time.
+  /// Returns whether frames of more than half of the watched members for which
+  /// \p Counts holds, this process counted in both, arrived within the
+  /// suspicion time.
   [[nodiscard]] bool
   hearsMost(TimePoint Now, const std::function<bool(InstanceId)> &Counts) const;
 
-  /// Returns the first link to a member, or none.
+  /// Returns the link with the lowest id to a member, or none.
   [[nodiscard]] LinkId linkTo(InstanceId Peer) const;
 
-  /// Returns the member at the other end of a link; id 0 for an unknown link.
+  /// Returns the member at the other end of a link, or 0 if it is unknown.
   [[nodiscard]] InstanceId peerOf(LinkId Link) const;
 
-  /// Returns every link and whom it leads to.
+  /// Returns all links and the members that they lead to.
   [[nodiscard]] const std::map<LinkId, InstanceId> &links() const {
     return m_Links;
   }
 
 private:
   struct Watch {
-    std::set<LinkId> m_Links;                     ///< Up.
-    TimePoint m_HeardRunning;                     ///< Or when the watch began.
-    TimePoint m_HeardNow{-std::chrono::hours(1)}; ///< Long ago: never heard.
+    std::set<LinkId> m_Links;                     ///< Those that are up.
+    TimePoint m_HeardRunning;                     ///< Or start of the watch.
+    TimePoint m_HeardNow{-std::chrono::hours(1)}; ///< Initially long ago.
     std::uint32_t m_Patience = 1; ///< Multiplies the suspicion time.
     bool m_IsTarget = false;      ///< Watched even without a link.
-    bool m_ClosedByPeer = false;  ///< How the last link ended.
-    bool m_Accused = false;       ///< By this process, since last heard.
+    bool m_ClosedByPeer = false;  ///< How the last link was closed.
+    bool m_Accused = false;       ///< By this process, and not refuted since.
   };
 
   [[nodiscard]] bool isSilent(const Watch &Which, TimePoint Running) const;
--- a/tests/unit/link_codec_test.cpp
+++ b/tests/unit/link_codec_test.cpp
@@ -1,5 +1,5 @@
-/// The decoder fed with hostile bytes: each input ends in a frame, a typed
-/// reason or the wish for more, and never in a crash or an endless read.
+/// The frame reader on valid, damaged and random bytes: each input yields
+/// frames, a close reason or a request for more bytes, never a crash or a hang.
 #define BOOST_TEST_MODULE link_codec
 #include "link/frame_codec.h"
 
@@ -14,13 +14,14 @@
 using Buffer = std::vector<std::uint8_t>;
 constexpr std::uint32_t MaxFrame = 1U << 16;
 
-/// What a reader made of a whole stream.
+/// The result of reading a whole stream.
 struct Outcome {
   std::vector<wire::FrameT> m_Frames;
   std::optional<CloseReason> m_Why;
 };
 
-/// Reads \p Stream in pieces of \p Step bytes; touches all of each frame.
+/// Reads \p Stream in pieces of \p Step bytes and unpacks each frame, so that
+/// all of its bytes are accessed.
 Outcome readAll(const Buffer &Stream, std::size_t Step) {
   FrameReader Reader(MaxFrame);
   Outcome Result;
@@ -113,8 +114,8 @@
   RC_ASSERT(!Read.m_Why || *Read.m_Why == CloseReason::BadFrame);
 }
 
-/// Flipped bytes of good frames reach the depth of the verifier that noise
-/// does not: offsets and lengths that point outside of the frame.
+/// Changed bytes in valid frames reach checks of the verifier that random bytes
+/// do not reach, for offsets and lengths that point outside of the frame.
 RC_BOOST_PROP(MutatedFramesAreReadOrRejected, ()) {
   Buffer Stream = someStream();
   const int Flips = *rc::gen::inRange(1, 6);
@@ -135,8 +136,8 @@
   RC_ASSERT(Read.m_Frames.size() == Whole - 1);
 }
 
-/// A length over the limit is rejected from its four bytes alone; the reader
-/// must not wait for, or hold, what was announced.
+/// A length over the limit is rejected from its 4 bytes alone. The reader must
+/// neither wait for the announced bytes nor allocate memory for them.
 RC_BOOST_PROP(OversizedLengthIsRejectedAtOnce, ()) {
   Buffer Stream = streamOf({});
   const auto Size = *rc::gen::inRange<std::uint32_t>(MaxFrame + 1, UINT32_MAX);
--- a/tests/unit/link_tcp_test.cpp
+++ b/tests/unit/link_tcp_test.cpp
@@ -1,5 +1,5 @@
-/// Two processes' links in one loop, over loopback: handshake, joined frames,
-/// limits, reconnect, and what a stranger gets to see.
+/// The links of two processes in one main loop, over loopback: handshake,
+/// joined frames, limits, reconnection, and peers that violate the protocol.
 #define BOOST_TEST_MODULE link_tcp
 #include "core/http_server.h"
 #include "link/handshake.h"
@@ -56,7 +56,7 @@
   return Config;
 }
 
-/// A process's end of its links, and what it was told.
+/// The links of one process, and the events that it received.
 struct Node final : LinkListener {
   explicit Node(const LinkConfig &Config)
       : m_Links(Config, m_Timers, m_Stats, *this) {
@@ -104,7 +104,7 @@
   std::function<void()> m_OnFrame;
 };
 
-/// A connection of somebody who does not follow the protocol.
+/// A raw client connection, on which a test can violate the protocol.
 struct Stranger {
   explicit Stranger(const Address &Where)
       : m_Client(g_socket_client_new()),
@@ -125,7 +125,7 @@
     send(Encoded);
   }
 
-  /// Plays the dialer's part with the right key.
+  /// Performs the dialer's part of the handshake with \p Config.
   void authenticate(const LinkConfig &Config) {
     Handshake Own(Config, Side::Dialer);
     wire::FrameT Frame;
@@ -196,7 +196,8 @@
   const Labels Serving = {{"direction", "in"}, {"mechanism", "serving"}};
   BOOST_TEST(m_Server->m_Stats.counter("crowstep_link_messages_total", Serving)
                  .value() == 100U);
-  // 16 bytes each and the vector's length, to the byte.
+  // 100 messages of 16 bytes each, the vector's length of 4 bytes, and at most
+  // 12 bytes of padding.
   const auto Size =
       m_Server->m_Stats.counter("crowstep_link_mechanism_bytes_total", Serving)
           .value();
@@ -222,13 +223,13 @@
   runUntil([this] { return m_Client->m_Ups == 2; });
   m_Client->m_Links.hangUp(m_Where);
   runUntil([this] { return m_Client->m_Down == CloseReason::Local; });
-  m_Client->refuse(2); // Of no link: thrown away.
+  m_Client->refuse(2); // Discarded, as there is no link.
   BOOST_TEST(m_Client->m_Ups == 2);
 }
 
-/// A peer that knows the key connects and then reads nothing more. The server
-/// goes on sending: the kernel's buffers fill, then the send queue up to its
-/// limit. The link closes instead of eating the server's memory.
+/// A peer that knows the key connects and then stops reading. The server keeps
+/// sending: the kernel's buffers fill, then the send queue up to its limit. The
+/// server must close the link instead of using more and more memory.
 BOOST_AUTO_TEST_CASE(PeerThatReadsNothingIsDropped) {
   LinkConfig Config = configOf("server", freeAddress());
   Config.m_MaxQueued = 1U << 20;
@@ -245,9 +246,9 @@
   BOOST_TEST(Server.closed(CloseReason::Backlog) == 1U);
 }
 
-/// A stranger that a process dials answers with that process's own nonce and
-/// then sends its proof back. Only the direction within the code tells the
-/// echo from a proof.
+/// A malicious peer that a process dials replies with that process's own nonce
+/// and then sends that process's own proof back. Only the side, which the proof
+/// covers, distinguishes this from a proof of the peer.
 BOOST_AUTO_TEST_CASE(ReflectedProofIsRejected) {
   Handshake Victim(configOf("victim", {}), Side::Dialer);
   wire::FrameT Echo;
@@ -271,8 +272,8 @@
   BOOST_TEST(m_Server->m_Ups + m_Client->m_Ups == 0);
 }
 
-/// A stranger opens connections and sends what a peer never would. Nothing of
-/// it reaches the listener, and each is closed with its own reason.
+/// Unauthenticated clients send what a peer never sends. Nothing of it reaches
+/// the listener, and each connection is closed with its own reason.
 BOOST_FIXTURE_TEST_CASE(StrangersAreClosedWithTheirReason, Pair) {
   const auto Opening = preamble();
   const auto Expect = [this](CloseReason Why) {
--- a/tests/unit/membership_core_test.cpp
+++ b/tests/unit/membership_core_test.cpp
@@ -1,5 +1,5 @@
-/// Properties of the membership over a fake network: what every member must
-/// come to believe after faults, within which time, and at what cost.
+/// Properties of the membership protocol over a simulated network: what all
+/// views must agree on after faults, within which time, and at what cost.
 #define BOOST_TEST_MODULE membership_core
 #include "unit/membership_sim.h"
 
@@ -16,7 +16,7 @@
   return *rc::gen::inRange<std::size_t>(0, Below);
 }
 
-/// A fleet of between \p Min and \p Max members that know each other.
+/// A converged fleet of \p Min to \p Max members.
 struct StartedFleet : FleetSim {
   StartedFleet(std::size_t Min, std::size_t Max)
       : FleetSim(*rc::gen::arbitrary<std::uint64_t>()) {
@@ -27,7 +27,7 @@
   std::size_t anyone() { return pick(m_Nodes.size()); }
 };
 
-/// A random fault or repair, and some time for it.
+/// Injects a random fault or repair and lets some time pass.
 void disturb(StartedFleet &Fleet) {
   const std::size_t Victim = Fleet.anyone();
   const std::size_t Other = Fleet.anyone();
@@ -71,8 +71,8 @@
 
 } // namespace
 
-/// Anything may fail for a while, several things at once. When the faults end,
-/// all that run hold just each other for alive and agree on every owner.
+/// Several faults may coincide. Once they end, each running member must list
+/// exactly the running members as alive, and all must agree on every owner.
 RC_BOOST_PROP(ViewsConvergeOnceFaultsStop, ()) {
   StartedFleet Fleet(2, 10);
   const std::size_t Steps = 1 + pick(15);
@@ -87,9 +87,9 @@
   assertOneOwner(Fleet);
 }
 
-/// The process is killed: its kernel closes its connections and refuses new
-/// ones. Those who dialled it see both, give it up at once, and the news
-/// floods. The bound is far below the 2 s within which a pool must move.
+/// The kernel of a killed process closes its connections and refuses new ones.
+/// The members that dialled it observe both, declare it dead at once and flood
+/// the update. The limit is far below the 2 s within which a pool must move.
 RC_BOOST_PROP(KillIsSeenByAllWithinHalfASecond, ()) {
   StartedFleet Fleet(2, 24);
   const std::size_t Victim = Fleet.anyone();
@@ -98,10 +98,11 @@
             500ms);
 }
 
-/// A frozen process's kernel keeps its connections open, so only silence shows
-/// it: 1.2 s to suspect and 1.5 s to give up, and up to a heartbeat and some
-/// ticks more. When it wakes it must accuse nobody for the time it missed, and
-/// come back by refuting its own end.
+/// The kernel of a frozen process keeps its connections open, so that only
+/// silence shows the failure: 1.2 s until suspicion and 1.5 s more until death,
+/// plus up to a heartbeat and some ticks. Once resumed, the process must
+/// suspect nobody for the time it missed, and must rejoin by refuting its
+/// death.
 RC_BOOST_PROP(FrozenMemberIsGivenUpAndComesBackHarmless, ()) {
   StartedFleet Fleet(4, 16);
   const std::size_t Victim = Fleet.anyone();
@@ -118,8 +119,8 @@
             Suspicions);
 }
 
-/// Two members fail while the rest are slow, some so much that they are
-/// suspected. Their refutations come in time: nobody who runs is given up.
+/// Two members fail while the others are slow, some so much that they are
+/// suspected. They refute in time: no running member is declared dead.
 RC_BOOST_PROP(SlowMembersAreNeverGivenUp, ()) {
   FleetSim Fleet(*rc::gen::arbitrary<std::uint64_t>());
   Fleet.m_MaxDelay = 250ms;
@@ -140,8 +141,9 @@
   }
 }
 
-/// A member sleeps through the death of another, its connections are reset
-/// meanwhile, and it wakes with the old news. Nobody takes the dead one back.
+/// A member is frozen while another one dies, and its connections are reset
+/// meanwhile. Once resumed, it still takes the other for alive; its outdated
+/// updates must not revive the dead member elsewhere.
 RC_BOOST_PROP(OldNewsBringsNobodyBack, ()) {
   StartedFleet Fleet(4, 12);
   const std::size_t Sleeper = Fleet.anyone();
@@ -163,9 +165,9 @@
   RC_ASSERT(Fleet.converged());
 }
 
-/// Only the path between two members is cut. Each accuses the other, is proved
-/// wrong by the rest, and must not go on accusing every second: each false
-/// accusation floods the whole fleet.
+/// Only the path between two members is cut. Each suspects the other, which
+/// refutes it through the rest. They must not repeat this every second, as each
+/// false suspicion floods the whole fleet.
 RC_BOOST_PROP(CutBetweenTwoIsNoDeath, ()) {
   StartedFleet Fleet(4, 10);
   const std::size_t First = Fleet.anyone();
@@ -179,9 +181,10 @@
   RC_ASSERT(Fleet.runUntil(10s, [&] { return Fleet.converged(); }) < 10s);
 }
 
-/// The fleet is cut in two. The smaller part must know it within the suspicion
-/// time and some ticks, which is before the larger part gives it up; the
-/// larger part goes on, and both are one again soon after the cut heals.
+/// The fleet is partitioned in two. The smaller part must notice it within the
+/// suspicion time and some ticks, before the larger part declares it dead. The
+/// larger part keeps its majority, and the parts merge soon after the partition
+/// ends.
 RC_BOOST_PROP(OnlyTheLargerPartHearsAMajority, ()) {
   StartedFleet Fleet(5, 15);
   const std::size_t Count = Fleet.m_Nodes.size();
@@ -207,8 +210,8 @@
     RC_ASSERT(Hears(Index));
 }
 
-/// The instance's clock went back between two starts, so that the second start
-/// has the lower incarnation. It must not be taken for old news.
+/// The instance's clock was set back between two starts, so that the second
+/// start has the lower incarnation. Its updates must not be taken for outdated.
 RC_BOOST_PROP(RestartWithAnOlderClockIsTakenBack, ()) {
   StartedFleet Fleet(3, 10);
   const std::size_t Victim = Fleet.anyone();
@@ -218,7 +221,7 @@
   RC_ASSERT(Fleet.runUntil(10s, [&] { return Fleet.converged(); }) < 5s);
 }
 
-/// A goodbye moves pools at once, without suspicion or death.
+/// A member that leaves is removed at once, without a suspicion or a death.
 RC_BOOST_PROP(GoodbyeIsNoDeath, ()) {
   StartedFleet Fleet(2, 16);
   const std::size_t Leaver = Fleet.anyone();
@@ -232,7 +235,7 @@
   RC_ASSERT(Fleet.notices(NoticeKind::Suspected) == 0);
 }
 
-/// Every member confirms a table version; all must see all of them soon.
+/// Every member confirms a table version; all views must show it soon.
 RC_BOOST_PROP(ConfirmedVersionsReachAll, ()) {
   StartedFleet Fleet(2, 16);
   for (std::size_t Index = 0; Index < Fleet.m_Nodes.size(); ++Index)
@@ -247,7 +250,8 @@
   RC_ASSERT(Fleet.runUntil(2s, Seen) < 600ms);
 }
 
-/// When one member goes or comes, only its own pools and keys move.
+/// When one member fails or leaves, only the pools that it owned move. The
+/// highest ranked member for a key is the owner of the pool with that number.
 RC_BOOST_PROP(OnlyPoolsOfTheChangedMemberMove, ()) {
   std::vector<Member> Members(2 + pick(40));
   for (std::size_t Index = 0; Index < Members.size(); ++Index) {
@@ -269,9 +273,9 @@
   }
 }
 
-/// What a member sends in a quiet fleet does not grow with the fleet. What a
-/// change of the table costs it, when all confirm within a second, does: but
-/// well below a message to each by each.
+/// The bytes that a member sends in a fleet without changes do not grow with
+/// the fleet. Those for a change of the table, confirmed by all members within
+/// a second, do, but by far less than if each sent a message to each.
 BOOST_AUTO_TEST_CASE(CostOfAMemberIsConstantFrom8To360) {
   std::map<std::size_t, double> Quiet;
   for (const std::size_t Count : {8U, 64U, 360U}) {
@@ -279,7 +283,7 @@
     Fleet.addMany(Count);
     BOOST_REQUIRE(
         (Fleet.runUntil(60s, [&] { return Fleet.converged(); }) < 60s));
-    Fleet.run(8s); // The exchanges of views after the start end.
+    Fleet.run(8s); // Until the exchanges of views after the start end.
     Fleet.m_CountBytes = true;
     const auto SentIn = [&](Duration Span) {
       const auto Sum = [&] {
--- a/tests/unit/membership_sim.h
+++ b/tests/unit/membership_sim.h
@@ -1,10 +1,10 @@
-/// Many membership cores over a fake network with a manual clock: delays, lost
-/// connections, cuts, kills and freezes.
+/// Simulates a fleet of membership cores over a network with a manual clock:
+/// delays, lost connections, partitions, kills and freezes.
 ///
-/// As over TCP, what is sent on one connection arrives in order or, when the
-/// connection breaks, not at all. A frozen process's kernel goes on taking
-/// bytes; a killed one's refuses connections; a cut swallows what is dialled
-/// and stalls what is connected.
+/// As over TCP, the messages of a connection arrive in order or, after it
+/// broke, not at all. The kernel of a frozen process still receives bytes; that
+/// of a killed one refuses connections. Across a cut path, dials time out and
+/// the messages of open connections are delayed until it is healed.
 #ifndef CROWSTEP_TESTS_UNIT_MEMBERSHIP_SIM_H
 #define CROWSTEP_TESTS_UNIT_MEMBERSHIP_SIM_H
 
@@ -29,19 +29,19 @@
   FleetSim(const FleetSim &) = delete;
   FleetSim &operator=(const FleetSim &) = delete;
 
-  // ---- What a test sets ----
+  // ---- Parameters ----
   Duration m_MinDelay = 500us; ///< One way.
-  Duration m_MaxDelay = 3ms;   ///< One way; a message takes any between.
-  Duration m_TickJitter = 0us; ///< Ticks come so much late at most.
+  Duration m_MaxDelay = 3ms;   ///< One way; delays are uniform in between.
+  Duration m_TickJitter = 0us; ///< Maximum lateness of a tick.
   MembershipConfig m_Config;   ///< Of all members.
-  bool m_CountBytes = false;   ///< Encodes frames to count their bytes.
+  bool m_CountBytes = false;   ///< Encode frames to count their bytes.
 
   struct Node {
     Member m_Self;
     std::unique_ptr<MembershipCore> m_Core; ///< Null while killed.
     bool m_Frozen = false;
     std::vector<Event> m_Waiting;        ///< Arrived while frozen.
-    std::map<Address, Duration> m_Dials; ///< And the next back-off.
+    std::map<Address, Duration> m_Dials; ///< With the next backoff.
     std::map<NoticeKind, int> m_Notices;
     std::uint64_t m_Life = 0;   ///< Grows with each start.
     std::uint64_t m_Frames = 0; ///< Sent.
@@ -95,7 +95,7 @@
     for (const Event &Each : std::exchange(Which.m_Waiting, {}))
       give(Index, Each);
   }
-  /// Breaks the connections of a frozen node; what waited in them is lost.
+  /// Breaks the connections of a frozen node; events not yet handled are lost.
   void resetWhileFrozen(std::size_t Index) {
     m_Nodes[Index].m_Waiting.clear();
     for (const std::size_t Link : linksOf(Index))
@@ -119,14 +119,14 @@
     for (std::size_t Index = 0; Index < m_Nodes.size(); ++Index)
       thaw(Index);
   }
-  /// Breaks a connection of \p Index, with what is under way on it.
+  /// Breaks a random connection of \p Index; messages under way are lost.
   void loseLink(std::size_t Index) {
     const std::vector<std::size_t> Links = linksOf(Index);
     if (!Links.empty())
       breakLink(Links[m_Random() % Links.size()]);
   }
   void run(Duration Step) { m_Timers.advance(Step); }
-  /// Runs until \p Done holds; returns after how long, or \p Limit.
+  /// Runs until \p Done holds or \p Limit has passed; returns the time taken.
   Duration runUntil(Duration Limit, const std::function<bool()> &Done) {
     const TimePoint Begin = m_Time.now();
     while (!Done() && m_Time.now() - Begin < Limit)
@@ -144,7 +144,7 @@
     perform(Index, Which.m_Core->handle(m_Time.now(), What));
   }
 
-  // ---- What a test looks at ----
+  // ---- Observations ----
   [[nodiscard]] bool isUp(std::size_t Index) const {
     return m_Nodes[Index].m_Core != nullptr;
   }
@@ -158,7 +158,7 @@
     const Member *Known = seen(By, Whom);
     return Known != nullptr && isLive(Known->m_State);
   }
-  /// Whether all that run agree that just those that run are alive.
+  /// Whether each running node lists exactly the running nodes as alive.
   [[nodiscard]] bool converged() const {
     for (std::size_t By = 0; By < m_Nodes.size(); ++By)
       for (std::size_t Whom = 0; isUp(By) && Whom < m_Nodes.size(); ++Whom) {
@@ -170,7 +170,7 @@
       }
     return true;
   }
-  /// Whether no other running node holds \p Whom for live.
+  /// Whether no other running node that is not frozen lists \p Subject as live.
   [[nodiscard]] bool goneForAll(std::size_t Whom) const {
     for (std::size_t By = 0; By < m_Nodes.size(); ++By)
       if (By != Whom && isUp(By) && !m_Nodes[By].m_Frozen &&
@@ -188,15 +188,16 @@
   }
 
   std::vector<Node> m_Nodes; ///< By index.
-  std::mt19937_64 m_Random;  ///< All chance of a run.
+  std::mt19937_64 m_Random;  ///< Source of all randomness of a run.
   ManualClock m_Time;        ///< Advanced by run().
 
 private:
   struct Connection {
     std::size_t m_Ends[2]; ///< The dialer is first.
     bool m_Open = true;
-    TimePoint m_Last[2] = {}; ///< Last arrival at each end: order is kept.
-    std::vector<std::pair<std::size_t, Event>> m_Stalled; ///< By a cut.
+    TimePoint m_Last[2] = {}; ///< Last arrival at each end, to keep order.
+    std::vector<std::pair<std::size_t, Event>>
+        m_Stalled; ///< Held back by a cut.
   };
 
   static Address addressOf(std::size_t Index) {
@@ -235,7 +236,7 @@
     });
   }
 
-  /// Sends an event to the end \p To of a connection.
+  /// Delivers an event to the end \p To of a connection after a random delay.
   void send(std::size_t Link, std::size_t To, const Event &What) {
     Connection &Which = m_Links[Link];
     if (isCut(Which.m_Ends[0], Which.m_Ends[1])) {
