--- a/src/link/connection.cpp
+++ b/src/link/connection.cpp
@@ -12,14 +12,14 @@
 /// between.
 constexpr std::size_t ReadSize = 64UL << 10U;
 
-GSocketAddress *socketAddress(const Address &Where) {
-  const std::string Text = toString(Where);
+GSocketAddress *socketAddress(const Address &Target) {
+  const std::string Text = toString(Target);
   return g_inet_socket_address_new_from_string(
-      Text.substr(0, Text.rfind(':')).c_str(), Where.m_Port);
+      Text.substr(0, Text.rfind(':')).c_str(), Target.m_Port);
 }
 
 /// Returns why a connect failed; frees \p Failure.
-CloseReason connectReason(GError *Failure) {
+CloseReason connectFailureReason(GError *Failure) {
   const bool Refused =
       g_error_matches(Failure, G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED) != 0;
   g_error_free(Failure);
@@ -37,10 +37,10 @@
 } // namespace
 
 Connection::Connection(ConnectionShared &Shared, LinkId Id,
-                       const Address &Where)
-    : m_Shared(Shared), m_Id(Id), m_Where(Where), m_Limit(Shared.m_Timers),
+                       const Address &Dialled)
+    : m_Shared(Shared), m_Id(Id), m_Where(Dialled), m_Limit(Shared.m_Timers),
       m_Handshake(Shared.m_Config,
-                  Where == Address() ? Side::Acceptor : Side::Dialer),
+                  Dialled == Address() ? Side::Acceptor : Side::Dialer),
       m_Reader(MaxHandshakeFrame) {}
 
 Connection::~Connection() { close(); }
@@ -72,8 +72,8 @@
   g_object_unref(Target);
   if (Failure != nullptr &&
       g_error_matches(Failure, G_IO_ERROR, G_IO_ERROR_PENDING) == 0) {
-    const CloseReason Why = connectReason(Failure);
-    m_Limit.start(Duration::zero(), [this, Why] { fail(Why); });
+    const CloseReason Reason = connectFailureReason(Failure);
+    m_Limit.start(Duration::zero(), [this, Reason] { fail(Reason); });
     return;
   }
   g_clear_error(&Failure);
@@ -89,7 +89,7 @@
 void Connection::connected() {
   GError *Failure = nullptr;
   if (g_socket_check_connect_result(m_Socket, &Failure) == 0) {
-    fail(connectReason(Failure));
+    fail(connectFailureReason(Failure));
     return;
   }
   m_Connected = true;
@@ -106,16 +106,16 @@
   send(First);
 }
 
-void Connection::socketReady(SocketEvents What) {
+void Connection::socketReady(SocketEvents Ready) {
   // The owner may release the connection while it handles one of its frames.
-  const auto Kept = shared_from_this();
+  const auto KeepAlive = shared_from_this();
   if (!m_Connected) {
     connected();
     return;
   }
-  if (What.m_Write && m_Blocked)
+  if (Ready.m_Write && m_Blocked)
     writeQueued();
-  if (What.m_Read && m_Socket != nullptr)
+  if (Ready.m_Read && m_Socket != nullptr)
     readSome();
 }
 
@@ -134,26 +134,26 @@
 void Connection::takeInput(Bytes Input) {
   while (m_Socket != nullptr) {
     const ReadResult Result = m_Reader.read(Input);
-    if (const auto *Bad = std::get_if<Rejected>(&Result))
-      fail(Bad->m_Why);
-    const auto *Arrived = std::get_if<FrameArrived>(&Result);
-    if (Arrived == nullptr)
+    if (const auto *Rejection = std::get_if<Rejected>(&Result))
+      fail(Rejection->m_Why);
+    const auto *Received = std::get_if<FrameArrived>(&Result);
+    if (Received == nullptr)
       return;
-    takeFrame(*Arrived);
+    takeFrame(*Received);
   }
 }
 
-void Connection::takeFrame(const FrameArrived &Arrived) {
-  m_Shared.m_In.count(*Arrived.m_Frame, Arrived.m_Bytes);
+void Connection::takeFrame(const FrameArrived &Received) {
+  m_Shared.m_In.count(*Received.m_Frame, Received.m_Bytes);
   if (m_Up)
-    m_Shared.m_Owner.connectionFrame(*this, *Arrived.m_Frame);
+    m_Shared.m_Owner.connectionFrame(*this, *Received.m_Frame);
   else
-    takeStep(m_Handshake.take(*Arrived.m_Frame));
+    takeStep(m_Handshake.take(*Received.m_Frame));
 }
 
 void Connection::takeStep(const HandshakeStep &Step) {
-  if (const auto *Bad = std::get_if<Rejected>(&Step)) {
-    fail(Bad->m_Why);
+  if (const auto *Rejection = std::get_if<Rejected>(&Step)) {
+    fail(Rejection->m_Why);
     return;
   }
   const auto *Done = std::get_if<HandshakeDone>(&Step);
@@ -198,10 +198,10 @@
 void Connection::send(const wire::FrameT &Frame) {
   const Bytes Encoded = appendFrame(Frame, m_Queue);
   m_Shared.m_Out.count(*wire::GetFrame(Encoded.data()), Encoded);
-  const std::size_t Waiting = m_Queue.size() - m_Written;
+  const std::size_t Unwritten = m_Queue.size() - m_Written;
   if (m_Up && Encoded.size() > m_Shared.m_Config.m_MaxFrame)
     fail(CloseReason::FrameTooLarge); // The peer would reject it.
-  else if (Waiting > m_Shared.m_Config.m_MaxQueued)
+  else if (Unwritten > m_Shared.m_Config.m_MaxQueued)
     fail(CloseReason::Backlog);
   else if (!m_Blocked)
     writeQueued();
@@ -228,8 +228,8 @@
   watchForWriting(false);
 }
 
-void Connection::watchForWriting(bool Wanted) {
-  m_Blocked = Wanted;
+void Connection::watchForWriting(bool Blocked) {
+  m_Blocked = Blocked;
   m_Watch->watchFor({.m_Read = m_Connected, .m_Write = m_Blocked});
 }
 
@@ -243,10 +243,10 @@
   m_Socket = nullptr;
 }
 
-void Connection::fail(CloseReason Why) {
-  const auto Kept = shared_from_this();
+void Connection::fail(CloseReason Reason) {
+  const auto KeepAlive = shared_from_this();
   close();
-  m_Shared.m_Owner.connectionFailed(*this, Why);
+  m_Shared.m_Owner.connectionFailed(*this, Reason);
 }
 
 } // namespace crowstep::link
--- a/src/link/connection.h
+++ b/src/link/connection.h
@@ -18,10 +18,11 @@
 class ConnectionOwner {
 public:
   virtual ~ConnectionOwner() = default;
-  virtual void connectionUp(Connection &Which) = 0;
-  virtual void connectionFrame(Connection &Which, const wire::Frame &Frame) = 0;
+  virtual void connectionUp(Connection &Source) = 0;
+  virtual void connectionFrame(Connection &Source,
+                               const wire::Frame &Frame) = 0;
   /// The connection was closed; called once, but not after close().
-  virtual void connectionFailed(Connection &Which, CloseReason Why) = 0;
+  virtual void connectionFailed(Connection &Source, CloseReason Reason) = 0;
 };
 
 /// Shared by the connections of one process.
@@ -38,7 +39,7 @@
                          public SocketListener {
 public:
   /// \p Dialled is the address to dial, or none for an accepted connection.
-  Connection(ConnectionShared &Shared, LinkId Id, const Address &Where);
+  Connection(ConnectionShared &Shared, LinkId Id, const Address &Dialled);
   ~Connection() override;
   Connection(const Connection &) = delete;
   Connection &operator=(const Connection &) = delete;
@@ -65,20 +66,20 @@
   [[nodiscard]] const Peer &peer() const { return m_Peer; }
 
 private:
-  void socketReady(SocketEvents What) override;
+  void socketReady(SocketEvents Ready) override;
 
   void configure(GSocket *Socket);
   void connected();
   void startHandshake();
   void readSome();
   void takeInput(Bytes Input);
-  void takeFrame(const FrameArrived &Arrived);
+  void takeFrame(const FrameArrived &Received);
   void takeStep(const HandshakeStep &Step);
   void send(const wire::FrameT &Frame);
   void writeQueued();
-  void watchForWriting(bool Wanted);
+  void watchForWriting(bool Blocked);
   void learnPeerAddress();
-  void fail(CloseReason Why);
+  void fail(CloseReason Reason);
 
   ConnectionShared &m_Shared;  ///< Outlives this.
   LinkId m_Id;                 ///< Also the id of the link once it is up.
--- a/src/link/frame_account.cpp
+++ b/src/link/frame_account.cpp
@@ -46,16 +46,16 @@
                                           "table",   "attachment", "claims"};
 
 /// The part of an encoded frame that one field occupies.
-struct Piece {
+struct FieldExtent {
   const std::uint8_t *m_Start; ///< Lowest address.
   Mechanism m_Mechanism;       ///< Of the field.
   std::uint32_t m_Messages;    ///< Number of messages.
 };
 
-std::vector<Piece> piecesOf(const wire::Frame &Frame) {
+std::vector<FieldExtent> extentsOf(const wire::Frame &Frame) {
   // Frame inherits Table privately; the accessors below are those of Table.
   const auto *Root = reinterpret_cast<const flatbuffers::Table *>(&Frame);
-  std::vector<Piece> Result;
+  std::vector<FieldExtent> Result;
   for (const FieldRow &Row : Fields) {
     const auto *Start = Root->GetPointer<const std::uint8_t *>(Row.m_Field);
     if (Start == nullptr)
@@ -89,12 +89,12 @@
       m_Frames(&Stats.counter("crowstep_link_frames_total",
                               {{"direction", Direction}})) {
   for (std::size_t Index = 0; Index < MechanismCount; ++Index) {
-    const Labels With = {{"direction", Direction},
-                         {"mechanism", MechanismNames[Index]}};
+    const Labels Series = {{"direction", Direction},
+                           {"mechanism", MechanismNames[Index]}};
     m_MechanismBytes[Index] =
-        &Stats.counter("crowstep_link_mechanism_bytes_total", With);
+        &Stats.counter("crowstep_link_mechanism_bytes_total", Series);
     m_MechanismMessages[Index] =
-        &Stats.counter("crowstep_link_messages_total", With);
+        &Stats.counter("crowstep_link_messages_total", Series);
   }
 }
 
@@ -103,17 +103,18 @@
   m_Frames->add();
   // The encoder writes one field after the other from the highest address
   // downwards, so that each field ends where the previous one starts.
-  std::vector<Piece> Pieces = piecesOf(Frame);
-  std::ranges::sort(Pieces, [](const Piece &Left, const Piece &Right) {
-    return Left.m_Start > Right.m_Start;
-  });
+  std::vector<FieldExtent> Extents = extentsOf(Frame);
+  std::ranges::sort(Extents,
+                    [](const FieldExtent &Left, const FieldExtent &Right) {
+                      return Left.m_Start > Right.m_Start;
+                    });
   const std::uint8_t *End = Encoded.data() + Encoded.size();
-  for (const Piece &Each : Pieces) {
-    const auto Payer = static_cast<std::size_t>(Each.m_Mechanism);
-    m_MechanismBytes[Payer]->add(
-        static_cast<std::uint64_t>(End - Each.m_Start));
-    m_MechanismMessages[Payer]->add(Each.m_Messages);
-    End = Each.m_Start;
+  for (const FieldExtent &Field : Extents) {
+    const auto Index = static_cast<std::size_t>(Field.m_Mechanism);
+    m_MechanismBytes[Index]->add(
+        static_cast<std::uint64_t>(End - Field.m_Start));
+    m_MechanismMessages[Index]->add(Field.m_Messages);
+    End = Field.m_Start;
   }
   m_MechanismBytes[0]->add(static_cast<std::uint64_t>(End - Encoded.data()) +
                            LengthSize);
--- a/src/link/frame_codec.cpp
+++ b/src/link/frame_codec.cpp
@@ -14,10 +14,10 @@
 constexpr std::uint32_t MaxDepth = 8;
 constexpr std::uint32_t MaxTables = 200'000;
 
-std::uint32_t readLittleEndian(const std::uint8_t *From, std::size_t Size) {
+std::uint32_t readLittleEndian(const std::uint8_t *Data, std::size_t Size) {
   std::uint32_t Value = 0;
   for (std::size_t Index = Size; Index-- > 0;)
-    Value = (Value << 8U) | From[Index];
+    Value = (Value << 8U) | Data[Index];
   return Value;
 }
 
@@ -31,31 +31,32 @@
   return Result;
 }
 
-Bytes appendFrame(const wire::FrameT &Frame, std::vector<std::uint8_t> &Out) {
+Bytes appendFrame(const wire::FrameT &Frame,
+                  std::vector<std::uint8_t> &Output) {
   flatbuffers::FlatBufferBuilder Builder(512);
   Builder.Finish(wire::Frame::Pack(Builder, &Frame));
   const std::uint32_t Size = Builder.GetSize();
   for (std::size_t Index = 0; Index < LengthSize; ++Index)
-    Out.push_back(static_cast<std::uint8_t>(Size >> (8U * Index)));
-  const std::size_t Start = Out.size();
-  Out.insert(Out.end(), Builder.GetBufferPointer(),
-             Builder.GetBufferPointer() + Size);
-  return Bytes(Out).subspan(Start);
+    Output.push_back(static_cast<std::uint8_t>(Size >> (8U * Index)));
+  const std::size_t Start = Output.size();
+  Output.insert(Output.end(), Builder.GetBufferPointer(),
+                Builder.GetBufferPointer() + Size);
+  return Bytes(Output).subspan(Start);
 }
 
-bool FrameReader::fill(Bytes &Input, std::size_t Wanted) {
-  const std::size_t Count = std::min(Wanted - m_Buffer.size(), Input.size());
+bool FrameReader::fill(Bytes &Input, std::size_t Size) {
+  const std::size_t Count = std::min(Size - m_Buffer.size(), Input.size());
   m_Buffer.insert(m_Buffer.end(), Input.data(), Input.data() + Count);
   Input = Input.subspan(Count);
-  return m_Buffer.size() == Wanted;
+  return m_Buffer.size() == Size;
 }
 
 ReadResult FrameReader::read(Bytes &Input) {
   while (true) {
-    const std::size_t Wanted = m_Part == Part::Preamble ? PreambleSize
-                               : m_Part == Part::Length ? LengthSize
-                                                        : m_Length;
-    if (!fill(Input, Wanted))
+    const std::size_t Size = m_Part == Part::Preamble ? PreambleSize
+                             : m_Part == Part::Length ? LengthSize
+                                                      : m_Length;
+    if (!fill(Input, Size))
       return NeedMore{};
     ReadResult Result = m_Part == Part::Preamble ? takePreamble()
                         : m_Part == Part::Length ? takeLength()
@@ -90,9 +91,9 @@
   m_Frame.swap(m_Buffer);
   m_Buffer.clear();
   m_Part = Part::Length;
-  flatbuffers::Verifier Check(m_Frame.data(), m_Frame.size(), MaxDepth,
-                              MaxTables);
-  if (!wire::VerifyFrameBuffer(Check))
+  flatbuffers::Verifier Verifier(m_Frame.data(), m_Frame.size(), MaxDepth,
+                                 MaxTables);
+  if (!wire::VerifyFrameBuffer(Verifier))
     return Rejected{CloseReason::BadFrame};
   return FrameArrived{wire::GetFrame(m_Frame.data()), Bytes(m_Frame)};
 }
--- a/src/link/frame_codec.h
+++ b/src/link/frame_codec.h
@@ -30,7 +30,7 @@
 
 /// Appends the length and the encoding of \p Frame to \p Output. Returns a view
 /// of the encoding there, which is valid until \p Output changes.
-Bytes appendFrame(const wire::FrameT &Frame, std::vector<std::uint8_t> &Out);
+Bytes appendFrame(const wire::FrameT &Frame, std::vector<std::uint8_t> &Output);
 
 /// More bytes are needed.
 struct NeedMore {};
@@ -64,7 +64,7 @@
   /// The part of the stream that the next bytes belong to.
   enum class Part : std::uint8_t { Preamble, Length, Body };
 
-  bool fill(Bytes &Input, std::size_t Wanted);
+  bool fill(Bytes &Input, std::size_t Size);
   ReadResult takePreamble();
   ReadResult takeLength();
   ReadResult takeBody();
--- a/src/link/handshake.cpp
+++ b/src/link/handshake.cpp
@@ -107,8 +107,8 @@
 
 } // namespace
 
-Handshake::Handshake(const LinkConfig &Config, Side Own)
-    : m_Key(Config.m_Key), m_Side(Own), m_Own(helloOf(Config)) {}
+Handshake::Handshake(const LinkConfig &Config, Side OwnSide)
+    : m_Key(Config.m_Key), m_Side(OwnSide), m_Own(helloOf(Config)) {}
 
 HandshakeStep Handshake::take(const wire::Frame &Frame) {
   if (hasMessages(Frame))
@@ -120,11 +120,11 @@
   return Rejected{CloseReason::BadFrame};
 }
 
-HandshakeStep Handshake::takeHello(const wire::Hello &Theirs) {
-  if (Theirs.schema() != SchemaVersion)
+HandshakeStep Handshake::takeHello(const wire::Hello &Received) {
+  if (Received.schema() != SchemaVersion)
     return Rejected{CloseReason::WrongSchema};
   wire::HelloT Hello;
-  Theirs.UnPackTo(&Hello);
+  Received.UnPackTo(&Hello);
   if (Hello.nonce.size() != NonceSize || Hello.instance.empty())
     return Rejected{CloseReason::BadFrame};
   // A process that dials its own address, as one of its hints, would otherwise
@@ -139,9 +139,9 @@
   return HandshakeGoesOn{proofOf(m_Side)};
 }
 
-HandshakeStep Handshake::takeProof(const wire::Proof &Theirs) {
-  if (Theirs.mac() == nullptr ||
-      !equalInConstantTime(proofOf(other()).mac, *Theirs.mac()))
+HandshakeStep Handshake::takeProof(const wire::Proof &Received) {
+  if (Received.mac() == nullptr ||
+      !equalInConstantTime(proofOf(other()).mac, *Received.mac()))
     return Rejected{CloseReason::BadProof};
   HandshakeDone Done;
   Done.m_Peer = peerOf(*m_Peer);
--- a/src/link/handshake.h
+++ b/src/link/handshake.h
@@ -38,7 +38,7 @@
 /// One handshake, without I/O.
 class Handshake {
 public:
-  Handshake(const LinkConfig &Config, Side Own);
+  Handshake(const LinkConfig &Config, Side OwnSide);
 
   /// Returns the Hello of this side, which it sends first.
   [[nodiscard]] const wire::HelloT &hello() const { return m_Own; }
@@ -47,8 +47,8 @@
   HandshakeStep take(const wire::Frame &Frame);
 
 private:
-  HandshakeStep takeHello(const wire::Hello &Theirs);
-  HandshakeStep takeProof(const wire::Proof &Theirs);
+  HandshakeStep takeHello(const wire::Hello &Received);
+  HandshakeStep takeProof(const wire::Proof &Received);
   [[nodiscard]] wire::ProofT proofOf(Side Prover) const;
   [[nodiscard]] Side other() const;
 
--- a/src/link/link_func.h
+++ b/src/link/link_func.h
@@ -7,7 +7,7 @@
 namespace crowstep::link {
 
 /// Returns the reason's name for metrics and logs.
-const char *closeReasonName(CloseReason Why);
+const char *closeReasonName(CloseReason Reason);
 
 } // namespace crowstep::link
 
--- a/src/link/link_tcp.cpp
+++ b/src/link/link_tcp.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 /// An address to which a link is kept open.
-struct Dial {
-  explicit Dial(Scheduler &Timers) : m_Retry(Timers) {}
+struct DialState {
+  explicit DialState(Scheduler &Timers) : m_Retry(Timers) {}
 
   LinkId m_Attempt;                      ///< None between attempts.
   Timer m_Retry;                         ///< Runs between attempts.
@@ -25,7 +25,7 @@
 
 /// A link that this process closed and of which the listener is not yet
 /// notified.
-struct Ended {
+struct ClosedLink {
   LinkId m_Link;
   Peer m_Peer;
 };
@@ -41,59 +41,59 @@
   Impl &operator=(const Impl &) = delete;
 
   void start();
-  void dial(const Address &Where);
-  void hangUp(const Address &Where);
+  void dial(const Address &Remote);
+  void disconnect(const Address &Remote);
   wire::FrameT &outbox(LinkId Link);
   void close(LinkId Link);
 
-  void connectionUp(Connection &Which) override;
-  void connectionFrame(Connection &Which, const wire::Frame &Frame) override;
-  void connectionFailed(Connection &Which, CloseReason Why) override;
+  void connectionUp(Connection &Source) override;
+  void connectionFrame(Connection &Source, const wire::Frame &Frame) override;
+  void connectionFailed(Connection &Source, CloseReason Reason) override;
 
 private:
-  static int acceptable(GSocket *Socket, GIOCondition Why, void *Self);
+  static int acceptReady(GSocket *Socket, GIOCondition Condition, void *Self);
 
-  std::shared_ptr<Connection> open(const Address &Where);
-  void attempt(const Address &Where);
-  void retry(const Address &Where);
+  std::shared_ptr<Connection> open(const Address &Remote);
+  void attemptDial(const Address &Remote);
+  void scheduleRetry(const Address &Remote);
   Duration jittered(Duration Longest);
   void scheduleFlush();
   void flush();
-  void countClose(CloseReason Why);
-  void showOpen();
+  void countClose(CloseReason Reason);
+  void updateOpenGauge();
 
   LinkConfig m_Config;
   Scheduler &m_Timers;            ///< Outlives this.
   LinkListener &m_Listener;       ///< Outlives this.
-  ConnectionShared m_Shared;      ///< Used by the connections.
+  ConnectionShared m_Context;     ///< Used by the connections.
   GSocket *m_Socket = nullptr;    ///< Listens; null if nothing is accepted.
   GSource *m_Accepting = nullptr; ///< Set with m_Socket.
   std::uint64_t m_LastId = 0;     ///< Ids start at 1.
   std::map<LinkId, std::shared_ptr<Connection>> m_Connections; ///< All open.
-  std::map<Address, Dial> m_Dials; ///< Until disconnect().
-  std::vector<LinkId> m_Dirty;     ///< Links whose outbox may have messages.
-  std::vector<Ended> m_Ended;      ///< Reported by the next flush.
-  Timer m_Flush;                   ///< Runs while a flush is due.
-  wire::FrameT m_Nowhere;          ///< Outbox of links that are not up.
-  std::mt19937_64 m_Random;        ///< Only for jitter.
-  std::vector<Counter *> m_Closed; ///< By CloseReason.
-  Counter &m_DialCount;            ///< Attempts to connect.
-  Gauge &m_Open;                   ///< Links that are up.
+  std::map<Address, DialState> m_Dials; ///< Until disconnect().
+  std::vector<LinkId> m_PendingLinks; ///< Links whose outbox may have messages.
+  std::vector<ClosedLink> m_ClosedLinks; ///< Reported by the next flush.
+  Timer m_Flush;                         ///< Runs while a flush is due.
+  wire::FrameT m_DiscardedFrame;         ///< Outbox of links that are not up.
+  std::mt19937_64 m_Random;              ///< Only for jitter.
+  std::vector<Counter *> m_CloseCounts;  ///< By CloseReason.
+  Counter &m_DialCount;                  ///< Attempts to connect.
+  Gauge &m_OpenGauge;                    ///< Links that are up.
 };
 
 TcpLinks::Impl::Impl(LinkConfig Config, Scheduler &Timers, Metrics &Stats,
                      LinkListener &Listener)
     : m_Config(std::move(Config)), m_Timers(Timers),
-      m_Listener(Listener), m_Shared{m_Config, Timers, *this,
-                                     FrameAccount(Stats, "in"),
-                                     FrameAccount(Stats, "out")},
+      m_Listener(Listener), m_Context{m_Config, Timers, *this,
+                                      FrameAccount(Stats, "in"),
+                                      FrameAccount(Stats, "out")},
       m_Flush(Timers), m_Random(std::random_device()()),
       m_DialCount(Stats.counter("crowstep_link_dials_total")),
-      m_Open(Stats.gauge("crowstep_link_open")) {
-  for (int Why = 0; Why < static_cast<int>(CloseReason::Count); ++Why)
-    m_Closed.push_back(&Stats.counter(
+      m_OpenGauge(Stats.gauge("crowstep_link_open")) {
+  for (int Reason = 0; Reason < static_cast<int>(CloseReason::Count); ++Reason)
+    m_CloseCounts.push_back(&Stats.counter(
         "crowstep_link_closed_total",
-        {{"reason", closeReasonName(static_cast<CloseReason>(Why))}}));
+        {{"reason", closeReasonName(static_cast<CloseReason>(Reason))}}));
 }
 
 TcpLinks::Impl::~Impl() {
@@ -111,46 +111,47 @@
   m_Socket = listeningSocket(m_Config.m_Listen);
   g_socket_set_blocking(m_Socket, 0);
   m_Accepting = g_socket_create_source(m_Socket, G_IO_IN, nullptr);
-  g_source_set_callback(m_Accepting, G_SOURCE_FUNC(acceptable), this, nullptr);
+  g_source_set_callback(m_Accepting, G_SOURCE_FUNC(acceptReady), this, nullptr);
   g_source_attach(m_Accepting, nullptr);
 }
 
-int TcpLinks::Impl::acceptable(GSocket *Socket, GIOCondition, void *Self) {
+int TcpLinks::Impl::acceptReady(GSocket *Socket, GIOCondition, void *Self) {
   GSocket *Accepted = g_socket_accept(Socket, nullptr, nullptr);
   if (Accepted != nullptr)
     static_cast<Impl *>(Self)->open(Address())->adopt(Accepted);
   return G_SOURCE_CONTINUE;
 }
 
-std::shared_ptr<Connection> TcpLinks::Impl::open(const Address &Where) {
+std::shared_ptr<Connection> TcpLinks::Impl::open(const Address &Remote) {
   const LinkId Id(++m_LastId);
-  auto Made = std::make_shared<Connection>(m_Shared, Id, Where);
-  m_Connections[Id] = Made;
-  return Made;
+  auto Opened = std::make_shared<Connection>(m_Context, Id, Remote);
+  m_Connections[Id] = Opened;
+  return Opened;
 }
 
-void TcpLinks::Impl::dial(const Address &Where) {
-  if (m_Dials.try_emplace(Where, m_Timers).second)
-    attempt(Where);
+void TcpLinks::Impl::dial(const Address &Remote) {
+  if (m_Dials.try_emplace(Remote, m_Timers).second)
+    attemptDial(Remote);
 }
 
-void TcpLinks::Impl::attempt(const Address &Where) {
+void TcpLinks::Impl::attemptDial(const Address &Remote) {
   m_DialCount.add();
-  const auto Made = open(Where);
-  m_Dials.at(Where).m_Attempt = Made->id();
-  Made->connect();
+  const auto Opened = open(Remote);
+  m_Dials.at(Remote).m_Attempt = Opened->id();
+  Opened->connect();
 }
 
 /// Schedules the next attempt with exponential backoff. The first delay is the
 /// shortest, so that a killed process is soon distinguished from a lost
 /// connection; the delays then double, so that a peer that is down for long
 /// costs little.
-void TcpLinks::Impl::retry(const Address &Where) {
-  Dial &Which = m_Dials.at(Where);
-  Which.m_Attempt = LinkId();
-  const Duration Longest = std::max(Which.m_Backoff, m_Config.m_MinBackoff);
-  Which.m_Backoff = std::min(Longest * 2, m_Config.m_MaxBackoff);
-  Which.m_Retry.start(jittered(Longest), [this, Where] { attempt(Where); });
+void TcpLinks::Impl::scheduleRetry(const Address &Remote) {
+  DialState &State = m_Dials.at(Remote);
+  State.m_Attempt = LinkId();
+  const Duration Longest = std::max(State.m_Backoff, m_Config.m_MinBackoff);
+  State.m_Backoff = std::min(Longest * 2, m_Config.m_MaxBackoff);
+  State.m_Retry.start(jittered(Longest),
+                      [this, Remote] { attemptDial(Remote); });
 }
 
 /// Returns a random delay between half of \p Longest and all of it, to spread
@@ -161,8 +162,8 @@
   return Duration(Spread(m_Random));
 }
 
-void TcpLinks::Impl::hangUp(const Address &Where) {
-  const auto Found = m_Dials.find(Where);
+void TcpLinks::Impl::disconnect(const Address &Remote) {
+  const auto Found = m_Dials.find(Remote);
   if (Found == m_Dials.end())
     return;
   const LinkId Attempt = Found->second.m_Attempt;
@@ -174,29 +175,29 @@
   const auto Found = m_Connections.find(Link);
   if (Found == m_Connections.end())
     return;
-  const std::shared_ptr<Connection> Which = Found->second;
-  Which->flush(); // Messages put in just now, like a leave, are still sent.
+  const std::shared_ptr<Connection> Closing = Found->second;
+  Closing->flush(); // Messages put in just now, like a leave, are still sent.
   if (m_Connections.erase(Link) == 0)
     return; // The flush failed and reported the failure.
-  Which->close();
+  Closing->close();
   countClose(CloseReason::Local);
   // The listener is notified from the loop and not from here: a caller may be
   // iterating over links that the listener changes.
-  if (Which->isUp())
-    m_Ended.push_back({Link, Which->peer()});
-  if (m_Dials.contains(Which->dialled()))
-    retry(Which->dialled());
+  if (Closing->isUp())
+    m_ClosedLinks.push_back({Link, Closing->peer()});
+  if (m_Dials.contains(Closing->dialled()))
+    scheduleRetry(Closing->dialled());
   scheduleFlush();
 }
 
 wire::FrameT &TcpLinks::Impl::outbox(LinkId Link) {
   const auto Found = m_Connections.find(Link);
   if (Found == m_Connections.end() || !Found->second->isUp()) {
-    m_Nowhere = wire::FrameT();
-    return m_Nowhere;
+    m_DiscardedFrame = wire::FrameT();
+    return m_DiscardedFrame;
   }
-  if (std::ranges::find(m_Dirty, Link) == m_Dirty.end())
-    m_Dirty.push_back(Link);
+  if (std::ranges::find(m_PendingLinks, Link) == m_PendingLinks.end())
+    m_PendingLinks.push_back(Link);
   scheduleFlush();
   return Found->second->outbox();
 }
@@ -209,61 +210,61 @@
 }
 
 void TcpLinks::Impl::flush() {
-  for (const LinkId Link : std::exchange(m_Dirty, {})) {
+  for (const LinkId Link : std::exchange(m_PendingLinks, {})) {
     const auto Found = m_Connections.find(Link);
     if (Found == m_Connections.end())
       continue;
-    const std::shared_ptr<Connection> Which = Found->second;
-    Which->flush();
+    const std::shared_ptr<Connection> Pending = Found->second;
+    Pending->flush();
   }
-  for (const Ended &Each : std::exchange(m_Ended, {})) {
-    showOpen();
-    m_Listener.linkDown(Each.m_Link, Each.m_Peer, CloseReason::Local);
+  for (const ClosedLink &Closed : std::exchange(m_ClosedLinks, {})) {
+    updateOpenGauge();
+    m_Listener.linkDown(Closed.m_Link, Closed.m_Peer, CloseReason::Local);
   }
 }
 
-void TcpLinks::Impl::connectionUp(Connection &Which) {
-  if (const auto Found = m_Dials.find(Which.dialled()); Found != m_Dials.end())
+void TcpLinks::Impl::connectionUp(Connection &Source) {
+  if (const auto Found = m_Dials.find(Source.dialled()); Found != m_Dials.end())
     Found->second.m_Backoff = Duration::zero();
-  showOpen();
-  logEvent(LogEvent::LinkUp, {{"peer", Which.peer().m_Name},
-                              {"link", std::to_string(Which.id().value())}});
-  m_Listener.linkUp(Which.id(), Which.peer());
+  updateOpenGauge();
+  logEvent(LogEvent::LinkUp, {{"peer", Source.peer().m_Name},
+                              {"link", std::to_string(Source.id().value())}});
+  m_Listener.linkUp(Source.id(), Source.peer());
 }
 
-void TcpLinks::Impl::connectionFrame(Connection &Which,
+void TcpLinks::Impl::connectionFrame(Connection &Source,
                                      const wire::Frame &Frame) {
-  m_Listener.linkFrame(Which.id(), Frame);
+  m_Listener.linkFrame(Source.id(), Frame);
 }
 
-void TcpLinks::Impl::connectionFailed(Connection &Which, CloseReason Why) {
-  countClose(Why);
-  m_Connections.erase(Which.id());
-  const Address Where = Which.dialled();
-  if (m_Dials.contains(Where))
-    retry(Where);
-  const std::string Reason = closeReasonName(Why);
-  if (Which.isUp()) {
-    showOpen();
+void TcpLinks::Impl::connectionFailed(Connection &Source, CloseReason Reason) {
+  countClose(Reason);
+  m_Connections.erase(Source.id());
+  const Address Remote = Source.dialled();
+  if (m_Dials.contains(Remote))
+    scheduleRetry(Remote);
+  const std::string ReasonName = closeReasonName(Reason);
+  if (Source.isUp()) {
+    updateOpenGauge();
     logEvent(LogEvent::LinkDown,
-             {{"peer", Which.peer().m_Name}, {"why", Reason}});
-    m_Listener.linkDown(Which.id(), Which.peer(), Why);
-  } else if (Where != Address()) {
+             {{"peer", Source.peer().m_Name}, {"why", ReasonName}});
+    m_Listener.linkDown(Source.id(), Source.peer(), Reason);
+  } else if (Remote != Address()) {
     logEvent(LogEvent::LinkDialFailed,
-             {{"address", toString(Where)}, {"why", Reason}});
-    m_Listener.dialFailed(Where, Why);
-  } else if (Why != CloseReason::PeerClosed) {
-    logEvent(LogEvent::LinkRejected, {{"why", Reason}});
+             {{"address", toString(Remote)}, {"why", ReasonName}});
+    m_Listener.dialFailed(Remote, Reason);
+  } else if (Reason != CloseReason::PeerClosed) {
+    logEvent(LogEvent::LinkRejected, {{"why", ReasonName}});
   }
 }
 
-void TcpLinks::Impl::countClose(CloseReason Why) {
-  m_Closed.at(static_cast<std::size_t>(Why))->add();
+void TcpLinks::Impl::countClose(CloseReason Reason) {
+  m_CloseCounts.at(static_cast<std::size_t>(Reason))->add();
 }
 
-void TcpLinks::Impl::showOpen() {
-  m_Open.set(static_cast<double>(std::ranges::count_if(
-      m_Connections, [](const auto &Each) { return Each.second->isUp(); })));
+void TcpLinks::Impl::updateOpenGauge() {
+  m_OpenGauge.set(static_cast<double>(std::ranges::count_if(
+      m_Connections, [](const auto &Entry) { return Entry.second->isUp(); })));
 }
 
 TcpLinks::TcpLinks(LinkConfig Config, Scheduler &Timers, Metrics &Stats,
@@ -272,8 +273,8 @@
           std::make_unique<Impl>(std::move(Config), Timers, Stats, Listener)) {}
 TcpLinks::~TcpLinks() = default;
 void TcpLinks::start() { m_Impl->start(); }
-void TcpLinks::dial(const Address &Where) { m_Impl->dial(Where); }
-void TcpLinks::hangUp(const Address &Where) { m_Impl->hangUp(Where); }
+void TcpLinks::dial(const Address &Remote) { m_Impl->dial(Remote); }
+void TcpLinks::hangUp(const Address &Remote) { m_Impl->disconnect(Remote); }
 wire::FrameT &TcpLinks::outbox(LinkId Link) { return m_Impl->outbox(Link); }
 void TcpLinks::close(LinkId Link) { m_Impl->close(Link); }
 
--- a/src/link/link_tcp.h
+++ b/src/link/link_tcp.h
@@ -37,8 +37,8 @@
   /// Starts to accept links. \throws ListenError.
   void start();
 
-  void dial(const Address &Where) override;
-  void hangUp(const Address &Where) override;
+  void dial(const Address &Remote) override;
+  void hangUp(const Address &Remote) override;
   wire::FrameT &outbox(LinkId Link) override;
   void close(LinkId Link) override;
 
--- a/src/link/link_type.h
+++ b/src/link/link_type.h
@@ -47,13 +47,14 @@
 public:
   virtual ~LinkListener() = default;
   /// The handshake succeeded.
-  virtual void linkUp(LinkId Link, const Peer &Who) = 0;
+  virtual void linkUp(LinkId Link, const Peer &Remote) = 0;
   /// A verified frame arrived; it is valid only during the call.
   virtual void linkFrame(LinkId Link, const wire::Frame &Frame) = 0;
   /// A link that was up has closed.
-  virtual void linkDown(LinkId Link, const Peer &Who, CloseReason Why) = 0;
+  virtual void linkDown(LinkId Link, const Peer &Remote,
+                        CloseReason Reason) = 0;
   /// A dial failed before the link was up; it is retried with backoff.
-  virtual void dialFailed(const Address &Where, CloseReason Why) = 0;
+  virtual void dialFailed(const Address &Dialled, CloseReason Reason) = 0;
 };
 
 /// Opens links and sends frames over them.
@@ -63,10 +64,10 @@
 
   /// Keeps a link to \p Remote open, with jittered backoff, until
   /// disconnect().
-  virtual void dial(const Address &Where) = 0;
+  virtual void dial(const Address &Remote) = 0;
 
   /// Closes the link to \p Remote and stops dialling it.
-  virtual void hangUp(const Address &Where) = 0;
+  virtual void hangUp(const Address &Remote) = 0;
 
   /// Returns the frame under assembly for \p Link. Its messages are sent as one
   /// frame at the end of the loop iteration. For a link that is not up the
--- a/tests/unit/link_codec_test.cpp
+++ b/tests/unit/link_codec_test.cpp
@@ -17,7 +17,7 @@
 /// The result of reading a whole stream.
 struct Outcome {
   std::vector<wire::FrameT> m_Frames;
-  std::optional<CloseReason> m_Why;
+  std::optional<CloseReason> m_Reason;
 };
 
 /// Reads \p Stream in pieces of \p Step bytes and unpacks each frame, so that
@@ -25,24 +25,25 @@
 Outcome readAll(const Buffer &Stream, std::size_t Step) {
   FrameReader Reader(MaxFrame);
   Outcome Result;
-  for (std::size_t At = 0; At < Stream.size(); At += Step) {
-    Bytes Input = Bytes(Stream).subspan(At, std::min(Step, Stream.size() - At));
+  for (std::size_t Start = 0; Start < Stream.size(); Start += Step) {
+    Bytes Input =
+        Bytes(Stream).subspan(Start, std::min(Step, Stream.size() - Start));
     while (true) {
       const ReadResult Read = Reader.read(Input);
-      if (const auto *Bad = std::get_if<Rejected>(&Read)) {
-        Result.m_Why = Bad->m_Why;
+      if (const auto *Rejection = std::get_if<Rejected>(&Read)) {
+        Result.m_Reason = Rejection->m_Why;
         return Result;
       }
-      const auto *Arrived = std::get_if<FrameArrived>(&Read);
-      if (Arrived == nullptr)
+      const auto *Received = std::get_if<FrameArrived>(&Read);
+      if (Received == nullptr)
         break;
-      Arrived->m_Frame->UnPackTo(&Result.m_Frames.emplace_back());
+      Received->m_Frame->UnPackTo(&Result.m_Frames.emplace_back());
     }
   }
   return Result;
 }
 
-wire::FrameT someFrame() {
+wire::FrameT randomFrame() {
   wire::FrameT Frame;
   const int Count = *rc::gen::inRange(0, 5);
   for (int Index = 0; Index < Count; ++Index) {
@@ -67,10 +68,10 @@
   return Stream;
 }
 
-Buffer someStream() {
+Buffer randomStream() {
   std::vector<wire::FrameT> Frames(*rc::gen::inRange<std::size_t>(1, 5));
-  for (wire::FrameT &Each : Frames)
-    Each = someFrame();
+  for (wire::FrameT &Frame : Frames)
+    Frame = randomFrame();
   return streamOf(Frames);
 }
 
@@ -78,11 +79,11 @@
 
 RC_BOOST_PROP(FramesSurviveAnyCutOfTheStream, ()) {
   std::vector<wire::FrameT> Frames;
-  Frames.push_back(someFrame());
-  Frames.push_back(someFrame());
+  Frames.push_back(randomFrame());
+  Frames.push_back(randomFrame());
   const Buffer Stream = streamOf(Frames);
   const Outcome Read = readAll(Stream, *rc::gen::inRange<std::size_t>(1, 64));
-  RC_ASSERT(!Read.m_Why);
+  RC_ASSERT(!Read.m_Reason);
   RC_ASSERT(Read.m_Frames.size() == 2U);
   Buffer Before;
   Buffer After;
@@ -100,7 +101,7 @@
   const Outcome Read = readAll(Noise, *rc::gen::inRange<std::size_t>(1, 64));
   const bool OnlySchema =
       std::equal(Opening.begin(), Opening.begin() + 6, Noise.begin());
-  RC_ASSERT(Read.m_Why ==
+  RC_ASSERT(Read.m_Reason ==
             (OnlySchema ? CloseReason::WrongSchema : CloseReason::Foreign));
 }
 
@@ -111,28 +112,28 @@
     Stream.push_back(static_cast<std::uint8_t>(Size >> (8U * Index)));
   Stream.insert(Stream.end(), Noise.begin(), Noise.end());
   const Outcome Read = readAll(Stream, *rc::gen::inRange<std::size_t>(1, 64));
-  RC_ASSERT(!Read.m_Why || *Read.m_Why == CloseReason::BadFrame);
+  RC_ASSERT(!Read.m_Reason || *Read.m_Reason == CloseReason::BadFrame);
 }
 
 /// Changed bytes in valid frames reach checks of the verifier that random bytes
 /// do not reach, for offsets and lengths that point outside of the frame.
 RC_BOOST_PROP(MutatedFramesAreReadOrRejected, ()) {
-  Buffer Stream = someStream();
-  const int Flips = *rc::gen::inRange(1, 6);
-  for (int Index = 0; Index < Flips; ++Index)
+  Buffer Stream = randomStream();
+  const int Changes = *rc::gen::inRange(1, 6);
+  for (int Index = 0; Index < Changes; ++Index)
     Stream[*rc::gen::inRange<std::size_t>(PreambleSize, Stream.size())] =
         *rc::gen::arbitrary<std::uint8_t>();
   const Outcome Read = readAll(Stream, *rc::gen::inRange<std::size_t>(1, 64));
-  RC_ASSERT(!Read.m_Why || *Read.m_Why == CloseReason::BadFrame ||
-            *Read.m_Why == CloseReason::FrameTooLarge);
+  RC_ASSERT(!Read.m_Reason || *Read.m_Reason == CloseReason::BadFrame ||
+            *Read.m_Reason == CloseReason::FrameTooLarge);
 }
 
 RC_BOOST_PROP(TruncatedStreamWaitsForMore, ()) {
-  Buffer Stream = someStream();
+  Buffer Stream = randomStream();
   const std::size_t Whole = readAll(Stream, 64).m_Frames.size();
   Stream.resize(Stream.size() - 1);
   const Outcome Read = readAll(Stream, 64);
-  RC_ASSERT(!Read.m_Why);
+  RC_ASSERT(!Read.m_Reason);
   RC_ASSERT(Read.m_Frames.size() == Whole - 1);
 }
 
@@ -143,5 +144,5 @@
   const auto Size = *rc::gen::inRange<std::uint32_t>(MaxFrame + 1, UINT32_MAX);
   for (std::size_t Index = 0; Index < LengthSize; ++Index)
     Stream.push_back(static_cast<std::uint8_t>(Size >> (8U * Index)));
-  RC_ASSERT(readAll(Stream, 64).m_Why == CloseReason::FrameTooLarge);
+  RC_ASSERT(readAll(Stream, 64).m_Reason == CloseReason::FrameTooLarge);
 }
--- a/tests/unit/link_tcp_test.cpp
+++ b/tests/unit/link_tcp_test.cpp
@@ -62,29 +62,29 @@
       : m_Links(Config, m_Timers, m_Stats, *this) {
     m_Links.start();
   }
-  void linkUp(LinkId Link, const Peer &Who) override {
+  void linkUp(LinkId Link, const Peer &Remote) override {
     m_Link = Link;
-    m_Peer = Who;
-    ++m_Ups;
+    m_Peer = Remote;
+    ++m_UpCount;
   }
   void linkFrame(LinkId, const wire::Frame &Frame) override {
-    ++m_Frames;
+    ++m_FrameCount;
     if (Frame.refusals() != nullptr)
-      m_Messages += Frame.refusals()->size();
+      m_MessageCount += Frame.refusals()->size();
     if (m_OnFrame)
       m_OnFrame();
   }
-  void linkDown(LinkId, const Peer &, CloseReason Why) override {
+  void linkDown(LinkId, const Peer &, CloseReason Reason) override {
     m_Link = LinkId();
-    m_Down = Why;
+    m_DownReason = Reason;
   }
-  void dialFailed(const Address &, CloseReason Why) override {
-    m_DialFailed = Why;
+  void dialFailed(const Address &, CloseReason Reason) override {
+    m_DialFailure = Reason;
   }
-  std::uint64_t closed(CloseReason Why) {
+  std::uint64_t closed(CloseReason Reason) {
     return m_Stats
         .counter("crowstep_link_closed_total",
-                 {{"reason", closeReasonName(Why)}})
+                 {{"reason", closeReasonName(Reason)}})
         .value();
   }
   void refuse(std::uint64_t Request) {
@@ -96,21 +96,21 @@
   TcpLinks m_Links;
   LinkId m_Link;
   Peer m_Peer;
-  int m_Ups = 0;
-  int m_Frames = 0;
-  std::size_t m_Messages = 0;
-  std::optional<CloseReason> m_Down;
-  std::optional<CloseReason> m_DialFailed;
+  int m_UpCount = 0;
+  int m_FrameCount = 0;
+  std::size_t m_MessageCount = 0;
+  std::optional<CloseReason> m_DownReason;
+  std::optional<CloseReason> m_DialFailure;
   std::function<void()> m_OnFrame;
 };
 
 /// A raw client connection, on which a test can violate the protocol.
-struct Stranger {
-  explicit Stranger(const Address &Where)
+struct RawClient {
+  explicit RawClient(const Address &Remote)
       : m_Client(g_socket_client_new()),
         m_Stream(g_socket_client_connect_to_host(
-            m_Client, toString(Where).c_str(), 0, nullptr, nullptr)) {}
-  ~Stranger() {
+            m_Client, toString(Remote).c_str(), 0, nullptr, nullptr)) {}
+  ~RawClient() {
     g_object_unref(m_Stream);
     g_object_unref(m_Client);
   }
@@ -142,10 +142,10 @@
                            Buffer.size(), nullptr, nullptr);
       Bytes Input = Bytes(Buffer).first(Count > 0 ? Count : 0);
       const ReadResult Result = Reader.read(Input);
-      const auto *Arrived = std::get_if<FrameArrived>(&Result);
-      if (Arrived == nullptr)
+      const auto *Received = std::get_if<FrameArrived>(&Result);
+      if (Received == nullptr)
         return false;
-      const HandshakeStep Step = Own.take(*Arrived->m_Frame);
+      const HandshakeStep Step = Own.take(*Received->m_Frame);
       Frame = wire::FrameT();
       Frame.proof = std::make_unique<wire::ProofT>(
           std::get<HandshakeGoesOn>(Step).m_Reply.value());
@@ -158,17 +158,17 @@
   GSocketConnection *m_Stream;
 };
 
-HandshakeStep takeEncoded(Handshake &Whose, const wire::FrameT &Frame) {
+HandshakeStep takeEncoded(Handshake &Receiver, const wire::FrameT &Frame) {
   std::vector<std::uint8_t> Buffer;
-  return Whose.take(*wire::GetFrame(appendFrame(Frame, Buffer).data()));
+  return Receiver.take(*wire::GetFrame(appendFrame(Frame, Buffer).data()));
 }
 
 struct Pair {
-  Address m_Where = freeAddress();
-  std::optional<Node> m_Server{configOf("server", m_Where)};
+  Address m_ServerAddress = freeAddress();
+  std::optional<Node> m_Server{configOf("server", m_ServerAddress)};
   std::optional<Node> m_Client{configOf("client", {})};
   void connect() {
-    m_Client->m_Links.dial(m_Where);
+    m_Client->m_Links.dial(m_ServerAddress);
     runUntil([this] {
       return m_Client->m_Link != LinkId() && m_Server->m_Link != LinkId();
     });
@@ -180,7 +180,7 @@
 BOOST_FIXTURE_TEST_CASE(HandshakeTellsWhoIsThere, Pair) {
   connect();
   BOOST_TEST(m_Client->m_Peer.m_Name == "server");
-  BOOST_TEST((m_Client->m_Peer.m_Address == m_Where));
+  BOOST_TEST((m_Client->m_Peer.m_Address == m_ServerAddress));
   BOOST_TEST((m_Client->m_Peer.m_Role == wire::Role::Dispatcher));
   BOOST_TEST(m_Server->m_Peer.m_Name == "client");
   BOOST_TEST((m_Server->m_Peer.m_Incarnation == Incarnation(7)));
@@ -191,8 +191,8 @@
   connect();
   for (int Request = 0; Request < 100; ++Request)
     m_Client->refuse(Request);
-  runUntil([this] { return m_Server->m_Messages == 100; });
-  BOOST_TEST(m_Server->m_Frames == 1);
+  runUntil([this] { return m_Server->m_MessageCount == 100; });
+  BOOST_TEST(m_Server->m_FrameCount == 1);
   const Labels Serving = {{"direction", "in"}, {"mechanism", "serving"}};
   BOOST_TEST(m_Server->m_Stats.counter("crowstep_link_messages_total", Serving)
                  .value() == 100U);
@@ -208,23 +208,23 @@
 BOOST_FIXTURE_TEST_CASE(LinkComesBackAfterThePeerRestarts, Pair) {
   connect();
   m_Server.reset();
-  runUntil([this] { return m_Client->m_DialFailed.has_value(); });
-  BOOST_TEST((m_Client->m_Down == CloseReason::PeerClosed));
-  BOOST_TEST((m_Client->m_DialFailed == CloseReason::ConnectRefused));
-  m_Server.emplace(configOf("server", m_Where));
-  runUntil([this] { return m_Client->m_Ups == 2; });
+  runUntil([this] { return m_Client->m_DialFailure.has_value(); });
+  BOOST_TEST((m_Client->m_DownReason == CloseReason::PeerClosed));
+  BOOST_TEST((m_Client->m_DialFailure == CloseReason::ConnectRefused));
+  m_Server.emplace(configOf("server", m_ServerAddress));
+  runUntil([this] { return m_Client->m_UpCount == 2; });
 }
 
 BOOST_FIXTURE_TEST_CASE(ListenerMayCloseWithinItsCallbacks, Pair) {
   connect();
   m_Server->m_OnFrame = [this] { m_Server->m_Links.close(m_Server->m_Link); };
   m_Client->refuse(1);
-  runUntil([this] { return m_Server->m_Down == CloseReason::Local; });
-  runUntil([this] { return m_Client->m_Ups == 2; });
-  m_Client->m_Links.hangUp(m_Where);
-  runUntil([this] { return m_Client->m_Down == CloseReason::Local; });
+  runUntil([this] { return m_Server->m_DownReason == CloseReason::Local; });
+  runUntil([this] { return m_Client->m_UpCount == 2; });
+  m_Client->m_Links.hangUp(m_ServerAddress);
+  runUntil([this] { return m_Client->m_DownReason == CloseReason::Local; });
   m_Client->refuse(2); // Discarded, as there is no link.
-  BOOST_TEST(m_Client->m_Ups == 2);
+  BOOST_TEST(m_Client->m_UpCount == 2);
 }
 
 /// A peer that knows the key connects and then stops reading. The server keeps
@@ -234,15 +234,15 @@
   LinkConfig Config = configOf("server", freeAddress());
   Config.m_MaxQueued = 1U << 20;
   Node Server(Config);
-  Stranger Deaf(Config.m_Listen);
-  Deaf.authenticate(configOf("deaf", {}));
+  RawClient Unresponsive(Config.m_Listen);
+  Unresponsive.authenticate(configOf("deaf", {}));
   runUntil([&] { return Server.m_Link != LinkId(); });
   runUntil([&] {
     if (Server.m_Link != LinkId())
       Server.m_Links.outbox(Server.m_Link).refusals.resize(20'000);
-    return Server.m_Down.has_value();
+    return Server.m_DownReason.has_value();
   });
-  BOOST_TEST((Server.m_Down == CloseReason::Backlog));
+  BOOST_TEST((Server.m_DownReason == CloseReason::Backlog));
   BOOST_TEST(Server.closed(CloseReason::Backlog) == 1U);
 }
 
@@ -267,49 +267,49 @@
   LinkConfig Config = configOf("client", {});
   Config.m_Key = "guess";
   m_Client.emplace(Config);
-  m_Client->m_Links.dial(m_Where);
+  m_Client->m_Links.dial(m_ServerAddress);
   runUntil([this] { return m_Server->closed(CloseReason::BadProof) > 0; });
-  BOOST_TEST(m_Server->m_Ups + m_Client->m_Ups == 0);
+  BOOST_TEST(m_Server->m_UpCount + m_Client->m_UpCount == 0);
 }
 
 /// Unauthenticated clients send what a peer never sends. Nothing of it reaches
 /// the listener, and each connection is closed with its own reason.
 BOOST_FIXTURE_TEST_CASE(StrangersAreClosedWithTheirReason, Pair) {
   const auto Opening = preamble();
-  const auto Expect = [this](CloseReason Why) {
-    runUntil([this, Why] { return m_Server->closed(Why) == 1; });
+  const auto Expect = [this](CloseReason Reason) {
+    runUntil([this, Reason] { return m_Server->closed(Reason) == 1; });
   };
-  Stranger Http(m_Where);
+  RawClient Http(m_ServerAddress);
   const std::string Get = "GET / HTTP/1.1\r\n\r\n";
   Http.send({reinterpret_cast<const std::uint8_t *>(Get.data()), Get.size()});
   Expect(CloseReason::Foreign);
 
-  Stranger Newer(m_Where);
-  auto Other = Opening;
-  Other[6] ^= 0x40;
-  Newer.send(Other);
+  RawClient Newer(m_ServerAddress);
+  auto NewerOpening = Opening;
+  NewerOpening[6] ^= 0x40;
+  Newer.send(NewerOpening);
   Expect(CloseReason::WrongSchema);
 
-  Stranger Large(m_Where);
+  RawClient Large(m_ServerAddress);
   Large.send(Opening);
   const std::array<std::uint8_t, 4> Megabyte = {0, 0, 16, 0};
   Large.send(Megabyte);
   Expect(CloseReason::FrameTooLarge);
 
-  Stranger Garbage(m_Where);
+  RawClient Garbage(m_ServerAddress);
   Garbage.send(Opening);
   const std::array<std::uint8_t, 8> Noise = {4, 0, 0, 0, 255, 255, 255, 255};
   Garbage.send(Noise);
   Expect(CloseReason::BadFrame);
 
-  Stranger Eager(m_Where);
+  RawClient Eager(m_ServerAddress);
   Eager.send(Opening);
   wire::FrameT Early;
   Early.refusals.emplace_back(1, 0, 0);
   Eager.send(Early);
   Expect(CloseReason::BadProof);
 
-  const Stranger Silent(m_Where);
+  const RawClient Silent(m_ServerAddress);
   Expect(CloseReason::HandshakeSlow);
-  BOOST_TEST(m_Server->m_Ups + m_Server->m_Frames == 0);
+  BOOST_TEST(m_Server->m_UpCount + m_Server->m_FrameCount == 0);
 }
