--- a/src/membership/dial_plan.cpp
+++ b/src/membership/dial_plan.cpp
@@ -6,47 +6,47 @@
 namespace {
 
 /// Enough for a handshake and an exchange of views across regions.
-constexpr Duration ProbeTime = std::chrono::seconds(3);
+constexpr Duration ProbeDuration = std::chrono::seconds(3);
 
 } // namespace
 
 void DialPlan::setTargets(const std::map<Address, InstanceId> &Targets,
-                          TimePoint Now, std::vector<Action> &Out) {
-  for (const auto &[Where, Id] : Targets)
-    if (!m_Targets.contains(Where) && m_Probes.erase(Where) == 0)
-      Out.emplace_back(Dial{Where});
+                          TimePoint Now, std::vector<Action> &Actions) {
+  for (const auto &[Target, Id] : Targets)
+    if (!m_Targets.contains(Target) && m_Probes.erase(Target) == 0)
+      Actions.emplace_back(Dial{Target});
   // The link to a former target is kept for a while, as updates about the
   // change that removed the target may be under way on it.
-  for (const auto &[Where, Id] : m_Targets)
-    if (!Targets.contains(Where))
-      m_Probes[Where] = Now + ProbeTime;
+  for (const auto &[Target, Id] : m_Targets)
+    if (!Targets.contains(Target))
+      m_Probes[Target] = Now + ProbeDuration;
   m_Targets = Targets;
 }
 
-void DialPlan::probe(const Address &Where, TimePoint Now,
-                     std::vector<Action> &Out) {
-  if (m_Targets.contains(Where) ||
-      !m_Probes.try_emplace(Where, Now + ProbeTime).second)
+void DialPlan::probe(const Address &Candidate, TimePoint Now,
+                     std::vector<Action> &Actions) {
+  if (m_Targets.contains(Candidate) ||
+      !m_Probes.try_emplace(Candidate, Now + ProbeDuration).second)
     return;
-  Out.emplace_back(Dial{Where});
+  Actions.emplace_back(Dial{Candidate});
 }
 
-void DialPlan::expire(TimePoint Now, std::vector<Action> &Out) {
-  for (auto Each = m_Probes.begin(); Each != m_Probes.end();) {
-    if (Each->second > Now) {
-      ++Each;
+void DialPlan::expire(TimePoint Now, std::vector<Action> &Actions) {
+  for (auto Probe = m_Probes.begin(); Probe != m_Probes.end();) {
+    if (Probe->second > Now) {
+      ++Probe;
       continue;
     }
-    Out.emplace_back(HangUp{Each->first});
-    Each = m_Probes.erase(Each);
+    Actions.emplace_back(HangUp{Probe->first});
+    Probe = m_Probes.erase(Probe);
   }
 }
 
-std::optional<InstanceId> DialPlan::failed(const Address &Where,
-                                           std::vector<Action> &Out) {
-  if (m_Probes.erase(Where) > 0)
-    Out.emplace_back(HangUp{Where});
-  const auto Found = m_Targets.find(Where);
+std::optional<InstanceId> DialPlan::failed(const Address &Dialled,
+                                           std::vector<Action> &Actions) {
+  if (m_Probes.erase(Dialled) > 0)
+    Actions.emplace_back(HangUp{Dialled});
+  const auto Found = m_Targets.find(Dialled);
   if (Found == m_Targets.end())
     return std::nullopt;
   return Found->second;
--- a/src/membership/dial_plan.h
+++ b/src/membership/dial_plan.h
@@ -16,17 +16,18 @@
 public:
   /// Replaces the targets. Former ones are kept like probes for a while.
   void setTargets(const std::map<Address, InstanceId> &Targets, TimePoint Now,
-                  std::vector<Action> &Out);
+                  std::vector<Action> &Actions);
 
   /// Dials \p Candidate for a short time, unless it is dialled already.
-  void probe(const Address &Where, TimePoint Now, std::vector<Action> &Out);
+  void probe(const Address &Candidate, TimePoint Now,
+             std::vector<Action> &Actions);
 
   /// Disconnects probes whose time has passed.
-  void expire(TimePoint Now, std::vector<Action> &Out);
+  void expire(TimePoint Now, std::vector<Action> &Actions);
 
   /// A dial failed: ends a probe, or returns the member that is the target.
-  std::optional<InstanceId> failed(const Address &Where,
-                                   std::vector<Action> &Out);
+  std::optional<InstanceId> failed(const Address &Dialled,
+                                   std::vector<Action> &Actions);
 
 private:
   std::map<Address, InstanceId> m_Targets; ///< Dialled permanently.
--- a/src/membership/member_view.cpp
+++ b/src/membership/member_view.cpp
@@ -7,34 +7,34 @@
 
 namespace {
 
-std::uint64_t hashOf(const Member &Which) {
-  if (!isLive(Which.m_State))
+std::uint64_t hashOf(const Member &Hashed) {
+  if (!isLive(Hashed.m_State))
     return 0;
   const std::uint64_t Start =
-      pairHash(Which.m_Id.value(), Which.m_Incarnation.value());
-  return pairHash(pairHash(Start, static_cast<std::uint64_t>(Which.m_State)),
-                  Which.m_TableVersion.value());
+      pairHash(Hashed.m_Id.value(), Hashed.m_Incarnation.value());
+  return pairHash(pairHash(Start, static_cast<std::uint64_t>(Hashed.m_State)),
+                  Hashed.m_TableVersion.value());
 }
 
 } // namespace
 
 MemberView::MemberView(const Member &Self) { store(Self, TimePoint()); }
 
-MergeResult MemberView::merge(const Member &News, TimePoint Now) {
-  const auto Found = m_Known.find(News.m_Id);
-  if (Found == m_Known.end() && !isLive(News.m_State))
+MergeResult MemberView::merge(const Member &Update, TimePoint Now) {
+  const auto Found = m_Known.find(Update.m_Id);
+  if (Found == m_Known.end() && !isLive(Update.m_State))
     return MergeResult::Nothing;
   if (Found == m_Known.end() ||
-      News.m_Incarnation > Found->second.m_Member.m_Incarnation) {
-    store(News, Now);
+      Update.m_Incarnation > Found->second.m_Member.m_Incarnation) {
+    store(Update, Now);
     return MergeResult::Joined;
   }
   const Member &Old = Found->second.m_Member;
-  if (News.m_Incarnation < Old.m_Incarnation)
+  if (Update.m_Incarnation < Old.m_Incarnation)
     return MergeResult::Nothing;
   Member Merged = Old;
-  Merged.m_State = std::max(Old.m_State, News.m_State);
-  Merged.m_TableVersion = std::max(Old.m_TableVersion, News.m_TableVersion);
+  Merged.m_State = std::max(Old.m_State, Update.m_State);
+  Merged.m_TableVersion = std::max(Old.m_TableVersion, Update.m_TableVersion);
   if (Merged == Old)
     return MergeResult::Nothing;
   const bool SameState = Merged.m_State == Old.m_State;
@@ -42,24 +42,24 @@
   return SameState ? MergeResult::VersionOnly : MergeResult::StateOnly;
 }
 
-void MemberView::store(const Member &News, TimePoint Now) {
-  Known &Entry = m_Known[News.m_Id];
+void MemberView::store(const Member &Update, TimePoint Now) {
+  Known &Entry = m_Known[Update.m_Id];
   if (!Entry.m_Member.m_Name.empty())
     m_Hash ^= hashOf(Entry.m_Member);
-  Entry = {News, Now};
-  m_Hash ^= hashOf(News);
-  if (News.m_State == MemberState::Suspect)
-    m_Suspects.insert(News.m_Id);
+  Entry = {Update, Now};
+  m_Hash ^= hashOf(Update);
+  if (Update.m_State == MemberState::Suspect)
+    m_Suspects.insert(Update.m_Id);
   else
-    m_Suspects.erase(News.m_Id);
+    m_Suspects.erase(Update.m_Id);
   m_AllIsCurrent = false;
 }
 
 bool MemberView::forgetBefore(TimePoint Limit) {
   const std::size_t Forgotten =
-      std::erase_if(m_Known, [Limit](const auto &Each) {
-        return !isLive(Each.second.m_Member.m_State) &&
-               Each.second.m_Since < Limit;
+      std::erase_if(m_Known, [Limit](const auto &Record) {
+        return !isLive(Record.second.m_Member.m_State) &&
+               Record.second.m_Since < Limit;
       });
   m_AllIsCurrent = m_AllIsCurrent && Forgotten == 0;
   return Forgotten > 0;
--- a/src/membership/member_view.h
+++ b/src/membership/member_view.h
@@ -30,7 +30,7 @@
 
   /// Merges an update. Ignores an unknown member that is dead or left: storing
   /// it would let tombstones circulate for ever.
-  MergeResult merge(const Member &News, TimePoint Now);
+  MergeResult merge(const Member &Update, TimePoint Now);
 
   /// Removes the members that died or left before \p Limit; returns whether
   /// there were any.
@@ -56,7 +56,7 @@
     TimePoint m_Since; ///< When its state or incarnation changed.
   };
 
-  void store(const Member &News, TimePoint Now);
+  void store(const Member &Update, TimePoint Now);
 
   std::map<InstanceId, Known> m_Known; ///< By id; contains this process.
   std::set<InstanceId> m_Suspects;     ///< Members in state Suspect.
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -34,28 +34,30 @@
        Scheduler &Timers, link::Links &Wire, Metrics &Stats);
 
   void start() { tick(); }
-  void handle(const Event &What);
-
-  void run(const Dial &What) { m_Wire.dial(What.m_Where); }
-  void run(const HangUp &What) { m_Wire.hangUp(What.m_Where); }
-  void run(const Drop &What) { m_Wire.close(What.m_Link); }
-  void run(const SendHeartbeat &What) { send(What); }
-  void run(const SendMembers &What) { send(What); }
-  void run(const SendNews &What) { send(What); }
-  void run(const Notice &What);
-  void run(const ViewChanged &What);
-
-  const Clock &m_Clock;                      ///< Outlives this.
-  link::Links &m_Wire;                       ///< Outlives this.
-  MembershipCore m_Core;                     ///< The protocol.
-  std::set<LinkId> m_Links;                  ///< To other dispatchers.
-  std::vector<std::function<void()>> m_Jobs; ///< Called after each change.
+  void handle(const Event &Incoming);
+
+  void perform(const Dial &Requested) { m_Transport.dial(Requested.m_Where); }
+  void perform(const HangUp &Requested) {
+    m_Transport.hangUp(Requested.m_Where);
+  }
+  void perform(const Drop &Requested) { m_Transport.close(Requested.m_Link); }
+  void perform(const SendHeartbeat &Message) { send(Message); }
+  void perform(const SendMembers &Message) { send(Message); }
+  void perform(const SendNews &Message) { send(Message); }
+  void perform(const Notice &Raised);
+  void perform(const ViewChanged &Changed);
+
+  const Clock &m_Clock;                           ///< Outlives this.
+  link::Links &m_Transport;                       ///< Outlives this.
+  MembershipCore m_Core;                          ///< The protocol.
+  std::set<LinkId> m_Links;                       ///< To other dispatchers.
+  std::vector<std::function<void()>> m_Callbacks; ///< Called after each change.
 
 private:
   void tick();
-  void showMajority();
-  template <typename Message> void send(const Message &What) {
-    put(What, m_Wire.outbox(What.m_Link));
+  void publishMajority();
+  template <typename Message> void send(const Message &Outgoing) {
+    put(Outgoing, m_Transport.outbox(Outgoing.m_Link));
   }
 
   Timer m_Tick;                                   ///< Always running.
@@ -67,7 +69,7 @@
 Membership::Impl::Impl(const MembershipConfig &Config, const Member &Self,
                        const Clock &Time, Scheduler &Timers, link::Links &Wire,
                        Metrics &Stats)
-    : m_Clock(Time), m_Wire(Wire), m_Core(Config, Self, Time.now()),
+    : m_Clock(Time), m_Transport(Wire), m_Core(Config, Self, Time.now()),
       m_Tick(Timers),
       m_Majority(Stats.gauge("crowstep_membership_hears_majority")) {
   for (std::size_t Kind = 0; Kind < NoticeCount; ++Kind)
@@ -84,39 +86,39 @@
 void Membership::Impl::tick() {
   m_Tick.start(TickInterval, [this] { tick(); });
   handle(Tick{});
-  showMajority();
+  publishMajority();
 }
 
-void Membership::Impl::showMajority() {
-  const double Heard = m_Core.hearsMajority(m_Clock.now()) ? 1 : 0;
-  if (Heard == m_Majority.value())
+void Membership::Impl::publishMajority() {
+  const double IsInMajority = m_Core.hearsMajority(m_Clock.now()) ? 1 : 0;
+  if (IsInMajority == m_Majority.value())
     return;
-  m_Majority.set(Heard);
-  logEvent(Heard != 0 ? LogEvent::MembershipMajority
-                      : LogEvent::MembershipMinority);
+  m_Majority.set(IsInMajority);
+  logEvent(IsInMajority != 0 ? LogEvent::MembershipMajority
+                             : LogEvent::MembershipMinority);
 }
 
-void Membership::Impl::handle(const Event &What) {
-  for (const Action &Each : m_Core.handle(m_Clock.now(), What))
-    std::visit([this](const auto &Known) { run(Known); }, Each);
+void Membership::Impl::handle(const Event &Incoming) {
+  for (const Action &Next : m_Core.handle(m_Clock.now(), Incoming))
+    std::visit([this](const auto &Known) { perform(Known); }, Next);
 }
 
-void Membership::Impl::run(const Notice &What) {
-  m_Notices.at(static_cast<std::size_t>(What.m_Kind))->add();
+void Membership::Impl::perform(const Notice &Raised) {
+  m_Notices.at(static_cast<std::size_t>(Raised.m_Kind))->add();
   logEvent(
-      logEventOf(What.m_Kind),
-      {{"member", What.m_Member.m_Name},
-       {"incarnation", std::to_string(What.m_Member.m_Incarnation.value())}});
+      logEventOf(Raised.m_Kind),
+      {{"member", Raised.m_Member.m_Name},
+       {"incarnation", std::to_string(Raised.m_Member.m_Incarnation.value())}});
 }
 
-void Membership::Impl::run(const ViewChanged &) {
+void Membership::Impl::perform(const ViewChanged &) {
   std::array<int, 4> Counts{};
-  for (const Member &Each : m_Core.members())
-    ++Counts.at(static_cast<std::size_t>(Each.m_State));
+  for (const Member &Known : m_Core.members())
+    ++Counts.at(static_cast<std::size_t>(Known.m_State));
   for (std::size_t State = 0; State < Counts.size(); ++State)
     m_States.at(State)->set(Counts.at(State));
-  for (const std::function<void()> &Job : m_Jobs)
-    Job();
+  for (const std::function<void()> &Callback : m_Callbacks)
+    Callback();
 }
 
 Membership::Membership(MembershipConfig Config, const Member &Self,
@@ -131,36 +133,36 @@
   m_Impl->handle(HintsGiven{Hints});
 }
 
-void Membership::linkUp(link::LinkId Link, const link::Peer &Who) {
-  if (Who.m_Role != wire::Role::Dispatcher)
+void Membership::linkUp(link::LinkId Link, const link::Peer &Remote) {
+  if (Remote.m_Role != wire::Role::Dispatcher)
     return;
   m_Impl->m_Links.insert(Link);
-  m_Impl->handle(PeerUp{Link, memberOf(Who)});
+  m_Impl->handle(PeerUp{Link, memberOf(Remote)});
 }
 
 void Membership::linkFrame(link::LinkId Link, const wire::Frame &Frame) {
   if (!m_Impl->m_Links.contains(Link))
     return;
-  for (const Event &Each : eventsOf(Link, Frame))
-    m_Impl->handle(Each);
+  for (const Event &Received : eventsOf(Link, Frame))
+    m_Impl->handle(Received);
 }
 
 void Membership::linkDown(link::LinkId Link, const link::Peer &,
-                          link::CloseReason Why) {
+                          link::CloseReason Reason) {
   if (m_Impl->m_Links.erase(Link) > 0)
-    m_Impl->handle(PeerDown{Link, Why});
+    m_Impl->handle(PeerDown{Link, Reason});
 }
 
-void Membership::dialFailed(const Address &Where, link::CloseReason Why) {
-  m_Impl->handle(DialFailed{Where, Why});
+void Membership::dialFailed(const Address &Dialled, link::CloseReason Reason) {
+  m_Impl->handle(DialFailed{Dialled, Reason});
 }
 
 const std::vector<Member> &Membership::members() const {
   return m_Impl->m_Core.members();
 }
 
-void Membership::onChange(std::function<void()> Job) {
-  m_Impl->m_Jobs.push_back(std::move(Job));
+void Membership::onChange(std::function<void()> Callback) {
+  m_Impl->m_Callbacks.push_back(std::move(Callback));
 }
 
 void Membership::setTableVersion(TableVersion Version) {
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -43,18 +43,18 @@
 
   /// To be called on each event of the daemon's links; links to other roles
   /// than dispatchers are ignored.
-  void linkUp(link::LinkId Link, const link::Peer &Who);
+  void linkUp(link::LinkId Link, const link::Peer &Remote);
   void linkFrame(link::LinkId Link, const wire::Frame &Frame);
-  void linkDown(link::LinkId Link, const link::Peer &Who,
-                link::CloseReason Why);
-  void dialFailed(const Address &Where, link::CloseReason Why);
+  void linkDown(link::LinkId Link, const link::Peer &Remote,
+                link::CloseReason Reason);
+  void dialFailed(const Address &Dialled, link::CloseReason Reason);
 
   /// Returns all known members, this process included. Dead members and those
   /// that left are listed until TombstoneRetention has passed.
   [[nodiscard]] const std::vector<Member> &members() const;
 
   /// Calls \p Callback after each change of members().
-  void onChange(std::function<void()> Job);
+  void onChange(std::function<void()> Callback);
 
   /// Sets the table version that this process has in force. The others are
   /// sent an update at once; later heartbeats carry the version as well.
--- a/src/membership/membership_core.cpp
+++ b/src/membership/membership_core.cpp
@@ -17,11 +17,12 @@
 
 constexpr std::size_t ProbesWhenAlone = 3;
 constexpr Duration ProbeIntervalAlone = std::chrono::milliseconds(500);
-constexpr Duration ForgetInterval = std::chrono::seconds(10);
+constexpr Duration TombstoneSweepInterval = std::chrono::seconds(10);
 constexpr Duration ProbeInterval = std::chrono::seconds(5);
 
-MemberNews newsOf(const Member &Which) {
-  return {Which.m_Id, Which.m_Incarnation, Which.m_State, Which.m_TableVersion};
+MemberNews updateOf(const Member &Subject) {
+  return {Subject.m_Id, Subject.m_Incarnation, Subject.m_State,
+          Subject.m_TableVersion};
 }
 
 } // namespace
@@ -44,11 +45,12 @@
 
 const Member &MembershipCore::self() const { return *m_View.find(m_Self); }
 
-std::vector<Action> MembershipCore::handle(TimePoint Now, const Event &What) {
+std::vector<Action> MembershipCore::handle(TimePoint Now,
+                                           const Event &Incoming) {
   m_Now = Now;
   m_Out.clear();
   m_Source = LinkId();
-  std::visit([this](const auto &Each) { on(Each); }, What);
+  std::visit([this](const auto &Known) { on(Known); }, Incoming);
   settle();
   return std::move(m_Out);
 }
@@ -97,7 +99,7 @@
   for (const InstanceId Id : m_Watches.silent(m_Running))
     accuse(Id, MemberState::Suspect);
   if (m_Running >= m_NextForget) {
-    m_NextForget = m_Running + ForgetInterval;
+    m_NextForget = m_Running + TombstoneSweepInterval;
     if (m_View.forgetBefore(m_Running - RememberDead))
       m_ViewChanged = true;
   }
@@ -112,9 +114,9 @@
 void MembershipCore::rebaseReference() {
   m_ReferenceIsOld = false;
   m_Reference.clear();
-  for (const Member &Each : m_View.all())
-    if (isLive(Each.m_State))
-      m_Reference.push_back(Each.m_Id);
+  for (const Member &Known : m_View.all())
+    if (isLive(Known.m_State))
+      m_Reference.push_back(Known.m_Id);
   countMajority();
 }
 
@@ -155,13 +157,13 @@
 /// confirmation would cost more than its content.
 void MembershipCore::sendHeldVersions() {
   for (const auto &[Link, Peer] : m_Watches.links()) {
-    std::vector<MemberNews> News;
+    std::vector<MemberNews> Updates;
     for (const auto &[Id, Informed] : m_Held)
-      if (const Member *Which = m_View.find(Id);
-          !Informed.contains(Link) && Which != nullptr)
-        News.push_back(newsOf(*Which));
-    if (!News.empty())
-      m_Out.emplace_back(SendNews{Link, std::move(News)});
+      if (const Member *Confirmer = m_View.find(Id);
+          !Informed.contains(Link) && Confirmer != nullptr)
+        Updates.push_back(updateOf(*Confirmer));
+    if (!Updates.empty())
+      m_Out.emplace_back(SendNews{Link, std::move(Updates)});
   }
   m_Held.clear();
 }
@@ -171,14 +173,14 @@
   if (m_Now < m_NextProbe || m_Leaving)
     return;
   const auto Live = std::ranges::count_if(
-      m_View.all(), [](const Member &Each) { return isLive(Each.m_State); });
+      m_View.all(), [](const Member &Known) { return isLive(Known.m_State); });
   const bool Alone = Live == 1;
   std::vector<Address> Candidates = probeCandidates();
   std::ranges::shuffle(Candidates, m_Random);
   Candidates.resize(
       std::min(Candidates.size(), Alone ? ProbesWhenAlone : std::size_t{1}));
-  for (const Address &Where : Candidates)
-    m_Dials.probe(Where, m_Now, m_Out);
+  for (const Address &Candidate : Candidates)
+    m_Dials.probe(Candidate, m_Now, m_Out);
   const Duration Base = Alone ? ProbeIntervalAlone : ProbeInterval;
   std::uniform_int_distribution<Duration::rep> Spread(Base.count() / 2,
                                                       Base.count());
@@ -191,129 +193,131 @@
 std::vector<Address> MembershipCore::probeCandidates() const {
   std::set<Address> Live;
   std::set<Address> Result(m_Hints.begin(), m_Hints.end());
-  for (const Member &Each : m_View.all()) {
-    if (isLive(Each.m_State))
-      Live.insert(Each.m_Address);
-    else if (Each.m_State == MemberState::Dead)
-      Result.insert(Each.m_Address);
+  for (const Member &Known : m_View.all()) {
+    if (isLive(Known.m_State))
+      Live.insert(Known.m_Address);
+    else if (Known.m_State == MemberState::Dead)
+      Result.insert(Known.m_Address);
   }
-  std::erase_if(Result, [&](const Address &Where) {
-    return Live.contains(Where) || Where.m_Port == 0;
+  std::erase_if(Result, [&](const Address &Candidate) {
+    return Live.contains(Candidate) || Candidate.m_Port == 0;
   });
   return {Result.begin(), Result.end()};
 }
 
 // ---- Links ----
 
-void MembershipCore::on(const PeerUp &What) {
-  m_Watches.linkUp(What.m_Peer.m_Id, What.m_Link, m_Running, m_Now);
-  accept(What.m_Peer);
-  sendHeartbeat(What.m_Link);
+void MembershipCore::on(const PeerUp &Up) {
+  m_Watches.linkUp(Up.m_Peer.m_Id, Up.m_Link, m_Running, m_Now);
+  accept(Up.m_Peer);
+  sendHeartbeat(Up.m_Link);
 }
 
-void MembershipCore::on(const PeerDown &What) {
-  m_Watches.linkDown(What.m_Link, What.m_Why);
-  m_Exchange.drop(What.m_Link);
+void MembershipCore::on(const PeerDown &Down) {
+  m_Watches.linkDown(Down.m_Link, Down.m_Why);
+  m_Exchange.drop(Down.m_Link);
 }
 
 /// A process that closed its links and whose address refuses connections has
 /// ended: the refusal comes from the kernel, and neither a frozen process nor a
 /// cut link can cause both. A refusal alone may come from a stale address.
-void MembershipCore::on(const DialFailed &What) {
-  const std::optional<InstanceId> Target = m_Dials.failed(What.m_Where, m_Out);
-  if (!Target || What.m_Why != CloseReason::ConnectRefused)
+void MembershipCore::on(const DialFailed &Failure) {
+  const std::optional<InstanceId> Target =
+      m_Dials.failed(Failure.m_Where, m_Out);
+  if (!Target || Failure.m_Why != CloseReason::ConnectRefused)
     return;
   accuse(*Target, m_Watches.closedByPeer(*Target) ? MemberState::Dead
                                                   : MemberState::Suspect);
 }
 
-void MembershipCore::on(const PeerHeard &What) {
-  m_Watches.heard(What.m_Link, m_Running, m_Now);
+void MembershipCore::on(const PeerHeard &Received) {
+  m_Watches.heard(Received.m_Link, m_Running, m_Now);
 }
 
-void MembershipCore::on(const HeartbeatHeard &What) {
-  m_Watches.heard(What.m_Link, m_Running, m_Now);
-  const Member *Sender = m_View.find(m_Watches.peerOf(What.m_Link));
+void MembershipCore::on(const HeartbeatHeard &Heartbeat) {
+  m_Watches.heard(Heartbeat.m_Link, m_Running, m_Now);
+  const Member *Sender = m_View.find(m_Watches.peerOf(Heartbeat.m_Link));
   if (Sender == nullptr)
     return;
   // A member that was frozen does not know that it was declared dead. Notify it
   // at once, so that it rejoins with a higher incarnation.
   if (!isLive(Sender->m_State)) {
-    m_Out.emplace_back(SendNews{What.m_Link, {newsOf(*Sender)}});
+    m_Out.emplace_back(SendNews{Heartbeat.m_Link, {updateOf(*Sender)}});
     return;
   }
-  if (!m_Exchange.differs(What.m_Link, m_View.hash(), What.m_ViewHash))
+  if (!m_Exchange.differs(Heartbeat.m_Link, m_View.hash(),
+                          Heartbeat.m_ViewHash))
     return;
-  m_Out.emplace_back(SendMembers{What.m_Link, m_View.all()});
+  m_Out.emplace_back(SendMembers{Heartbeat.m_Link, m_View.all()});
   notice(NoticeKind::Exchanged, *Sender);
 }
 
 // ---- Updates ----
 
-void MembershipCore::on(const MembersHeard &What) {
-  m_Source = What.m_Link;
-  for (const Member &Each : What.m_Members)
-    accept(Each);
+void MembershipCore::on(const MembersHeard &Received) {
+  m_Source = Received.m_Link;
+  for (const Member &Update : Received.m_Members)
+    accept(Update);
 }
 
 /// An update lacks the member's name and address. It is ignored for a member
 /// that is not known with this incarnation; the difference of view hashes then
 /// leads to an exchange of full records.
-void MembershipCore::on(const NewsHeard &What) {
-  m_Source = What.m_Link;
-  for (const MemberNews &Each : What.m_News) {
-    const Member *Known = m_View.find(Each.m_Id);
+void MembershipCore::on(const NewsHeard &Received) {
+  m_Source = Received.m_Link;
+  for (const MemberNews &Update : Received.m_News) {
+    const Member *Known = m_View.find(Update.m_Id);
     if (Known == nullptr ||
-        (Known->m_Incarnation != Each.m_Incarnation && Each.m_Id != m_Self))
+        (Known->m_Incarnation != Update.m_Incarnation && Update.m_Id != m_Self))
       continue;
-    Member News = *Known;
-    News.m_Incarnation = Each.m_Incarnation;
-    News.m_State = Each.m_State;
-    News.m_TableVersion = Each.m_TableVersion;
-    accept(News);
+    Member Updated = *Known;
+    Updated.m_Incarnation = Update.m_Incarnation;
+    Updated.m_State = Update.m_State;
+    Updated.m_TableVersion = Update.m_TableVersion;
+    accept(Updated);
   }
 }
 
-void MembershipCore::accept(const Member &News) {
-  if (News.m_Id == m_Self) {
-    acceptAboutSelf(News);
+void MembershipCore::accept(const Member &Update) {
+  if (Update.m_Id == m_Self) {
+    acceptAboutSelf(Update);
     return;
   }
-  const MergeResult Result = m_View.merge(News, m_Running);
-  if (const auto Held = m_Held.find(News.m_Id);
-      Result == MergeResult::Nothing && Held != m_Held.end())
-    Held->second.insert(m_Source); // The sender has the version.
+  const MergeResult Result = m_View.merge(Update, m_Running);
+  if (const auto Pending = m_Held.find(Update.m_Id);
+      Result == MergeResult::Nothing && Pending != m_Held.end())
+    Pending->second.insert(m_Source); // The sender has the version.
   if (Result == MergeResult::Nothing)
     return;
   m_ViewChanged = true;
   if (Result == MergeResult::VersionOnly) {
-    m_Held[News.m_Id] = {m_Source};
+    m_Held[Update.m_Id] = {m_Source};
     return;
   }
   m_LiveChanged = true;
-  const Member &Merged = *m_View.find(News.m_Id);
+  const Member &Merged = *m_View.find(Update.m_Id);
   if (Result == MergeResult::Joined)
     m_Whole.push_back(Merged);
   else
-    m_News.push_back(newsOf(Merged));
+    m_News.push_back(updateOf(Merged));
   constexpr NoticeKind Kinds[] = {NoticeKind::Joined, NoticeKind::Suspected,
                                   NoticeKind::Died, NoticeKind::Left};
   notice(Kinds[static_cast<std::size_t>(Merged.m_State)], Merged);
   if (Merged.m_State == MemberState::Alive)
-    for (const LinkId Link : m_Watches.vouched(News.m_Id, m_Running))
+    for (const LinkId Link : m_Watches.vouched(Update.m_Id, m_Running))
       m_Out.emplace_back(Drop{Link});
 }
 
 /// Raises the own incarnation above that of an update which suspects this
 /// process, or which stems from an earlier start of the instance.
-void MembershipCore::acceptAboutSelf(const Member &News) {
+void MembershipCore::acceptAboutSelf(const Member &Update) {
   Member Own = self();
-  const bool Newer = News.m_Incarnation > Own.m_Incarnation;
-  const bool Accused = News.m_Incarnation == Own.m_Incarnation &&
-                       News.m_State != MemberState::Alive;
-  if (m_Leaving || !(Newer || Accused))
+  const bool Newer = Update.m_Incarnation > Own.m_Incarnation;
+  const bool Suspected = Update.m_Incarnation == Own.m_Incarnation &&
+                         Update.m_State != MemberState::Alive;
+  if (m_Leaving || !(Newer || Suspected))
     return;
-  Own.m_Incarnation = Incarnation(News.m_Incarnation.value() + 1);
+  Own.m_Incarnation = Incarnation(Update.m_Incarnation.value() + 1);
   Own.m_State = MemberState::Alive;
   m_View.merge(Own, m_Running);
   m_Whole.push_back(Own);
@@ -326,23 +330,23 @@
   const Member *Known = m_View.find(Id);
   if (Known == nullptr || Known->m_State >= State || m_Leaving)
     return;
-  Member News = *Known;
-  News.m_State = State;
+  Member Update = *Known;
+  Update.m_State = State;
   m_Watches.accused(Id);
-  accept(News);
+  accept(Update);
 }
 
-void MembershipCore::on(const HintsGiven &What) {
-  m_Hints = What.m_Hints;
+void MembershipCore::on(const HintsGiven &Set) {
+  m_Hints = Set.m_Hints;
   std::erase(m_Hints, self().m_Address);
 }
 
-void MembershipCore::on(const VersionConfirmed &What) {
+void MembershipCore::on(const VersionConfirmed &Confirmed) {
   Member Own = self();
-  Own.m_TableVersion = std::max(Own.m_TableVersion, What.m_Version);
+  Own.m_TableVersion = std::max(Own.m_TableVersion, Confirmed.m_Version);
   if (m_View.merge(Own, m_Running) == MergeResult::Nothing)
     return;
-  m_News.push_back(newsOf(Own));
+  m_News.push_back(updateOf(Own));
   m_ViewChanged = true;
 }
 
@@ -351,7 +355,7 @@
   Member Own = self();
   Own.m_State = MemberState::Left;
   m_View.merge(Own, m_Running);
-  m_News.push_back(newsOf(Own));
+  m_News.push_back(updateOf(Own));
   m_ViewChanged = true;
 }
 
@@ -370,8 +374,8 @@
   return m_ViewHasMajority && m_Watches.hearsMost(Now, IsKnownLive);
 }
 
-void MembershipCore::notice(NoticeKind Kind, const Member &Whom) {
-  m_Out.emplace_back(Notice{Kind, Whom});
+void MembershipCore::notice(NoticeKind Kind, const Member &Subject) {
+  m_Out.emplace_back(Notice{Kind, Subject});
 }
 
 } // namespace crowstep::membership
--- a/src/membership/membership_core.h
+++ b/src/membership/membership_core.h
@@ -30,7 +30,7 @@
                  TimePoint Now);
 
   /// Handles one event and returns the actions to take, in order.
-  std::vector<Action> handle(TimePoint Now, const Event &What);
+  std::vector<Action> handle(TimePoint Now, const Event &Incoming);
 
   /// See Membership.
   [[nodiscard]] const std::vector<Member> &members() const;
@@ -38,20 +38,20 @@
   [[nodiscard]] LinkId linkTo(InstanceId Id) const;
 
 private:
-  void on(const Tick &What);
-  void on(const PeerUp &What);
-  void on(const PeerDown &What);
-  void on(const DialFailed &What);
-  void on(const PeerHeard &What);
-  void on(const HeartbeatHeard &What);
-  void on(const MembersHeard &What);
-  void on(const NewsHeard &What);
-  void on(const HintsGiven &What);
-  void on(const VersionConfirmed &What);
-  void on(const Leave &What);
+  void on(const Tick &Elapsed);
+  void on(const PeerUp &Up);
+  void on(const PeerDown &Down);
+  void on(const DialFailed &Failure);
+  void on(const PeerHeard &Received);
+  void on(const HeartbeatHeard &Heartbeat);
+  void on(const MembersHeard &Received);
+  void on(const NewsHeard &Received);
+  void on(const HintsGiven &Set);
+  void on(const VersionConfirmed &Confirmed);
+  void on(const Leave &Leaving);
 
-  void accept(const Member &News);
-  void acceptAboutSelf(const Member &News);
+  void accept(const Member &Update);
+  void acceptAboutSelf(const Member &Update);
   void accuse(InstanceId Id, MemberState State);
   void advanceRunningTime();
   void sendHeartbeat(LinkId Link);
@@ -63,7 +63,7 @@
   void rebaseReference();
   void countMajority();
   void settle();
-  void notice(NoticeKind Kind, const Member &Whom);
+  void notice(NoticeKind Kind, const Member &Subject);
   [[nodiscard]] const Member &self() const;
 
   MembershipConfig m_Config;
--- a/src/membership/membership_wire.cpp
+++ b/src/membership/membership_wire.cpp
@@ -15,59 +15,59 @@
 
 MembersHeard membersIn(LinkId Link, const wire::Frame &Frame) {
   MembersHeard Result{Link, {}};
-  for (const wire::Member *Each : *Frame.members()) {
-    const Member Read = memberOf(*Each);
-    if (isValid(Each->state()) && !Read.m_Name.empty() &&
+  for (const wire::Member *Source : *Frame.members()) {
+    const Member Read = memberOf(*Source);
+    if (isValid(Source->state()) && !Read.m_Name.empty() &&
         Read.m_Address.m_Port != 0)
       Result.m_Members.push_back(Read);
   }
   return Result;
 }
 
-NewsHeard newsIn(LinkId Link, const wire::Frame &Frame) {
+NewsHeard updatesIn(LinkId Link, const wire::Frame &Frame) {
   NewsHeard Result{Link, {}};
-  for (const wire::MemberNews *Each : *Frame.member_news())
-    if (isValid(Each->state()))
-      Result.m_News.push_back({InstanceId(Each->instance()),
-                               Incarnation(Each->incarnation()),
-                               static_cast<MemberState>(Each->state()),
-                               TableVersion(Each->table_version())});
+  for (const wire::MemberNews *Source : *Frame.member_news())
+    if (isValid(Source->state()))
+      Result.m_News.push_back({InstanceId(Source->instance()),
+                               Incarnation(Source->incarnation()),
+                               static_cast<MemberState>(Source->state()),
+                               TableVersion(Source->table_version())});
   return Result;
 }
 
 } // namespace
 
-Member memberOf(const wire::Member &From) {
+Member memberOf(const wire::Member &Source) {
   Member Result;
-  Result.m_Name = textOf(From.instance());
+  Result.m_Name = textOf(Source.instance());
   Result.m_Id = instanceIdOf(Result.m_Name);
-  Result.m_Incarnation = Incarnation(From.incarnation());
-  Result.m_State = static_cast<MemberState>(From.state());
-  Result.m_Address = {From.ip(), From.port()};
-  Result.m_Zone = {textOf(From.zone())};
-  Result.m_TableVersion = TableVersion(From.table_version());
+  Result.m_Incarnation = Incarnation(Source.incarnation());
+  Result.m_State = static_cast<MemberState>(Source.state());
+  Result.m_Address = {Source.ip(), Source.port()};
+  Result.m_Zone = {textOf(Source.zone())};
+  Result.m_TableVersion = TableVersion(Source.table_version());
   return Result;
 }
 
-std::unique_ptr<wire::MemberT> wireOf(const Member &From) {
+std::unique_ptr<wire::MemberT> wireOf(const Member &Source) {
   auto Result = std::make_unique<wire::MemberT>();
-  Result->instance = From.m_Name;
-  Result->incarnation = From.m_Incarnation.value();
-  Result->state = static_cast<wire::MemberState>(From.m_State);
-  Result->ip = From.m_Address.m_Ip;
-  Result->port = From.m_Address.m_Port;
-  Result->zone = From.m_Zone.m_Name;
-  Result->table_version = From.m_TableVersion.value();
+  Result->instance = Source.m_Name;
+  Result->incarnation = Source.m_Incarnation.value();
+  Result->state = static_cast<wire::MemberState>(Source.m_State);
+  Result->ip = Source.m_Address.m_Ip;
+  Result->port = Source.m_Address.m_Port;
+  Result->zone = Source.m_Zone.m_Name;
+  Result->table_version = Source.m_TableVersion.value();
   return Result;
 }
 
-Member memberOf(const link::Peer &Who) {
+Member memberOf(const link::Peer &Remote) {
   Member Result;
-  Result.m_Id = Who.m_Instance;
-  Result.m_Name = Who.m_Name;
-  Result.m_Incarnation = Who.m_Incarnation;
-  Result.m_Address = Who.m_Address;
-  Result.m_Zone = Who.m_Zone;
+  Result.m_Id = Remote.m_Instance;
+  Result.m_Name = Remote.m_Name;
+  Result.m_Incarnation = Remote.m_Incarnation;
+  Result.m_Address = Remote.m_Address;
+  Result.m_Zone = Remote.m_Zone;
   return Result;
 }
 
@@ -76,32 +76,32 @@
   if (Frame.members() != nullptr)
     Result.emplace_back(membersIn(Link, Frame));
   if (Frame.member_news() != nullptr)
-    Result.emplace_back(newsIn(Link, Frame));
+    Result.emplace_back(updatesIn(Link, Frame));
   if (Frame.heartbeat() != nullptr)
     Result.emplace_back(HeartbeatHeard{Link, Frame.heartbeat()->view_hash()});
   return Result;
 }
 
-void put(const SendMembers &What, wire::FrameT &Frame) {
-  for (const Member &Each : What.m_Members)
-    Frame.members.push_back(wireOf(Each));
+void put(const SendMembers &Message, wire::FrameT &Frame) {
+  for (const Member &Sent : Message.m_Members)
+    Frame.members.push_back(wireOf(Sent));
 }
 
-void put(const SendNews &What, wire::FrameT &Frame) {
-  for (const MemberNews &Each : What.m_News)
+void put(const SendNews &Message, wire::FrameT &Frame) {
+  for (const MemberNews &Update : Message.m_News)
     Frame.member_news.emplace_back(
-        Each.m_Id.value(), Each.m_Incarnation.value(),
-        Each.m_TableVersion.value(),
-        static_cast<wire::MemberState>(Each.m_State));
+        Update.m_Id.value(), Update.m_Incarnation.value(),
+        Update.m_TableVersion.value(),
+        static_cast<wire::MemberState>(Update.m_State));
 }
 
-void put(const SendHeartbeat &What, wire::FrameT &Frame) {
+void put(const SendHeartbeat &Message, wire::FrameT &Frame) {
   // The frame may contain a heartbeat already.
   if (!Frame.heartbeat)
     Frame.heartbeat = std::make_unique<wire::HeartbeatT>();
-  Frame.heartbeat->sequence = What.m_Sequence;
-  Frame.heartbeat->table_version = What.m_TableVersion.value();
-  Frame.heartbeat->view_hash = What.m_ViewHash;
+  Frame.heartbeat->sequence = Message.m_Sequence;
+  Frame.heartbeat->table_version = Message.m_TableVersion.value();
+  Frame.heartbeat->view_hash = Message.m_ViewHash;
 }
 
 } // namespace crowstep::membership
--- a/src/membership/membership_wire.h
+++ b/src/membership/membership_wire.h
@@ -7,11 +7,11 @@
 namespace crowstep::membership {
 
 /// Returns the member that a peer's handshake describes.
-Member memberOf(const link::Peer &Who);
+Member memberOf(const link::Peer &Remote);
 
 /// Converts a member from and to its form in a frame.
-Member memberOf(const wire::Member &From);
-std::unique_ptr<wire::MemberT> wireOf(const Member &From);
+Member memberOf(const wire::Member &Source);
+std::unique_ptr<wire::MemberT> wireOf(const Member &Source);
 
 /// Returns the events in a frame received over \p Link, in the order in which
 /// they must be handled. Leaves out members without a name or a port and
@@ -19,9 +19,9 @@
 std::vector<Event> eventsOf(LinkId Link, const wire::Frame &Frame);
 
 /// Adds a message to the frame under assembly.
-void put(const SendMembers &What, wire::FrameT &Frame);
-void put(const SendNews &What, wire::FrameT &Frame);
-void put(const SendHeartbeat &What, wire::FrameT &Frame);
+void put(const SendMembers &Message, wire::FrameT &Frame);
+void put(const SendNews &Message, wire::FrameT &Frame);
+void put(const SendHeartbeat &Message, wire::FrameT &Frame);
 
 } // namespace crowstep::membership
 
--- a/src/membership/rendezvous.cpp
+++ b/src/membership/rendezvous.cpp
@@ -13,12 +13,12 @@
 const Member *ownerOf(PoolId Pool, const std::vector<Member> &Members) {
   const Member *Best = nullptr;
   std::uint64_t BestScore = 0;
-  for (const Member &Each : Members) {
-    if (!isLive(Each.m_State))
+  for (const Member &Candidate : Members) {
+    if (!isLive(Candidate.m_State))
       continue;
-    const std::uint64_t Score = pairHash(Pool.value(), Each.m_Id.value());
+    const std::uint64_t Score = pairHash(Pool.value(), Candidate.m_Id.value());
     if (Best == nullptr || Score > BestScore) {
-      Best = &Each;
+      Best = &Candidate;
       BestScore = Score;
     }
   }
@@ -28,14 +28,14 @@
 std::vector<const Member *> homesOf(std::uint64_t Key, std::size_t Count,
                                     const std::vector<Member> &Members) {
   std::vector<std::pair<std::uint64_t, const Member *>> Scored;
-  for (const Member &Each : Members)
-    if (isLive(Each.m_State))
-      Scored.emplace_back(pairHash(Key, Each.m_Id.value()), &Each);
+  for (const Member &Candidate : Members)
+    if (isLive(Candidate.m_State))
+      Scored.emplace_back(pairHash(Key, Candidate.m_Id.value()), &Candidate);
   std::sort(Scored.rbegin(), Scored.rend());
   std::vector<const Member *> Result;
-  for (const auto &[Score, Home] : Scored)
+  for (const auto &[Score, Ranked] : Scored)
     if (Result.size() < Count)
-      Result.push_back(Home);
+      Result.push_back(Ranked);
   return Result;
 }
 
--- a/src/membership/view_exchange.cpp
+++ b/src/membership/view_exchange.cpp
@@ -7,7 +7,7 @@
 
 /// Under a constant stream of updates the hashes never settle. After this many
 /// differing heartbeats in a row the view is sent anyway.
-constexpr std::uint32_t MaxDiffering = 10;
+constexpr std::uint32_t MaxDifferingHeartbeats = 10;
 
 } // namespace
 
@@ -16,12 +16,12 @@
   const auto [Found, IsNew] = m_Last.try_emplace(Link);
   Seen &Last = Found->second;
   const bool Same = Own == Theirs;
-  const bool StoodStill =
+  const bool Unchanged =
       Last.m_Count > 0 && Last.m_Own == Own && Last.m_Theirs == Theirs;
   Last.m_Own = Own;
   Last.m_Theirs = Theirs;
   Last.m_Count = Same ? 0 : Last.m_Count + 1;
-  if (Same || !(IsNew || StoodStill || Last.m_Count >= MaxDiffering))
+  if (Same || !(IsNew || Unchanged || Last.m_Count >= MaxDifferingHeartbeats))
     return false;
   Last.m_Count = 0;
   return true;
--- a/src/membership/watch_list.cpp
+++ b/src/membership/watch_list.cpp
@@ -9,74 +9,77 @@
 
 /// Suspicion times, instead of one, that must pass before a silent member is
 /// reported while all watched members are silent.
-constexpr int Stretch = 3;
+constexpr int AllSilentFactor = 3;
 
 /// Upper limit of the timeout factor of a member that other processes reach
 /// but this one does not.
-constexpr std::uint32_t MaxPatience = 32;
+constexpr std::uint32_t MaxTimeoutFactor = 32;
 
 } // namespace
 
-void WatchList::linkUp(InstanceId Peer, LinkId Link, TimePoint Running,
+void WatchList::linkUp(InstanceId Peer, LinkId Link, TimePoint RunningTime,
                        TimePoint Now) {
   m_Links[Link] = Peer;
   m_Watches[Peer].m_Links.insert(Link);
-  heard(Link, Running, Now);
+  heard(Link, RunningTime, Now);
 }
 
-void WatchList::linkDown(LinkId Link, CloseReason Why) {
+void WatchList::linkDown(LinkId Link, CloseReason Reason) {
   const auto Found = m_Links.find(Link);
   if (Found == m_Links.end())
     return;
-  Watch &Which = m_Watches.at(Found->second);
+  Watch &Watched = m_Watches.at(Found->second);
   m_Links.erase(Found);
-  Which.m_Links.erase(Link);
-  Which.m_ClosedByPeer = Why == CloseReason::PeerClosed;
+  Watched.m_Links.erase(Link);
+  Watched.m_ClosedByPeer = Reason == CloseReason::PeerClosed;
   dropUnused();
 }
 
-void WatchList::heard(LinkId Link, TimePoint Running, TimePoint Now) {
+void WatchList::heard(LinkId Link, TimePoint RunningTime, TimePoint Now) {
   const auto Found = m_Links.find(Link);
   if (Found == m_Links.end())
     return;
-  Watch &Which = m_Watches.at(Found->second);
-  Which.m_HeardRunning = Running;
-  Which.m_HeardNow = Now;
-  Which.m_Patience = 1;
-  Which.m_ClosedByPeer = false;
-  Which.m_Accused = false;
+  Watch &Watched = m_Watches.at(Found->second);
+  Watched.m_HeardRunning = RunningTime;
+  Watched.m_HeardNow = Now;
+  Watched.m_Patience = 1;
+  Watched.m_ClosedByPeer = false;
+  Watched.m_Accused = false;
 }
 
 void WatchList::setTargets(const std::set<InstanceId> &Targets,
-                           TimePoint Running) {
-  for (auto &[Id, Which] : m_Watches)
-    Which.m_IsTarget = Targets.contains(Id);
+                           TimePoint RunningTime) {
+  for (auto &[Id, Watched] : m_Watches)
+    Watched.m_IsTarget = Targets.contains(Id);
   for (const InstanceId Id : Targets) {
     const auto [Found, IsNew] = m_Watches.try_emplace(Id);
     Found->second.m_IsTarget = true;
     if (IsNew)
-      Found->second.m_HeardRunning = Running;
+      Found->second.m_HeardRunning = RunningTime;
   }
   dropUnused();
 }
 
-bool WatchList::isSilent(const Watch &Which, TimePoint Running) const {
-  return Running - Which.m_HeardRunning > m_SuspectAfter * Which.m_Patience;
+bool WatchList::isSilent(const Watch &Watched, TimePoint RunningTime) const {
+  return RunningTime - Watched.m_HeardRunning >
+         m_SuspectAfter * Watched.m_Patience;
 }
 
-bool WatchList::allSilent(TimePoint Running) const {
+bool WatchList::allSilent(TimePoint RunningTime) const {
   return m_Watches.size() >= 2 &&
-         std::ranges::all_of(m_Watches, [&](const auto &Each) {
-           return isSilent(Each.second, Running);
+         std::ranges::all_of(m_Watches, [&](const auto &Entry) {
+           return isSilent(Entry.second, RunningTime);
          });
 }
 
-std::vector<InstanceId> WatchList::silent(TimePoint Running) const {
+std::vector<InstanceId> WatchList::silent(TimePoint RunningTime) const {
   const TimePoint Limit =
-      allSilent(Running) ? Running - m_SuspectAfter * (Stretch - 1) : Running;
+      allSilent(RunningTime)
+          ? RunningTime - m_SuspectAfter * (AllSilentFactor - 1)
+          : RunningTime;
   std::vector<InstanceId> Result;
-  for (const auto &[Id, Which] : m_Watches)
-    if (isSilent(Which, Limit))
+  for (const auto &[Id, Watched] : m_Watches)
+    if (isSilent(Watched, Limit))
       Result.push_back(Id);
   return Result;
 }
@@ -87,15 +90,15 @@
     Found->second.m_Accused = true;
 }
 
-std::vector<LinkId> WatchList::vouched(InstanceId Peer, TimePoint Running) {
+std::vector<LinkId> WatchList::vouched(InstanceId Peer, TimePoint RunningTime) {
   const auto Found = m_Watches.find(Peer);
   if (Found == m_Watches.end() || !Found->second.m_Accused)
     return {};
-  Watch &Which = Found->second;
-  Which.m_Accused = false;
-  Which.m_HeardRunning = Running;
-  Which.m_Patience = std::min(Which.m_Patience * 2, MaxPatience);
-  return {Which.m_Links.begin(), Which.m_Links.end()};
+  Watch &Watched = Found->second;
+  Watched.m_Accused = false;
+  Watched.m_HeardRunning = RunningTime;
+  Watched.m_Patience = std::min(Watched.m_Patience * 2, MaxTimeoutFactor);
+  return {Watched.m_Links.begin(), Watched.m_Links.end()};
 }
 
 bool WatchList::closedByPeer(InstanceId Peer) const {
@@ -107,14 +110,14 @@
 bool WatchList::hearsMost(TimePoint Now,
                           const std::function<bool(InstanceId)> &Counts) const {
   std::size_t Total = 1;
-  std::size_t Heard = 1;
-  for (const auto &[Id, Which] : m_Watches) {
+  std::size_t Received = 1;
+  for (const auto &[Id, Watched] : m_Watches) {
     if (!Counts(Id))
       continue;
     ++Total;
-    Heard += Now - Which.m_HeardNow <= m_SuspectAfter ? 1 : 0;
+    Received += Now - Watched.m_HeardNow <= m_SuspectAfter ? 1 : 0;
   }
-  return Heard * 2 > Total;
+  return Received * 2 > Total;
 }
 
 LinkId WatchList::linkTo(InstanceId Peer) const {
@@ -130,8 +133,8 @@
 }
 
 void WatchList::dropUnused() {
-  std::erase_if(m_Watches, [](const auto &Each) {
-    return !Each.second.m_IsTarget && Each.second.m_Links.empty();
+  std::erase_if(m_Watches, [](const auto &Entry) {
+    return !Entry.second.m_IsTarget && Entry.second.m_Links.empty();
   });
 }
 
--- a/src/membership/watch_list.h
+++ b/src/membership/watch_list.h
@@ -21,21 +21,22 @@
 public:
   explicit WatchList(Duration SuspectAfter) : m_SuspectAfter(SuspectAfter) {}
 
-  void linkUp(InstanceId Peer, LinkId Link, TimePoint Running, TimePoint Now);
-  void linkDown(LinkId Link, CloseReason Why);
+  void linkUp(InstanceId Peer, LinkId Link, TimePoint RunningTime,
+              TimePoint Now);
+  void linkDown(LinkId Link, CloseReason Reason);
   /// A frame arrived.
-  void heard(LinkId Link, TimePoint Running, TimePoint Now);
+  void heard(LinkId Link, TimePoint RunningTime, TimePoint Now);
 
   /// Replaces the targets, which are watched even without a link.
-  void setTargets(const std::set<InstanceId> &Targets, TimePoint Running);
+  void setTargets(const std::set<InstanceId> &Targets, TimePoint RunningTime);
 
   /// Returns the members silent for longer than their suspicion time. While
   /// everyone watched is silent, the fault is likely this process's own, and
   /// two more suspicion times must pass before any of them is returned.
-  [[nodiscard]] std::vector<InstanceId> silent(TimePoint Running) const;
+  [[nodiscard]] std::vector<InstanceId> silent(TimePoint RunningTime) const;
 
   /// Returns whether all watched members, and at least two, are silent.
-  [[nodiscard]] bool allSilent(TimePoint Running) const;
+  [[nodiscard]] bool allSilent(TimePoint RunningTime) const;
 
   /// Records that this process has reported \p Peer as suspect or dead.
   void accused(InstanceId Peer);
@@ -44,7 +45,7 @@
   /// failure of it, its own path to the peer is at fault: returns the links to
   /// close and doubles the suspicion time of the peer, until a frame of it
   /// arrives.
-  std::vector<LinkId> vouched(InstanceId Peer, TimePoint Running);
+  std::vector<LinkId> vouched(InstanceId Peer, TimePoint RunningTime);
 
   /// Returns whether \p Peer has no link left and closed the last one itself.
   [[nodiscard]] bool closedByPeer(InstanceId Peer) const;
@@ -77,7 +78,8 @@
     bool m_Accused = false;       ///< By this process, and not refuted since.
   };
 
-  [[nodiscard]] bool isSilent(const Watch &Which, TimePoint Running) const;
+  [[nodiscard]] bool isSilent(const Watch &Watched,
+                              TimePoint RunningTime) const;
   void dropUnused();
 
   Duration m_SuspectAfter;               ///< Of silence; > 0.
--- a/tests/unit/membership_core_test.cpp
+++ b/tests/unit/membership_core_test.cpp
@@ -24,13 +24,13 @@
     RC_ASSERT(runUntil(20s, [this] { return converged(); }) < 20s);
     run(1s);
   }
-  std::size_t anyone() { return pick(m_Nodes.size()); }
+  std::size_t randomNode() { return pick(m_Nodes.size()); }
 };
 
 /// Injects a random fault or repair and lets some time pass.
-void disturb(StartedFleet &Fleet) {
-  const std::size_t Victim = Fleet.anyone();
-  const std::size_t Other = Fleet.anyone();
+void injectRandomFault(StartedFleet &Fleet) {
+  const std::size_t Victim = Fleet.randomNode();
+  const std::size_t Other = Fleet.randomNode();
   switch (pick(7)) {
   case 0:
     Fleet.kill(Victim);
@@ -62,9 +62,9 @@
 void assertOneOwner(const FleetSim &Fleet) {
   for (std::uint64_t Pool = 0; Pool < 40; ++Pool) {
     std::set<InstanceId> Owners;
-    for (const FleetSim::Node &Each : Fleet.m_Nodes)
-      if (Each.m_Core)
-        Owners.insert(ownerOf(PoolId(Pool), Each.m_Core->members())->m_Id);
+    for (const FleetSim::Node &Node : Fleet.m_Nodes)
+      if (Node.m_Core)
+        Owners.insert(ownerOf(PoolId(Pool), Node.m_Core->members())->m_Id);
     RC_ASSERT(Owners.size() == 1U);
   }
 }
@@ -77,7 +77,7 @@
   StartedFleet Fleet(2, 10);
   const std::size_t Steps = 1 + pick(15);
   for (std::size_t Step = 0; Step < Steps; ++Step)
-    disturb(Fleet);
+    injectRandomFault(Fleet);
   Fleet.healAll();
   for (std::size_t Index = 0; Index < Fleet.m_Nodes.size(); ++Index)
     if (!Fleet.isUp(Index))
@@ -92,7 +92,7 @@
 /// the update. The limit is far below the 2 s within which a pool must move.
 RC_BOOST_PROP(KillIsSeenByAllWithinHalfASecond, ()) {
   StartedFleet Fleet(2, 24);
-  const std::size_t Victim = Fleet.anyone();
+  const std::size_t Victim = Fleet.randomNode();
   Fleet.kill(Victim);
   RC_ASSERT(Fleet.runUntil(2s, [&] { return Fleet.goneForAll(Victim); }) <
             500ms);
@@ -105,7 +105,7 @@
 /// death.
 RC_BOOST_PROP(FrozenMemberIsGivenUpAndComesBackHarmless, ()) {
   StartedFleet Fleet(4, 16);
-  const std::size_t Victim = Fleet.anyone();
+  const std::size_t Victim = Fleet.randomNode();
   Fleet.freeze(Victim);
   RC_ASSERT(Fleet.runUntil(10s, [&] { return Fleet.goneForAll(Victim); }) <
             3500ms);
@@ -134,10 +134,11 @@
   Fleet.freeze(Second);
   for (int Step = 0; Step < 200; ++Step) {
     Fleet.run(50ms);
-    for (std::size_t By = 0; By < Count; ++By)
-      for (std::size_t Whom = 0; Whom < Count; ++Whom)
-        if (Whom != First && Whom != Second && By != Second && Fleet.isUp(By))
-          RC_ASSERT(Fleet.isLiveFor(By, Whom));
+    for (std::size_t Observer = 0; Observer < Count; ++Observer)
+      for (std::size_t Subject = 0; Subject < Count; ++Subject)
+        if (Subject != First && Subject != Second && Observer != Second &&
+            Fleet.isUp(Observer))
+          RC_ASSERT(Fleet.isLiveFor(Observer, Subject));
   }
 }
 
@@ -146,20 +147,21 @@
 /// updates must not revive the dead member elsewhere.
 RC_BOOST_PROP(OldNewsBringsNobodyBack, ()) {
   StartedFleet Fleet(4, 12);
-  const std::size_t Sleeper = Fleet.anyone();
-  const std::size_t Victim = (Sleeper + 1) % Fleet.m_Nodes.size();
-  Fleet.freeze(Sleeper);
+  const std::size_t Frozen = Fleet.randomNode();
+  const std::size_t Victim = (Frozen + 1) % Fleet.m_Nodes.size();
+  Fleet.freeze(Frozen);
   Fleet.kill(Victim);
   Fleet.runUntil(10s, [&] { return Fleet.goneForAll(Victim); });
   Fleet.run(std::chrono::seconds(pick(60)));
-  Fleet.resetWhileFrozen(Sleeper);
-  Fleet.thaw(Sleeper);
+  Fleet.resetWhileFrozen(Frozen);
+  Fleet.thaw(Frozen);
   for (int Step = 0; Step < 200; ++Step) {
     Fleet.run(50ms);
-    for (std::size_t By = 0; By < Fleet.m_Nodes.size(); ++By) {
-      const bool Taken =
-          By != Sleeper && Fleet.isUp(By) && Fleet.isLiveFor(By, Victim);
-      RC_ASSERT(!Taken);
+    for (std::size_t Observer = 0; Observer < Fleet.m_Nodes.size();
+         ++Observer) {
+      const bool Revived = Observer != Frozen && Fleet.isUp(Observer) &&
+                           Fleet.isLiveFor(Observer, Victim);
+      RC_ASSERT(!Revived);
     }
   }
   RC_ASSERT(Fleet.converged());
@@ -170,7 +172,7 @@
 /// false suspicion floods the whole fleet.
 RC_BOOST_PROP(CutBetweenTwoIsNoDeath, ()) {
   StartedFleet Fleet(4, 10);
-  const std::size_t First = Fleet.anyone();
+  const std::size_t First = Fleet.randomNode();
   const std::size_t Second = (First + 1) % Fleet.m_Nodes.size();
   Fleet.cut(First, Second);
   Fleet.run(60s);
@@ -192,29 +194,29 @@
   for (std::size_t Left = 0; Left < Small; ++Left)
     for (std::size_t Right = Small; Right < Count; ++Right)
       Fleet.cut(Left, Right);
-  const auto Hears = [&](std::size_t Index) {
+  const auto IsInMajority = [&](std::size_t Index) {
     return Fleet.m_Nodes[Index].m_Core->hearsMajority(Fleet.m_Time.now());
   };
   Fleet.run(2500ms);
   for (int Step = 0; Step < 300; ++Step) {
     for (std::size_t Index = 0; Index < Small; ++Index)
-      RC_ASSERT(!Hears(Index));
+      RC_ASSERT(!IsInMajority(Index));
     Fleet.run(50ms);
   }
   for (std::size_t Index = Small; Index < Count; ++Index)
-    RC_ASSERT(Hears(Index));
+    RC_ASSERT(IsInMajority(Index));
   Fleet.healAll();
   RC_ASSERT(Fleet.runUntil(30s, [&] { return Fleet.converged(); }) < 30s);
   Fleet.run(2s);
   for (std::size_t Index = 0; Index < Count; ++Index)
-    RC_ASSERT(Hears(Index));
+    RC_ASSERT(IsInMajority(Index));
 }
 
 /// The instance's clock was set back between two starts, so that the second
 /// start has the lower incarnation. Its updates must not be taken for outdated.
 RC_BOOST_PROP(RestartWithAnOlderClockIsTakenBack, ()) {
   StartedFleet Fleet(3, 10);
-  const std::size_t Victim = Fleet.anyone();
+  const std::size_t Victim = Fleet.randomNode();
   Fleet.kill(Victim);
   Fleet.run(std::chrono::milliseconds(pick(4000)));
   Fleet.start(Victim, 1, {(Victim + 1) % Fleet.m_Nodes.size()});
@@ -224,7 +226,7 @@
 /// A member that leaves is removed at once, without a suspicion or a death.
 RC_BOOST_PROP(GoodbyeIsNoDeath, ()) {
   StartedFleet Fleet(2, 16);
-  const std::size_t Leaver = Fleet.anyone();
+  const std::size_t Leaver = Fleet.randomNode();
   Fleet.give(Leaver, Leave{});
   RC_ASSERT(Fleet.runUntil(1s, [&] { return Fleet.goneForAll(Leaver); }) <
             100ms);
@@ -240,14 +242,14 @@
   StartedFleet Fleet(2, 16);
   for (std::size_t Index = 0; Index < Fleet.m_Nodes.size(); ++Index)
     Fleet.give(Index, VersionConfirmed{TableVersion(7)});
-  const auto Seen = [&] {
-    for (const FleetSim::Node &Each : Fleet.m_Nodes)
-      for (const Member &Known : Each.m_Core->members())
+  const auto AllConfirmed = [&] {
+    for (const FleetSim::Node &Node : Fleet.m_Nodes)
+      for (const Member &Known : Node.m_Core->members())
         if (Known.m_TableVersion != TableVersion(7))
           return false;
     return true;
   };
-  RC_ASSERT(Fleet.runUntil(2s, Seen) < 600ms);
+  RC_ASSERT(Fleet.runUntil(2s, AllConfirmed) < 600ms);
 }
 
 /// When one member fails or leaves, only the pools that it owned move. The
@@ -277,7 +279,7 @@
 /// the fleet. Those for a change of the table, confirmed by all members within
 /// a second, do, but by far less than if each sent a message to each.
 BOOST_AUTO_TEST_CASE(CostOfAMemberIsConstantFrom8To360) {
-  std::map<std::size_t, double> Quiet;
+  std::map<std::size_t, double> QuietRates;
   for (const std::size_t Count : {8U, 64U, 360U}) {
     FleetSim Fleet(Count);
     Fleet.addMany(Count);
@@ -288,29 +290,29 @@
     const auto SentIn = [&](Duration Span) {
       const auto Sum = [&] {
         double Bytes = 0;
-        for (const FleetSim::Node &Each : Fleet.m_Nodes)
-          Bytes += static_cast<double>(Each.m_Bytes);
+        for (const FleetSim::Node &Node : Fleet.m_Nodes)
+          Bytes += static_cast<double>(Node.m_Bytes);
         return Bytes / static_cast<double>(Count);
       };
       const double Before = Sum();
       Fleet.run(Span);
       return Sum() - Before;
     };
-    Quiet[Count] = SentIn(5s) / 5;
-    double Change = -3 * Quiet[Count];
+    QuietRates[Count] = SentIn(5s) / 5;
+    double Change = -3 * QuietRates[Count];
     for (std::size_t Step = 0; Step < 20; ++Step) {
       for (std::size_t Index = Step; Index < Count; Index += 20)
         Fleet.give(Index, VersionConfirmed{TableVersion(1)});
       Change += SentIn(50ms);
     }
     Change += SentIn(2s);
-    BOOST_TEST_MESSAGE(Count << " members: each sends " << Quiet[Count]
+    BOOST_TEST_MESSAGE(Count << " members: each sends " << QuietRates[Count]
                              << " bytes/s, and " << Change
                              << " bytes for a change of the table");
     BOOST_TEST(Change < 250.0 * static_cast<double>(Count) + 2500.0);
   }
-  for (const auto &[Count, Each] : Quiet) {
-    BOOST_TEST(Each < 1.2 * Quiet[8]);
-    BOOST_TEST(Each < 1500.0);
+  for (const auto &[Count, Rate] : QuietRates) {
+    BOOST_TEST(Rate < 1.2 * QuietRates[8]);
+    BOOST_TEST(Rate < 1500.0);
   }
 }
--- a/tests/unit/membership_sim.h
+++ b/tests/unit/membership_sim.h
@@ -51,11 +51,11 @@
   // ---- Faults ----
   std::size_t add(const std::vector<std::size_t> &Hints) {
     const std::size_t Index = m_Nodes.size();
-    Node &Made = m_Nodes.emplace_back();
-    Made.m_Self.m_Name = "i" + std::to_string(Index);
-    Made.m_Self.m_Id = instanceIdOf(Made.m_Self.m_Name);
-    Made.m_Self.m_Address = addressOf(Index);
-    Made.m_Self.m_Zone = {"zone"};
+    Node &Added = m_Nodes.emplace_back();
+    Added.m_Self.m_Name = "i" + std::to_string(Index);
+    Added.m_Self.m_Id = instanceIdOf(Added.m_Self.m_Name);
+    Added.m_Self.m_Address = addressOf(Index);
+    Added.m_Self.m_Zone = {"zone"};
     start(Index, 1000 * (Index + 1), Hints);
     return Index;
   }
@@ -64,36 +64,36 @@
     for (std::size_t Index = 0; Index < Count; ++Index)
       add({Index / 2});
   }
-  void start(std::size_t Index, std::uint64_t Start,
+  void start(std::size_t Index, std::uint64_t NewIncarnation,
              const std::vector<std::size_t> &Hints) {
-    Node &Which = m_Nodes[Index];
-    Which.m_Self.m_Incarnation = Incarnation(Start);
-    Which.m_Frozen = false;
-    ++Which.m_Life;
-    Which.m_Core =
-        std::make_unique<MembershipCore>(m_Config, Which.m_Self, m_Time.now());
-    HintsGiven Given;
+    Node &Target = m_Nodes[Index];
+    Target.m_Self.m_Incarnation = Incarnation(NewIncarnation);
+    Target.m_Frozen = false;
+    ++Target.m_Life;
+    Target.m_Core =
+        std::make_unique<MembershipCore>(m_Config, Target.m_Self, m_Time.now());
+    HintsGiven Set;
     for (const std::size_t Hint : Hints)
-      Given.m_Hints.push_back(addressOf(Hint));
-    give(Index, Given);
-    tick(Index, Which.m_Life);
+      Set.m_Hints.push_back(addressOf(Hint));
+    give(Index, Set);
+    tick(Index, Target.m_Life);
   }
   void kill(std::size_t Index) {
-    Node &Which = m_Nodes[Index];
-    Which.m_Core.reset();
-    Which.m_Waiting.clear();
-    Which.m_Dials.clear();
-    ++Which.m_Life;
+    Node &Target = m_Nodes[Index];
+    Target.m_Core.reset();
+    Target.m_Waiting.clear();
+    Target.m_Dials.clear();
+    ++Target.m_Life;
     for (const std::size_t Link : linksOf(Index))
       breakLink(Link);
   }
   void freeze(std::size_t Index) { m_Nodes[Index].m_Frozen = true; }
   void thaw(std::size_t Index) {
-    Node &Which = m_Nodes[Index];
-    if (!std::exchange(Which.m_Frozen, false) || !Which.m_Core)
+    Node &Target = m_Nodes[Index];
+    if (!std::exchange(Target.m_Frozen, false) || !Target.m_Core)
       return;
-    for (const Event &Each : std::exchange(Which.m_Waiting, {}))
-      give(Index, Each);
+    for (const Event &Pending : std::exchange(Target.m_Waiting, {}))
+      give(Index, Pending);
   }
   /// Breaks the connections of a frozen node; events not yet handled are lost.
   void resetWhileFrozen(std::size_t Index) {
@@ -133,56 +133,59 @@
       run(5ms);
     return m_Time.now() - Begin;
   }
-  void give(std::size_t Index, const Event &What) {
-    Node &Which = m_Nodes[Index];
-    if (!Which.m_Core)
+  void give(std::size_t Index, const Event &Incoming) {
+    Node &Target = m_Nodes[Index];
+    if (!Target.m_Core)
       return;
-    if (Which.m_Frozen) {
-      Which.m_Waiting.push_back(What);
+    if (Target.m_Frozen) {
+      Target.m_Waiting.push_back(Incoming);
       return;
     }
-    perform(Index, Which.m_Core->handle(m_Time.now(), What));
+    perform(Index, Target.m_Core->handle(m_Time.now(), Incoming));
   }
 
   // ---- Observations ----
   [[nodiscard]] bool isUp(std::size_t Index) const {
     return m_Nodes[Index].m_Core != nullptr;
   }
-  [[nodiscard]] const Member *seen(std::size_t By, std::size_t Whom) const {
-    const auto &All = m_Nodes[By].m_Core->members();
+  [[nodiscard]] const Member *seen(std::size_t Observer,
+                                   std::size_t Subject) const {
+    const auto &All = m_Nodes[Observer].m_Core->members();
     const auto Found =
-        std::ranges::find(All, m_Nodes[Whom].m_Self.m_Id, &Member::m_Id);
+        std::ranges::find(All, m_Nodes[Subject].m_Self.m_Id, &Member::m_Id);
     return Found == All.end() ? nullptr : &*Found;
   }
-  [[nodiscard]] bool isLiveFor(std::size_t By, std::size_t Whom) const {
-    const Member *Known = seen(By, Whom);
+  [[nodiscard]] bool isLiveFor(std::size_t Observer,
+                               std::size_t Subject) const {
+    const Member *Known = seen(Observer, Subject);
     return Known != nullptr && isLive(Known->m_State);
   }
   /// Whether each running node lists exactly the running nodes as alive.
   [[nodiscard]] bool converged() const {
-    for (std::size_t By = 0; By < m_Nodes.size(); ++By)
-      for (std::size_t Whom = 0; isUp(By) && Whom < m_Nodes.size(); ++Whom) {
-        const Member *Known = seen(By, Whom);
+    for (std::size_t Observer = 0; Observer < m_Nodes.size(); ++Observer)
+      for (std::size_t Subject = 0; isUp(Observer) && Subject < m_Nodes.size();
+           ++Subject) {
+        const Member *Known = seen(Observer, Subject);
         const bool Alive =
             Known != nullptr && Known->m_State == MemberState::Alive;
-        if (Alive != isUp(Whom) || (!Alive && isLiveFor(By, Whom)))
+        if (Alive != isUp(Subject) || (!Alive && isLiveFor(Observer, Subject)))
           return false;
       }
     return true;
   }
   /// Whether no other running node that is not frozen lists \p Subject as live.
-  [[nodiscard]] bool goneForAll(std::size_t Whom) const {
-    for (std::size_t By = 0; By < m_Nodes.size(); ++By)
-      if (By != Whom && isUp(By) && !m_Nodes[By].m_Frozen &&
-          isLiveFor(By, Whom))
+  [[nodiscard]] bool goneForAll(std::size_t Subject) const {
+    for (std::size_t Observer = 0; Observer < m_Nodes.size(); ++Observer)
+      if (Observer != Subject && isUp(Observer) &&
+          !m_Nodes[Observer].m_Frozen && isLiveFor(Observer, Subject))
         return false;
     return true;
   }
   [[nodiscard]] int notices(NoticeKind Kind) const {
     int Sum = 0;
-    for (const Node &Each : m_Nodes)
-      if (const auto Found = Each.m_Notices.find(Kind);
-          Found != Each.m_Notices.end())
+    for (const Node &Counted : m_Nodes)
+      if (const auto Found = Counted.m_Notices.find(Kind);
+          Found != Counted.m_Notices.end())
         Sum += Found->second;
     return Sum;
   }
@@ -203,8 +206,8 @@
   static Address addressOf(std::size_t Index) {
     return {0x0A000000U + static_cast<std::uint32_t>(Index), 7000};
   }
-  static std::size_t indexOf(const Address &Where) {
-    return Where.m_Ip - 0x0A000000U;
+  static std::size_t indexOf(const Address &Remote) {
+    return Remote.m_Ip - 0x0A000000U;
   }
   static LinkId idOf(std::size_t Link) { return LinkId(Link + 1); }
   Duration delay() {
@@ -224,32 +227,32 @@
     return Result;
   }
 
-  void tick(std::size_t Index, std::uint64_t Life) {
+  void tick(std::size_t Index, std::uint64_t StartCount) {
     const auto Late =
         m_TickJitter.count() == 0 ? 0 : m_Random() % m_TickJitter.count();
     m_Timers.after(TickInterval + Duration(Late), [=, this] {
-      if (m_Nodes[Index].m_Life != Life)
+      if (m_Nodes[Index].m_Life != StartCount)
         return;
-      tick(Index, Life);
+      tick(Index, StartCount);
       if (!m_Nodes[Index].m_Frozen)
         give(Index, Tick{});
     });
   }
 
   /// Delivers an event to the end \p To of a connection after a random delay.
-  void send(std::size_t Link, std::size_t To, const Event &What) {
-    Connection &Which = m_Links[Link];
-    if (isCut(Which.m_Ends[0], Which.m_Ends[1])) {
-      Which.m_Stalled.emplace_back(To, What);
+  void send(std::size_t Link, std::size_t To, const Event &Sent) {
+    Connection &Route = m_Links[Link];
+    if (isCut(Route.m_Ends[0], Route.m_Ends[1])) {
+      Route.m_Stalled.emplace_back(To, Sent);
       return;
     }
-    TimePoint &Last = Which.m_Last[To];
+    TimePoint &Last = Route.m_Last[To];
     Last = std::max(Last, m_Time.now() + delay());
     m_Timers.after(Last - m_Time.now(), [=, this] {
-      const Connection &Now = m_Links[Link];
-      const bool IsEnd = std::holds_alternative<PeerDown>(What);
-      if (Now.m_Open || IsEnd)
-        give(Now.m_Ends[To], What);
+      const Connection &Current = m_Links[Link];
+      const bool IsClose = std::holds_alternative<PeerDown>(Sent);
+      if (Current.m_Open || IsClose)
+        give(Current.m_Ends[To], Sent);
     });
   }
 
@@ -263,60 +266,61 @@
   }
   void redial(std::size_t Link) {
     const std::size_t From = m_Links[Link].m_Ends[0];
-    const Address Where = addressOf(m_Links[Link].m_Ends[1]);
-    if (m_Nodes[From].m_Dials.contains(Where))
-      retry(From, Where);
+    const Address Remote = addressOf(m_Links[Link].m_Ends[1]);
+    if (m_Nodes[From].m_Dials.contains(Remote))
+      retry(From, Remote);
   }
 
-  void closeLink(std::size_t Link, std::size_t By) {
+  void closeLink(std::size_t Link, std::size_t Closer) {
     if (!std::exchange(m_Links[Link].m_Open, false))
       return;
-    const std::size_t End = m_Links[Link].m_Ends[0] == By ? 0 : 1;
+    const std::size_t End = m_Links[Link].m_Ends[0] == Closer ? 0 : 1;
     m_Timers.after(0us, [=, this] {
-      give(By, PeerDown{idOf(Link), CloseReason::Local});
+      give(Closer, PeerDown{idOf(Link), CloseReason::Local});
     });
     send(Link, 1 - End, PeerDown{idOf(Link), CloseReason::PeerClosed});
     redial(Link);
   }
 
-  void attempt(std::size_t From, const Address &Where) {
-    const std::size_t To = indexOf(Where);
-    const std::uint64_t Life = m_Nodes[From].m_Life;
+  void attempt(std::size_t From, const Address &Remote) {
+    const std::size_t To = indexOf(Remote);
+    const std::uint64_t StartCount = m_Nodes[From].m_Life;
     const bool Reaches = To < m_Nodes.size() && !isCut(From, To);
     const bool Refused = Reaches && !isUp(To);
-    const bool Answers = Reaches && isUp(To) && !m_Nodes[To].m_Frozen;
-    m_Timers.after(Answers || Refused ? 2 * delay() : 2s, [=, this] {
-      if (m_Nodes[From].m_Life != Life ||
-          !m_Nodes[From].m_Dials.contains(Where))
+    const bool Accepts = Reaches && isUp(To) && !m_Nodes[To].m_Frozen;
+    m_Timers.after(Accepts || Refused ? 2 * delay() : 2s, [=, this] {
+      if (m_Nodes[From].m_Life != StartCount ||
+          !m_Nodes[From].m_Dials.contains(Remote))
         return;
-      if (Answers && isUp(To)) {
-        m_Nodes[From].m_Dials[Where] = 0us;
+      if (Accepts && isUp(To)) {
+        m_Nodes[From].m_Dials[Remote] = 0us;
         m_Links.push_back({{From, To}});
         const std::size_t Link = m_Links.size() - 1;
         send(Link, 0, PeerUp{idOf(Link), m_Nodes[To].m_Self});
         send(Link, 1, PeerUp{idOf(Link), m_Nodes[From].m_Self});
         return;
       }
-      retry(From, Where);
-      give(From, DialFailed{Where, Refused ? CloseReason::ConnectRefused
-                                           : CloseReason::ConnectFailed});
+      retry(From, Remote);
+      give(From, DialFailed{Remote, Refused ? CloseReason::ConnectRefused
+                                            : CloseReason::ConnectFailed});
     });
   }
-  void retry(std::size_t From, const Address &Where) {
-    Duration &Backoff = m_Nodes[From].m_Dials[Where];
+  void retry(std::size_t From, const Address &Remote) {
+    Duration &Backoff = m_Nodes[From].m_Dials[Remote];
     const Duration Wait = std::max<Duration>(Backoff, 100ms);
     Backoff = std::min<Duration>(Wait * 2, 2s);
-    const std::uint64_t Life = m_Nodes[From].m_Life;
+    const std::uint64_t StartCount = m_Nodes[From].m_Life;
     m_Timers.after(Wait, [=, this] {
-      if (m_Nodes[From].m_Life == Life && m_Nodes[From].m_Dials.contains(Where))
-        attempt(From, Where);
+      if (m_Nodes[From].m_Life == StartCount &&
+          m_Nodes[From].m_Dials.contains(Remote))
+        attempt(From, Remote);
     });
   }
 
   void perform(std::size_t Index, const std::vector<Action> &Actions) {
     std::map<LinkId, wire::FrameT> Frames;
-    for (const Action &Each : Actions)
-      std::visit([&](const auto &Known) { run(Index, Known, Frames); }, Each);
+    for (const Action &Next : Actions)
+      std::visit([&](const auto &Known) { run(Index, Known, Frames); }, Next);
     for (const auto &[Link, Frame] : Frames) {
       std::vector<std::uint8_t> Encoded;
       link::appendFrame(Frame, Encoded);
@@ -324,40 +328,43 @@
       m_Nodes[Index].m_Bytes += Encoded.size();
     }
   }
-  void run(std::size_t Index, const Dial &What, auto &) {
-    if (m_Nodes[Index].m_Dials.try_emplace(What.m_Where).second)
-      attempt(Index, What.m_Where);
+  void run(std::size_t Index, const Dial &Requested, auto &) {
+    if (m_Nodes[Index].m_Dials.try_emplace(Requested.m_Where).second)
+      attempt(Index, Requested.m_Where);
   }
-  void run(std::size_t Index, const HangUp &What, auto &) {
-    m_Nodes[Index].m_Dials.erase(What.m_Where);
+  void run(std::size_t Index, const HangUp &Requested, auto &) {
+    m_Nodes[Index].m_Dials.erase(Requested.m_Where);
     for (const std::size_t Link : linksOf(Index))
       if (m_Links[Link].m_Ends[0] == Index &&
-          addressOf(m_Links[Link].m_Ends[1]) == What.m_Where)
+          addressOf(m_Links[Link].m_Ends[1]) == Requested.m_Where)
         closeLink(Link, Index);
   }
-  void run(std::size_t Index, const Drop &What, auto &) {
-    closeLink(What.m_Link.value() - 1, Index);
+  void run(std::size_t Index, const Drop &Requested, auto &) {
+    closeLink(Requested.m_Link.value() - 1, Index);
   }
   template <typename Message>
-  void forward(std::size_t Index, const Message &What, const Event &Arrives,
+  void forward(std::size_t Index, const Message &Outgoing, const Event &Arrival,
                auto &Frames) {
-    const std::size_t Link = What.m_Link.value() - 1;
+    const std::size_t Link = Outgoing.m_Link.value() - 1;
     if (m_Links[Link].m_Open)
-      send(Link, m_Links[Link].m_Ends[0] == Index ? 1 : 0, Arrives);
+      send(Link, m_Links[Link].m_Ends[0] == Index ? 1 : 0, Arrival);
     if (m_CountBytes)
-      put(What, Frames[What.m_Link]);
+      put(Outgoing, Frames[Outgoing.m_Link]);
   }
-  void run(std::size_t Index, const SendHeartbeat &What, auto &Frames) {
-    forward(Index, What, HeartbeatHeard{What.m_Link, What.m_ViewHash}, Frames);
+  void run(std::size_t Index, const SendHeartbeat &Outgoing, auto &Frames) {
+    forward(Index, Outgoing,
+            HeartbeatHeard{Outgoing.m_Link, Outgoing.m_ViewHash}, Frames);
   }
-  void run(std::size_t Index, const SendMembers &What, auto &Frames) {
-    forward(Index, What, MembersHeard{What.m_Link, What.m_Members}, Frames);
+  void run(std::size_t Index, const SendMembers &Outgoing, auto &Frames) {
+    forward(Index, Outgoing, MembersHeard{Outgoing.m_Link, Outgoing.m_Members},
+            Frames);
   }
-  void run(std::size_t Index, const SendNews &What, auto &Frames) {
-    forward(Index, What, NewsHeard{What.m_Link, What.m_News}, Frames);
+  void run(std::size_t Index, const SendNews &Outgoing, auto &Frames) {
+    forward(Index, Outgoing, NewsHeard{Outgoing.m_Link, Outgoing.m_News},
+            Frames);
   }
-  void run(std::size_t Index, const Notice &What, auto &) {
-    ++m_Nodes[Index].m_Notices[What.m_Kind];
+  void run(std::size_t Index, const Notice &Raised, auto &) {
+    ++m_Nodes[Index].m_Notices[Raised.m_Kind];
   }
   void run(std::size_t, const ViewChanged &, auto &) {}
 
