--- a/src/link/handshake.cpp
+++ b/src/link/handshake.cpp
@@ -20,7 +20,7 @@
   // generator is seeded at boot, nor returns fewer.
   if (getrandom(Result.data(), Result.size(), 0) !=
       static_cast<ssize_t>(Result.size()))
-    g_error("getrandom() failed");
+    g_error("getrandom() did not return a full nonce");
   return Result;
 }
 
