--- a/src/link/handshake.cpp
+++ b/src/link/handshake.cpp
@@ -70,8 +70,8 @@
   GHmac *m_Hmac; ///< Owned.
 };
 
-/// Compares without leaving early: the time taken must not tell a stranger how
-/// many bytes of a guess were right.
+/// Compares in constant time for equal sizes, so that the time taken does not
+/// reveal how many bytes of a guessed code are right.
 bool equalInConstantTime(const std::vector<std::uint8_t> &Expected,
                          const flatbuffers::Vector<std::uint8_t> &Given) {
   if (Given.size() != Expected.size())
--- a/src/membership/member_view.h
+++ b/src/membership/member_view.h
@@ -18,8 +18,7 @@
 enum class MergeResult : std::uint8_t {
   Nothing,     ///< The update is known or outdated.
   VersionOnly, ///< Only the confirmed table version rose.
-  StateOnly,   ///< Same incarnation, higher state; the
-               ///< version may have risen too.
+  StateOnly,   ///< Higher state; the version may have risen too.
   Joined,      ///< A new member or a higher incarnation.
 };
 
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -60,7 +60,7 @@
     put(Outgoing, m_Transport.outbox(Outgoing.m_Link));
   }
 
-  Timer m_Tick;                                   ///< Always running.
+  Timer m_Tick;                                   ///< Runs from start() on.
   std::array<Counter *, NoticeCount> m_Notices{}; ///< By kind; never null.
   std::array<Gauge *, 4> m_States{};              ///< By state; never null.
   Gauge &m_Majority;                              ///< 1 or 0.
--- a/tests/unit/membership_sim.h
+++ b/tests/unit/membership_sim.h
@@ -199,8 +199,8 @@
     std::size_t m_Ends[2]; ///< The dialer is first.
     bool m_Open = true;
     TimePoint m_Last[2] = {}; ///< Last arrival at each end, to keep order.
-    std::vector<std::pair<std::size_t, Event>>
-        m_Stalled; ///< Held back by a cut.
+    /// Held back by a cut, each with the end to which it is sent.
+    std::vector<std::pair<std::size_t, Event>> m_Stalled;
   };
 
   static Address addressOf(std::size_t Index) {
