--- a/tests/unit/link_codec_test.cpp
+++ b/tests/unit/link_codec_test.cpp
@@ -130,11 +130,11 @@
 
 RC_BOOST_PROP(TruncatedStreamWaitsForMore, ()) {
   Buffer Stream = randomStream();
-  const std::size_t Whole = readAll(Stream, 64).m_Frames.size();
+  const std::size_t FrameCount = readAll(Stream, 64).m_Frames.size();
   Stream.resize(Stream.size() - 1);
   const Outcome Read = readAll(Stream, 64);
   RC_ASSERT(!Read.m_Reason);
-  RC_ASSERT(Read.m_Frames.size() == Whole - 1);
+  RC_ASSERT(Read.m_Frames.size() == FrameCount - 1);
 }
 
 /// A length over the limit is rejected from its 4 bytes alone. The reader must
