--- a/src/link/handshake.cpp
+++ b/src/link/handshake.cpp
@@ -16,15 +16,16 @@
 
 std::vector<std::uint8_t> freshNonce() {
   std::vector<std::uint8_t> Result(NonceSize);
-  // Up to 256 bytes getrandom() neither blocks after boot nor comes short.
+  // For up to 256 bytes, getrandom() neither blocks, once the kernel's
+  // generator is seeded at boot, nor returns fewer.
   if (getrandom(Result.data(), Result.size(), 0) !=
       static_cast<ssize_t>(Result.size()))
-    g_error("getrandom() failed");
+    g_error("getrandom() did not return a full nonce");
   return Result;
 }
 
-/// HMAC-SHA256 over fields; each with its length, so that moving a byte from
-/// one field to the next gives another code.
+/// HMAC-SHA256 over fields. Each is prefixed with its length, so that moving a
+/// byte from one field to the next changes the code.
 class Authenticator {
 public:
   explicit Authenticator(const std::string &Key)
@@ -69,8 +70,8 @@
   GHmac *m_Hmac; ///< Owned.
 };
 
-/// Compares without leaving early: the time taken must not tell a stranger how
-/// many bytes of a guess were right.
+/// Compares in constant time for equal sizes, so that the time taken does not
+/// reveal how many bytes of a guessed code are right.
 bool equalInConstantTime(const std::vector<std::uint8_t> &Expected,
                          const flatbuffers::Vector<std::uint8_t> &Given) {
   if (Given.size() != Expected.size())
@@ -106,8 +107,8 @@
 
 } // namespace
 
-Handshake::Handshake(const LinkConfig &Config, Side Own)
-    : m_Key(Config.m_Key), m_Side(Own), m_Own(helloOf(Config)) {}
+Handshake::Handshake(const LinkConfig &Config, Side OwnSide)
+    : m_Key(Config.m_Key), m_Side(OwnSide), m_Own(helloOf(Config)) {}
 
 HandshakeStep Handshake::take(const wire::Frame &Frame) {
   if (hasMessages(Frame))
@@ -119,15 +120,16 @@
   return Rejected{CloseReason::BadFrame};
 }
 
-HandshakeStep Handshake::takeHello(const wire::Hello &Theirs) {
-  if (Theirs.schema() != SchemaVersion)
+HandshakeStep Handshake::takeHello(const wire::Hello &Received) {
+  if (Received.schema() != SchemaVersion)
     return Rejected{CloseReason::WrongSchema};
   wire::HelloT Hello;
-  Theirs.UnPackTo(&Hello);
+  Received.UnPackTo(&Hello);
   if (Hello.nonce.size() != NonceSize || Hello.instance.empty())
     return Rejected{CloseReason::BadFrame};
-  // A process that finds its own address among its hints would otherwise count
-  // itself as a peer. The check also ends a relay of this process to itself.
+  // A process that dials its own address, as one of its hints, would otherwise
+  // count itself as a peer. The check also rejects a relay that connects this
+  // process to itself.
   if (Hello.role == m_Own.role && Hello.instance == m_Own.instance &&
       Hello.incarnation == m_Own.incarnation)
     return Rejected{CloseReason::BadProof};
@@ -137,9 +139,9 @@
   return HandshakeGoesOn{proofOf(m_Side)};
 }
 
-HandshakeStep Handshake::takeProof(const wire::Proof &Theirs) {
-  if (Theirs.mac() == nullptr ||
-      !equalInConstantTime(proofOf(other()).mac, *Theirs.mac()))
+HandshakeStep Handshake::takeProof(const wire::Proof &Received) {
+  if (Received.mac() == nullptr ||
+      !equalInConstantTime(proofOf(other()).mac, *Received.mac()))
     return Rejected{CloseReason::BadProof};
   HandshakeDone Done;
   Done.m_Peer = peerOf(*m_Peer);
