--- a/src/contract/contract_column.cpp
+++ b/src/contract/contract_column.cpp
@@ -17,13 +17,13 @@
 /// Allows only characters that spreadsheet programs and shells do not
 /// interpret. A text can't begin with - or /, so that no spreadsheet program
 /// takes a cell for a formula.
-bool plainText(const std::string &Text) {
-  const auto Plain = [](char Ch) {
+bool isPlainText(const std::string &Text) {
+  const auto IsAllowed = [](char Ch) {
     return (Ch >= 'a' && Ch <= 'z') || (Ch >= 'A' && Ch <= 'Z') ||
            (Ch >= '0' && Ch <= '9') ||
            std::string_view("-_./:").find(Ch) != std::string_view::npos;
   };
-  return std::ranges::all_of(Text, Plain) &&
+  return std::ranges::all_of(Text, IsAllowed) &&
          (Text.empty() ||
           std::string_view("-/").find(Text.front()) == std::string_view::npos);
 }
@@ -74,11 +74,11 @@
 /// or is out of range.
 struct CellSetter {
   Contract &m_Row;          ///< Written to.
-  const Column &m_Where;    ///< For the range.
+  const Column &m_Column;   ///< For the range.
   const CellValue &m_Value; ///< Value to write.
 
   [[nodiscard]] bool inRange(std::int64_t Number) const {
-    return Number >= m_Where.m_Least && Number <= m_Where.m_Greatest;
+    return Number >= m_Column.m_Least && Number <= m_Column.m_Greatest;
   }
   [[nodiscard]] std::optional<std::int64_t> number() const {
     const auto *Number = std::get_if<std::int64_t>(&m_Value);
@@ -95,13 +95,13 @@
 
   bool operator()(ClassId Contract::*Field) const {
     std::uint16_t Id = 0;
-    const bool Done = setNumber(Id);
+    const bool IsValid = setNumber(Id);
     m_Row.*Field = ClassId(Id);
-    return Done;
+    return IsValid;
   }
   bool operator()(std::string Contract::*Field) const {
     const auto *Text = std::get_if<std::string>(&m_Value);
-    if (Text == nullptr || !plainText(*Text) ||
+    if (Text == nullptr || !isPlainText(*Text) ||
         !inRange(static_cast<std::int64_t>(Text->size())))
       return false;
     m_Row.*Field = *Text;
@@ -115,9 +115,9 @@
   }
   bool operator()(Duration Contract::*Field) const {
     milliseconds Time{};
-    const bool Done = setNumber(Time);
+    const bool IsValid = setNumber(Time);
     m_Row.*Field = Time;
-    return Done;
+    return IsValid;
   }
   bool operator()(bool Contract::*Field) const {
     const auto *Flag = std::get_if<bool>(&m_Value);
@@ -127,11 +127,10 @@
   }
 };
 
-std::optional<CellValue> parseCell(const Column &Where,
-                                   const std::string &Text) {
-  if (std::holds_alternative<std::string Contract::*>(Where.m_Field))
+std::optional<CellValue> parseCell(const Column &Col, const std::string &Text) {
+  if (std::holds_alternative<std::string Contract::*>(Col.m_Field))
     return Text;
-  if (std::holds_alternative<bool Contract::*>(Where.m_Field))
+  if (std::holds_alternative<bool Contract::*>(Col.m_Field))
     return parseFlag(Text);
   return parseNumber(Text);
 }
@@ -153,23 +152,23 @@
   return Found == columns().end() ? nullptr : &*Found;
 }
 
-CellValue cellOf(const Contract &Row, const Column &Where) {
-  return std::visit(CellGetter{Row}, Where.m_Field);
+CellValue cellOf(const Contract &Row, const Column &Col) {
+  return std::visit(CellGetter{Row}, Col.m_Field);
 }
 
-void setCell(Contract &Row, const Column &Where, const CellValue &Value,
-             std::size_t Number) {
-  if (!std::visit(CellSetter{Row, Where, Value}, Where.m_Field))
-    throw TableCellError(Number, Where.m_Name, textOf(Value),
-                         allowedText(Where));
+void setCell(Contract &Row, const Column &Col, const CellValue &Value,
+             std::size_t RowNumber) {
+  if (!std::visit(CellSetter{Row, Col, Value}, Col.m_Field))
+    throw TableCellError(RowNumber, Col.m_Name, textOf(Value),
+                         allowedText(Col));
 }
 
-void setCellText(Contract &Row, const Column &Where, const std::string &Text,
-                 std::size_t Number) {
-  const std::optional<CellValue> Value = parseCell(Where, Text);
+void setCellText(Contract &Row, const Column &Col, const std::string &Text,
+                 std::size_t RowNumber) {
+  const std::optional<CellValue> Value = parseCell(Col, Text);
   if (!Value)
-    throw TableCellError(Number, Where.m_Name, Text, allowedText(Where));
-  setCell(Row, Where, *Value, Number);
+    throw TableCellError(RowNumber, Col.m_Name, Text, allowedText(Col));
+  setCell(Row, Col, *Value, RowNumber);
 }
 
 std::string textOf(const CellValue &Value) {
@@ -180,12 +179,12 @@
   return std::get<std::string>(Value);
 }
 
-std::string allowedText(const Column &Where) {
+std::string allowedText(const Column &Col) {
   const std::string Range =
-      std::to_string(Where.m_Least) + " to " + std::to_string(Where.m_Greatest);
-  if (std::holds_alternative<bool Contract::*>(Where.m_Field))
+      std::to_string(Col.m_Least) + " to " + std::to_string(Col.m_Greatest);
+  if (std::holds_alternative<bool Contract::*>(Col.m_Field))
     return "yes or no";
-  if (std::holds_alternative<std::string Contract::*>(Where.m_Field))
+  if (std::holds_alternative<std::string Contract::*>(Col.m_Field))
     return Range + " letters, digits and -_./: (not - or / first)";
   return "whole numbers from " + Range;
 }
--- a/src/contract/contract_column.h
+++ b/src/contract/contract_column.h
@@ -40,23 +40,23 @@
 const Column *findColumn(const std::string &Name);
 
 /// Returns the cell of \p Row in \p Col; durations in milliseconds.
-CellValue cellOf(const Contract &Row, const Column &Where);
+CellValue cellOf(const Contract &Row, const Column &Col);
 
 /// Sets the cell of \p Row in \p Col; \p RowNumber counts from 1.
 /// \throws TableCellError if \p Value has the wrong type or is out of range.
-void setCell(Contract &Row, const Column &Where, const CellValue &Value,
-             std::size_t Number);
+void setCell(Contract &Row, const Column &Col, const CellValue &Value,
+             std::size_t RowNumber);
 
 /// Parses \p Text in CSV notation and sets the cell of \p Row in \p Col.
 /// \throws TableCellError.
-void setCellText(Contract &Row, const Column &Where, const std::string &Text,
-                 std::size_t Number);
+void setCellText(Contract &Row, const Column &Col, const std::string &Text,
+                 std::size_t RowNumber);
 
 /// Returns \p Value in CSV notation.
 std::string textOf(const CellValue &Value);
 
 /// Returns a description of the column's allowed values, for error messages.
-std::string allowedText(const Column &Where);
+std::string allowedText(const Column &Col);
 
 } // namespace crowstep::contract
 
--- a/src/contract/contract_csv.cpp
+++ b/src/contract/contract_csv.cpp
@@ -21,15 +21,15 @@
   Record m_Current;              ///< The record being parsed.
 };
 
-void takeField(void *Text, size_t Size, void *Data) {
+void onField(void *Text, size_t Size, void *Data) {
   const char *Begin = Text == nullptr ? "" : static_cast<const char *>(Text);
   static_cast<RecordCollector *>(Data)->m_Current.emplace_back(Begin, Size);
 }
 
-void takeRecord(int, void *Data) {
-  auto *Into = static_cast<RecordCollector *>(Data);
-  Into->m_Records.push_back(std::move(Into->m_Current));
-  Into->m_Current.clear();
+void onRecord(int, void *Data) {
+  auto *Collector = static_cast<RecordCollector *>(Data);
+  Collector->m_Records.push_back(std::move(Collector->m_Current));
+  Collector->m_Current.clear();
 }
 
 /// Spreadsheet programs separate the cells by semicolons in locales that use
@@ -49,12 +49,12 @@
   const std::unique_ptr<csv_parser, decltype(&csv_free)> Owner(&Parser,
                                                                csv_free);
   csv_set_delim(&Parser, static_cast<unsigned char>(delimiterOf(Text)));
-  RecordCollector Into;
-  if (csv_parse(&Parser, Text.data(), Text.size(), takeField, takeRecord,
-                &Into) != Text.size() ||
-      csv_fini(&Parser, takeField, takeRecord, &Into) != 0)
+  RecordCollector Collector;
+  if (csv_parse(&Parser, Text.data(), Text.size(), onField, onRecord,
+                &Collector) != Text.size() ||
+      csv_fini(&Parser, onField, onRecord, &Collector) != 0)
     throw TableFormatError(csv_strerror(csv_error(&Parser)));
-  return std::move(Into.m_Records);
+  return std::move(Collector.m_Records);
 }
 
 std::vector<const Column *> readHeader(const Record &Header) {
@@ -68,24 +68,24 @@
       throw TableCellError(0, Name, Name, "each column once");
     Result.push_back(Found);
   }
-  for (const Column &Each : columns())
-    if (!Each.m_Default && !Seen.contains(Each.m_Name))
-      throw TableCellError(0, Each.m_Name, "", "this column must be there");
+  for (const Column &Col : columns())
+    if (!Col.m_Default && !Seen.contains(Col.m_Name))
+      throw TableCellError(0, Col.m_Name, "", "this column must be there");
   return Result;
 }
 
 Contract readRecord(const std::vector<const Column *> &Header,
-                    const Record &Cells, std::size_t Number) {
+                    const Record &Cells, std::size_t RowNumber) {
   if (Cells.size() != Header.size())
-    throw TableCellError(Number, Header.front()->m_Name, Cells.front(),
+    throw TableCellError(RowNumber, Header.front()->m_Name, Cells.front(),
                          std::to_string(Header.size()) + " cells, not " +
                              std::to_string(Cells.size()));
   Contract Result;
   for (std::size_t Index = 0; Index < Cells.size(); ++Index) {
-    const Column &Where = *Header[Index];
-    const bool Absent = Cells[Index].empty() && Where.m_Default.has_value();
-    setCellText(Result, Where, Absent ? *Where.m_Default : Cells[Index],
-                Number);
+    const Column &Col = *Header[Index];
+    const bool UseDefault = Cells[Index].empty() && Col.m_Default.has_value();
+    setCellText(Result, Col, UseDefault ? *Col.m_Default : Cells[Index],
+                RowNumber);
   }
   return Result;
 }
@@ -103,23 +103,23 @@
 
 std::string writeCsv(const ContractTable &Table) {
   std::string Result;
-  for (const Column &Each : columns())
-    Result += (Result.empty() ? "" : ",") + Each.m_Name;
+  for (const Column &Col : columns())
+    Result += (Result.empty() ? "" : ",") + Col.m_Name;
   Result += '\n';
   for (const Contract &Row : Table.m_Contracts) {
     std::string Line;
-    for (const Column &Each : columns())
-      Line += (&Each == &columns().front() ? "" : ",") +
-              quoted(textOf(cellOf(Row, Each)));
+    for (const Column &Col : columns())
+      Line += (&Col == &columns().front() ? "" : ",") +
+              quoted(textOf(cellOf(Row, Col)));
     Result += Line + '\n';
   }
   return Result;
 }
 
 ContractTable readCsv(const std::string &Text) {
-  const bool Marked = Text.starts_with(ByteOrderMark);
+  const bool HasMark = Text.starts_with(ByteOrderMark);
   const std::vector<Record> Records =
-      parseRecords(Marked ? Text.substr(ByteOrderMark.size()) : Text);
+      parseRecords(HasMark ? Text.substr(ByteOrderMark.size()) : Text);
   if (Records.empty())
     throw TableFormatError("no header row");
   const std::vector<const Column *> Header = readHeader(Records.front());
--- a/src/contract/contract_error.h
+++ b/src/contract/contract_error.h
@@ -26,15 +26,15 @@
 /// The text is not a table in a format that this build reads.
 class TableFormatError : public Error {
 public:
-  explicit TableFormatError(const std::string &Why)
-      : Error("not a table: " + Why) {}
+  explicit TableFormatError(const std::string &Reason)
+      : Error("not a table: " + Reason) {}
 };
 
 /// The configuration of a TableKeeper is invalid.
 class TableKeeperConfigError : public Error {
 public:
-  explicit TableKeeperConfigError(const std::string &Why)
-      : Error("keeper of the table: " + Why) {}
+  explicit TableKeeperConfigError(const std::string &Reason)
+      : Error("keeper of the table: " + Reason) {}
 };
 
 } // namespace crowstep::contract
--- a/src/contract/contract_json.cpp
+++ b/src/contract/contract_json.cpp
@@ -12,11 +12,12 @@
 using nlohmann::json;
 
 json cellToJson(const CellValue &Value) {
-  return std::visit([](const auto &Plain) { return json(Plain); }, Value);
+  return std::visit([](const auto &Alternative) { return json(Alternative); },
+                    Value);
 }
 
-CellValue cellFromJson(const json &Value, const Column &Where,
-                       std::size_t Number) {
+CellValue cellFromJson(const json &Value, const Column &Col,
+                       std::size_t RowNumber) {
   if (Value.is_boolean())
     return Value.get<bool>();
   if (Value.is_string())
@@ -25,27 +26,28 @@
   if (Value.is_number_integer() &&
       (!Value.is_number_unsigned() ||
        Value.get<std::uint64_t>() <=
-           static_cast<std::uint64_t>(Where.m_Greatest)))
+           static_cast<std::uint64_t>(Col.m_Greatest)))
     return Value.get<std::int64_t>();
-  throw TableCellError(Number, Where.m_Name, Value.dump(), allowedText(Where));
+  throw TableCellError(RowNumber, Col.m_Name, Value.dump(), allowedText(Col));
 }
 
-Contract rowFromJson(const json &Value, std::size_t Number) {
+Contract rowFromJson(const json &Value, std::size_t RowNumber) {
   if (!Value.is_object())
-    throw TableFormatError("row " + std::to_string(Number) + " is no object");
+    throw TableFormatError("row " + std::to_string(RowNumber) +
+                           " is no object");
   for (const auto &Item : Value.items())
     if (findColumn(Item.key()) == nullptr)
-      throw TableCellError(Number, Item.key(), Item.value().dump(),
+      throw TableCellError(RowNumber, Item.key(), Item.value().dump(),
                            "a column of the table");
   Contract Result;
-  for (const Column &Each : columns()) {
-    const auto Found = Value.find(Each.m_Name);
+  for (const Column &Col : columns()) {
+    const auto Found = Value.find(Col.m_Name);
     if (Found != Value.end())
-      setCell(Result, Each, cellFromJson(*Found, Each, Number), Number);
-    else if (Each.m_Default)
-      setCellText(Result, Each, *Each.m_Default, Number);
+      setCell(Result, Col, cellFromJson(*Found, Col, RowNumber), RowNumber);
+    else if (Col.m_Default)
+      setCellText(Result, Col, *Col.m_Default, RowNumber);
     else
-      throw TableCellError(Number, Each.m_Name, "", allowedText(Each));
+      throw TableCellError(RowNumber, Col.m_Name, "", allowedText(Col));
   }
   return Result;
 }
@@ -68,8 +70,8 @@
   json Rows = json::array();
   for (const Contract &Row : Table.m_Contracts) {
     json Cells = json::object();
-    for (const Column &Each : columns())
-      Cells[Each.m_Name] = cellToJson(cellOf(Row, Each));
+    for (const Column &Col : columns())
+      Cells[Col.m_Name] = cellToJson(cellOf(Row, Col));
     Rows.push_back(std::move(Cells));
   }
   return {{"format", TableFormat},
--- a/src/contract/contract_validate.cpp
+++ b/src/contract/contract_validate.cpp
@@ -13,26 +13,26 @@
 /// Frames carry the whole table; this many rows are far below their limit.
 constexpr std::size_t MaxRows = 1000;
 
-void fail(const Contract &Row, const char *Name, std::size_t Number,
+void fail(const Contract &Row, const char *Name, std::size_t RowNumber,
           const std::string &Allowed) {
-  const Column *Where = findColumn(Name);
-  throw TableCellError(Number, Name, textOf(cellOf(Row, *Where)), Allowed);
+  const Column *Col = findColumn(Name);
+  throw TableCellError(RowNumber, Name, textOf(cellOf(Row, *Col)), Allowed);
 }
 
 /// Checks every cell, as a table may come from code rather than a reader.
-void checkCells(const Contract &Row, std::size_t Number) {
+void checkCells(const Contract &Row, std::size_t RowNumber) {
   Contract Copy;
-  for (const Column &Each : columns())
-    setCell(Copy, Each, cellOf(Row, Each), Number);
+  for (const Column &Col : columns())
+    setCell(Copy, Col, cellOf(Row, Col), RowNumber);
 }
 
-void checkRow(const Contract &Row, std::size_t Number) {
-  checkCells(Row, Number);
+void checkRow(const Contract &Row, std::size_t RowNumber) {
+  checkCells(Row, RowNumber);
   if (Row.m_TotalLimit < Row.m_FirstTokenTarget)
-    fail(Row, "total_ms", Number, "no less than first_token_ms");
+    fail(Row, "total_ms", RowNumber, "no less than first_token_ms");
   // A preempted call that may not be retried would have an unknown outcome.
   if (Row.m_Preemptible && !Row.m_Repeatable)
-    fail(Row, "preemptible", Number, "no, where repeatable is no");
+    fail(Row, "preemptible", RowNumber, "no, where repeatable is no");
 }
 
 const Contract *findRow(const ContractTable &Table, ClassId Id) {
@@ -41,23 +41,23 @@
 }
 
 void addRowDifference(const Contract &Before, const Contract &After,
-                      std::vector<std::string> &Into) {
-  for (const Column &Each : columns()) {
-    const std::string Old = textOf(cellOf(Before, Each));
-    const std::string New = textOf(cellOf(After, Each));
+                      std::vector<std::string> &Lines) {
+  for (const Column &Col : columns()) {
+    const std::string Old = textOf(cellOf(Before, Col));
+    const std::string New = textOf(cellOf(After, Col));
     if (Old == New)
       continue;
-    std::string Line = Before.m_Name + "." + Each.m_Name;
+    std::string Line = Before.m_Name + "." + Col.m_Name;
     Line += ": " + Old;
     Line += " -> " + New;
-    Into.push_back(std::move(Line));
+    Lines.push_back(std::move(Line));
   }
 }
 
-std::vector<ClassId> commonOrder(const ContractTable &Of,
-                                 const ContractTable &Other) {
+std::vector<ClassId> commonIdsInOrder(const ContractTable &Table,
+                                      const ContractTable &Other) {
   std::vector<ClassId> Result;
-  for (const Contract &Row : Of.m_Contracts)
+  for (const Contract &Row : Table.m_Contracts)
     if (findRow(Other, Row.m_Id) != nullptr)
       Result.push_back(Row.m_Id);
   return Result;
@@ -70,14 +70,14 @@
   std::set<std::string> Names;
   for (std::size_t Index = 0; Index < Table.m_Contracts.size(); ++Index) {
     const Contract &Row = Table.m_Contracts[Index];
-    const std::size_t Number = Index + 1;
-    checkRow(Row, Number);
+    const std::size_t RowNumber = Index + 1;
+    checkRow(Row, RowNumber);
     if (!Ids.insert(Row.m_Id).second)
-      fail(Row, "id", Number, "each id once");
+      fail(Row, "id", RowNumber, "each id once");
     if (!Names.insert(Row.m_Name).second)
-      fail(Row, "class", Number, "each class once");
-    if (Number > MaxRows)
-      fail(Row, "id", Number, std::to_string(MaxRows) + " rows");
+      fail(Row, "class", RowNumber, "each class once");
+    if (RowNumber > MaxRows)
+      fail(Row, "id", RowNumber, std::to_string(MaxRows) + " rows");
   }
 }
 
@@ -94,7 +94,7 @@
     else
       addRowDifference(*Old, Row, Result);
   }
-  if (commonOrder(Before, After) != commonOrder(After, Before))
+  if (commonIdsInOrder(Before, After) != commonIdsInOrder(After, Before))
     Result.emplace_back("order of the rows");
   return Result;
 }
--- a/src/contract/table_change.cpp
+++ b/src/contract/table_change.cpp
@@ -18,36 +18,38 @@
 std::vector<std::string> unconfirmed(const ChangeContext &Context,
                                      TableVersion Version) {
   std::vector<std::string> Result;
-  for (const membership::Member &Each : Context.m_Members) {
-    const TableVersion Held =
-        Each.m_Id == Context.m_Self ? Context.m_Confirmed : Each.m_TableVersion;
-    if (isPresent(Each) && Held < Version)
-      Result.push_back(Each.m_Name);
+  for (const membership::Member &Member : Context.m_Members) {
+    const TableVersion Held = Member.m_Id == Context.m_Self
+                                  ? Context.m_Confirmed
+                                  : Member.m_TableVersion;
+    if (isPresent(Member) && Held < Version)
+      Result.push_back(Member.m_Name);
   }
   return Result;
 }
 
 /// Adds the voters that have not confirmed \p Version and so keep it from
 /// being settled.
-void addSilentVoters(const ChangeContext &Context,
-                     const std::vector<Voters> &Quorums, TableVersion Version,
-                     std::vector<std::string> &Names) {
+void addUnconfirmedVoters(const ChangeContext &Context,
+                          const std::vector<Voters> &Quorums,
+                          TableVersion Version,
+                          std::vector<std::string> &Names) {
   for (const Voters &Quorum : Quorums)
     for (const std::string &Name : Quorum) {
       const auto Found = Context.m_Known.voters().find(instanceIdOf(Name));
-      const bool Heard = Found != Context.m_Known.voters().end() &&
-                         Found->second.m_Version >= Version;
-      if (!Heard && std::ranges::find(Names, Name) == Names.end())
+      const bool IsConfirmed = Found != Context.m_Known.voters().end() &&
+                               Found->second.m_Version >= Version;
+      if (!IsConfirmed && std::ranges::find(Names, Name) == Names.end())
         Names.push_back(Name);
     }
 }
 
 } // namespace
 
-ChangeProgress::ChangeProgress(ChangeAsked Asked, CommitId Commit,
-                               TimePoint AskedAt, TimePoint Until)
-    : m_Asked(std::move(Asked)), m_Commit(std::move(Commit)),
-      m_AskedAt(AskedAt), m_Until(Until) {}
+ChangeProgress::ChangeProgress(ChangeAsked Request, CommitId Commit,
+                               TimePoint RequestedAt, TimePoint Deadline)
+    : m_Asked(std::move(Request)), m_Commit(std::move(Commit)),
+      m_AskedAt(RequestedAt), m_Until(Deadline) {}
 
 void ChangeProgress::rowRead(const ChangeContext &Context, const RowImage &Row,
                              TableActions &Out) {
@@ -69,10 +71,10 @@
     spread(Context, Present);
     return;
   }
-  const bool Settled = Context.m_Settled == Present.version();
+  const bool IsSettled = Context.m_Settled == Present.version();
   Writing Next;
-  Next.m_Document =
-      changedDocument(Present, m_Asked, {m_Commit, Settled, Context.m_Wanted});
+  Next.m_Document = changedDocument(Present, m_Asked,
+                                    {m_Commit, IsSettled, Context.m_Wanted});
   Next.m_Write = {CurrentRowKey, Row.m_RowVersion,
                   encodeDocument(Next.m_Document)};
   Out.push_back(WriteStore{m_Commit, Next.m_Write});
@@ -140,8 +142,8 @@
                                  TableActions &Out) {
   if (Context.m_Now >= m_Until) {
     // A write whose answer is outstanding may take effect, too.
-    const bool Open = State.m_MayHaveCommitted || !State.m_RetryAt;
-    finish(ChangeUnavailable{Open}, Out);
+    const bool MayHaveCommitted = State.m_MayHaveCommitted || !State.m_RetryAt;
+    finish(ChangeUnavailable{MayHaveCommitted}, Out);
     return;
   }
   if (!State.m_RetryAt || Context.m_Now < *State.m_RetryAt)
@@ -154,16 +156,16 @@
                                  TableActions &Out) {
   SettleWatch &Watch = State.m_Watch;
   Watch.update(Context.m_Known, Context.m_Gone, Context.m_Now);
-  std::vector<std::string> Waiting = unconfirmed(Context, Watch.version());
-  if (Waiting.empty() && Context.m_Confirmed >= Watch.version() &&
+  std::vector<std::string> Unconfirmed = unconfirmed(Context, Watch.version());
+  if (Unconfirmed.empty() && Context.m_Confirmed >= Watch.version() &&
       Watch.settled()) {
     finish(ChangeAccepted{Watch.version()}, Out);
     return;
   }
   if (Context.m_Now < m_Until)
     return;
-  addSilentVoters(Context, Watch.quorums(), Watch.version(), Waiting);
-  finish(ChangePending{Watch.version(), std::move(Waiting)}, Out);
+  addUnconfirmedVoters(Context, Watch.quorums(), Watch.version(), Unconfirmed);
+  finish(ChangePending{Watch.version(), std::move(Unconfirmed)}, Out);
 }
 
 std::optional<TableDocument> ChangeProgress::takeCommitted() {
--- a/src/contract/table_change.h
+++ b/src/contract/table_change.h
@@ -31,8 +31,8 @@
 /// State machine of one change; its functions append actions to \p Out.
 class ChangeProgress {
 public:
-  ChangeProgress(ChangeAsked Asked, CommitId Commit, TimePoint AskedAt,
-                 TimePoint Until);
+  ChangeProgress(ChangeAsked Request, CommitId Commit, TimePoint RequestedAt,
+                 TimePoint Deadline);
 
   /// Handles the result of a read that was sent no earlier than requestedAt().
   void rowRead(const ChangeContext &Context, const RowImage &Row,
--- a/src/contract/table_commit.cpp
+++ b/src/contract/table_commit.cpp
@@ -14,9 +14,9 @@
 /// changes of the last few seconds.
 constexpr std::size_t HistoryLength = 50;
 
-void addQuorum(std::vector<Voters> &Quorums, const Voters &Each) {
-  if (!Each.empty() && std::ranges::find(Quorums, Each) == Quorums.end())
-    Quorums.push_back(Each);
+void addQuorum(std::vector<Voters> &Quorums, const Voters &Quorum) {
+  if (!Quorum.empty() && std::ranges::find(Quorums, Quorum) == Quorums.end())
+    Quorums.push_back(Quorum);
 }
 
 /// An instance that uses an earlier version relies on that version's voters, so
@@ -37,43 +37,45 @@
 
 } // namespace
 
-bool isPresent(const membership::Member &Each) {
-  return Each.m_State == membership::MemberState::Alive ||
-         Each.m_State == membership::MemberState::Suspect;
+bool isPresent(const membership::Member &Member) {
+  return Member.m_State == membership::MemberState::Alive ||
+         Member.m_State == membership::MemberState::Suspect;
 }
 
 bool isPresent(const std::vector<membership::Member> &Members,
                const std::string &Name) {
-  return std::ranges::any_of(Members, [&](const membership::Member &Each) {
-    return Each.m_Name == Name && isPresent(Each);
+  return std::ranges::any_of(Members, [&](const membership::Member &Member) {
+    return Member.m_Name == Name && isPresent(Member);
   });
 }
 
-bool isVoter(const Voters &List, InstanceId Who) {
-  return std::ranges::any_of(
-      List, [&](const std::string &Name) { return instanceIdOf(Name) == Who; });
+bool isVoter(const Voters &List, InstanceId Instance) {
+  return std::ranges::any_of(List, [&](const std::string &Name) {
+    return instanceIdOf(Name) == Instance;
+  });
 }
 
-ChangeTest testChange(const TableDocument &Present, const ChangeAsked &What) {
+ChangeTest testChange(const TableDocument &Present,
+                      const ChangeAsked &Request) {
   ContractTable Changed;
-  Changed.m_Contracts = What.m_Contracts;
-  std::vector<std::string> Lines = difference(Present.m_Table, Changed);
-  if (What.m_Read < Present.m_Edited || What.m_Read > Present.version())
-    return ChangeConflict{Present.version(), std::move(Lines)};
-  if (Lines.empty())
+  Changed.m_Contracts = Request.m_Contracts;
+  std::vector<std::string> Difference = difference(Present.m_Table, Changed);
+  if (Request.m_Read < Present.m_Edited || Request.m_Read > Present.version())
+    return ChangeConflict{Present.version(), std::move(Difference)};
+  if (Difference.empty())
     return NothingToChange();
   return Changeable();
 }
 
 TableDocument changedDocument(const TableDocument &Present,
-                              const ChangeAsked &What,
+                              const ChangeAsked &Request,
                               const CommitContext &Context) {
   TableDocument Next = nextDocument(Present, Context);
-  Next.m_Table.m_Contracts = What.m_Contracts;
+  Next.m_Table.m_Contracts = Request.m_Contracts;
   Next.m_Edited = Next.version();
   Next.m_History.insert(
       Next.m_History.begin(),
-      {Next.version(), Context.m_Commit, What.m_Operator, What.m_Time});
+      {Next.version(), Context.m_Commit, Request.m_Operator, Request.m_Time});
   if (Next.m_History.size() > HistoryLength)
     Next.m_History.resize(HistoryLength);
   return Next;
@@ -88,25 +90,27 @@
                     const std::vector<membership::Member> &Members,
                     std::size_t Limit) {
   Voters Result;
-  std::map<AvailabilityZone, std::size_t> InZone;
+  std::map<AvailabilityZone, std::size_t> VotersInZone;
   std::vector<const membership::Member *> Others;
-  for (const membership::Member &Each : Members) {
-    if (!isPresent(Each))
+  for (const membership::Member &Member : Members) {
+    if (!isPresent(Member))
       continue;
-    if (std::ranges::find(Present, Each.m_Name) == Present.end() ||
+    if (std::ranges::find(Present, Member.m_Name) == Present.end() ||
         Result.size() == Limit) {
-      Others.push_back(&Each);
+      Others.push_back(&Member);
       continue;
     }
-    Result.push_back(Each.m_Name);
-    ++InZone[Each.m_Zone];
+    Result.push_back(Member.m_Name);
+    ++VotersInZone[Member.m_Zone];
   }
   std::ranges::sort(Others, {}, &membership::Member::m_Id);
   while (Result.size() < Limit && !Others.empty()) {
-    const auto Next = std::ranges::min_element(
-        Others, {}, [&](const auto *Each) { return InZone[Each->m_Zone]; });
+    const auto Next =
+        std::ranges::min_element(Others, {}, [&](const auto *Member) {
+          return VotersInZone[Member->m_Zone];
+        });
     Result.push_back((*Next)->m_Name);
-    ++InZone[(*Next)->m_Zone];
+    ++VotersInZone[(*Next)->m_Zone];
     Others.erase(Next);
   }
   std::ranges::sort(Result);
--- a/src/contract/table_commit.h
+++ b/src/contract/table_commit.h
@@ -8,14 +8,14 @@
 namespace crowstep::contract {
 
 /// Returns whether \p Member is alive or suspect.
-bool isPresent(const membership::Member &Each);
+bool isPresent(const membership::Member &Member);
 
 /// Returns whether \p Members contains a present member called \p Name.
 bool isPresent(const std::vector<membership::Member> &Members,
                const std::string &Name);
 
 /// Returns whether \p Instance is in \p List.
-bool isVoter(const Voters &List, InstanceId Who);
+bool isVoter(const Voters &List, InstanceId Instance);
 
 /// The requested rows equal the present ones.
 struct NothingToChange {};
@@ -25,7 +25,7 @@
 using ChangeTest = std::variant<Changeable, NothingToChange, ChangeConflict>;
 
 /// Checks \p Request against the document that the table service holds.
-ChangeTest testChange(const TableDocument &Present, const ChangeAsked &What);
+ChangeTest testChange(const TableDocument &Present, const ChangeAsked &Request);
 
 /// Data for a new version besides its rows.
 struct CommitContext {
@@ -37,7 +37,7 @@
 
 /// Returns the version after \p Present with the rows of \p Request.
 TableDocument changedDocument(const TableDocument &Present,
-                              const ChangeAsked &What,
+                              const ChangeAsked &Request,
                               const CommitContext &Context);
 
 /// Returns the version after \p Present with new voters and the same rows.
--- a/src/contract/table_core.cpp
+++ b/src/contract/table_core.cpp
@@ -33,7 +33,7 @@
 TableActions TableCore::handle(TimePoint Now, const TableEvent &Event) {
   m_Now = std::max(m_Now, Now);
   m_Out.clear();
-  std::visit([this](const auto &Each) { on(Each); }, Event);
+  std::visit([this](const auto &Alternative) { on(Alternative); }, Event);
   catchUp();
   if (m_CaughtUp)
     m_Known.add(m_Self, {m_Config.m_Incarnation, m_Document.version(), m_Now});
@@ -52,10 +52,10 @@
   if (Store && Store->m_Version <= Version &&
       Now < Store->m_Time + m_Config.m_RightToServe)
     return true;
-  const auto Voices =
+  const auto MajorityTime =
       m_Known.majorityAtMost(m_Document.m_Voters, Version, m_Self, true);
-  return Voices && (*Voices == TimePoint::max() ||
-                    Now < *Voices + m_Config.m_RightToServe);
+  return MajorityTime && (*MajorityTime == TimePoint::max() ||
+                          Now < *MajorityTime + m_Config.m_RightToServe);
 }
 
 TableVersion TableCore::settledVersion() const {
@@ -81,9 +81,9 @@
 
 void TableCore::on(const StoreReadFailed &) {
   m_Reads -= m_Reads > 0 ? 1 : 0;
-  constexpr std::size_t LongestBackoff = 2; // 4 intervals.
+  constexpr std::size_t MaxBackoffExponent = 2; // 4 intervals.
   const Duration Wait =
-      m_Config.m_PollInterval * (1 << std::min(m_Failed, LongestBackoff));
+      m_Config.m_PollInterval * (1 << std::min(m_Failed, MaxBackoffExponent));
   ++m_Failed;
   m_NextRead = m_Now + jittered(Wait);
   for (ChangeProgress &Change : m_Changes)
@@ -151,13 +151,13 @@
 
 // ---- Documents ----
 
-void TableCore::adopt(const TableDocument &Fresh) {
-  if (Fresh.version() <= m_Document.version())
+void TableCore::adopt(const TableDocument &Document) {
+  if (Document.version() <= m_Document.version())
     return;
-  m_Document = Fresh;
+  m_Document = Document;
   m_AdoptedAt = m_Now;
   m_NextProbe = m_Now;
-  m_Watch.emplace(Fresh.version(), Fresh.m_Quorums, m_Now, lapse());
+  m_Watch.emplace(Document.version(), Document.m_Quorums, m_Now, lapse());
   m_Out.push_back(TableChanged());
   // Entries get the document at once. Peers get a probe with the version and
   // request the document unless another peer has sent it already, so that each
@@ -177,14 +177,14 @@
 }
 
 void TableCore::want(link::LinkId Link, PeerState &Peer, TableVersion Version) {
-  constexpr std::chrono::milliseconds AskAgainAfter{500};
+  constexpr std::chrono::milliseconds RequestTimeout{500};
   if (Version <= m_Document.version())
     return;
-  const bool Asked = std::ranges::any_of(m_Peers, [&](const auto &Each) {
-    return Each.second.m_Wanted >= Version &&
-           m_Now < Each.second.m_WantedAt + AskAgainAfter;
+  const bool IsRequested = std::ranges::any_of(m_Peers, [&](const auto &Other) {
+    return Other.second.m_Wanted >= Version &&
+           m_Now < Other.second.m_WantedAt + RequestTimeout;
   });
-  if (Asked)
+  if (IsRequested)
     return;
   Peer.m_Wanted = Version;
   Peer.m_WantedAt = m_Now;
@@ -215,10 +215,10 @@
 }
 
 void TableCore::on(const InstancesListed &Event) {
-  const std::set<std::string> Fresh(Event.m_Names.begin(), Event.m_Names.end());
+  const std::set<std::string> Names(Event.m_Names.begin(), Event.m_Names.end());
   m_Listed = m_LastList;
-  m_Listed.insert(Fresh.begin(), Fresh.end());
-  m_LastList = Fresh;
+  m_Listed.insert(Names.begin(), Names.end());
+  m_LastList = Names;
   ++m_Lists;
   findGone();
 }
@@ -247,11 +247,11 @@
     return;
   const TableVersion Version = m_Document.version();
   const std::optional<StoreVouch> &Store = m_Known.store();
-  const auto Voices =
+  const auto MajorityTime =
       m_Known.majorityAtMost(m_Document.m_Voters, Version, m_Self, false);
   m_CaughtUp =
       (Store && Store->m_Version <= Version && Store->m_Time >= m_Start) ||
-      (Voices && *Voices >= m_Start);
+      (MajorityTime && *MajorityTime >= m_Start);
   if (m_CaughtUp)
     m_Out.push_back(
         Notify{TableNotice::CaughtUp, std::to_string(Version.value())});
@@ -284,7 +284,8 @@
       adopt(*Committed);
     Change.update(context(), m_Out);
   }
-  std::erase_if(m_Changes, [](const auto &Each) { return Each.finished(); });
+  std::erase_if(m_Changes,
+                [](const auto &Change) { return Change.finished(); });
 }
 
 ChangeContext TableCore::context() const {
@@ -308,10 +309,10 @@
   return m_CommitPrefix + "/" + std::to_string(++m_LastCommit);
 }
 
-Duration TableCore::jittered(Duration Around) {
-  std::uniform_int_distribution<Duration::rep> Between(Around.count() * 3 / 4,
-                                                       Around.count() * 5 / 4);
-  return Duration(Between(m_Random));
+Duration TableCore::jittered(Duration Mean) {
+  std::uniform_int_distribution<Duration::rep> Distribution(
+      Mean.count() * 3 / 4, Mean.count() * 5 / 4);
+  return Duration(Distribution(m_Random));
 }
 
 } // namespace crowstep::contract
--- a/src/contract/table_core.h
+++ b/src/contract/table_core.h
@@ -67,17 +67,17 @@
   void on(const ChangeAsked &Event);
   void on(const Tick &Event);
 
-  void adopt(const TableDocument &Fresh);
+  void adopt(const TableDocument &Document);
   void learnRow(const RowImage &Row, TimePoint SentAt);
   std::optional<RowImage> imageOf(const std::optional<platform::Row> &Row);
   void probe(link::LinkId Link, PeerState &Peer);
   void probeSome();
-  [[nodiscard]] TimePoint lastWordOf(InstanceId Who) const;
+  [[nodiscard]] TimePoint lastWordOf(InstanceId Instance) const;
   void pollIfDue();
   void replaceVotersIfDue();
   void writeVoters(const Voters &Wanted);
   void repairStoreIfDue();
-  void writeRow(const TableDocument &Fresh, platform::RowVersion Expected);
+  void writeRow(const TableDocument &Document, platform::RowVersion Expected);
   [[nodiscard]] bool keepsRow() const;
   void want(link::LinkId Link, PeerState &Peer, TableVersion Version);
   void addVouches(ProbeAnswer &Answer) const;
@@ -89,7 +89,7 @@
   ChangeContext context() const;
   [[nodiscard]] Duration lapse() const;
   [[nodiscard]] bool calm() const;
-  Duration jittered(Duration Around);
+  Duration jittered(Duration Mean);
   CommitId nextCommit();
 
   TableKeeperConfig m_Config; ///< As passed in.
--- a/src/contract/table_core_tick.cpp
+++ b/src/contract/table_core_tick.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-constexpr std::chrono::minutes VouchLifetime{1};
-constexpr std::chrono::seconds FreshVersion{1}; ///< After a new version.
-constexpr std::size_t MaxUnanswered = 16;       ///< On one link.
+constexpr std::chrono::minutes ConfirmationLifetime{1};
+constexpr std::chrono::seconds FastProbePeriod{1}; ///< After a new version.
+constexpr std::size_t MaxUnansweredProbes = 16;    ///< On one link.
 
 } // namespace
 
 void TableCore::on(const Tick &) {
-  m_Known.expire(m_Now - VouchLifetime);
+  m_Known.expire(m_Now - ConfirmationLifetime);
   probeSome();
   pollIfDue();
   if (!m_OwnWrite && m_CaughtUp && keepsRow()) {
@@ -29,7 +29,7 @@
 void TableCore::probe(link::LinkId Link, PeerState &Peer) {
   // Several probes may be unanswered: on a link whose round trip exceeds the
   // interval, an answer to the last probe alone would always come too late.
-  if (Peer.m_Probes.size() == MaxUnanswered)
+  if (Peer.m_Probes.size() == MaxUnansweredProbes)
     Peer.m_Probes.erase(Peer.m_Probes.begin());
   Peer.m_Probes.emplace(++m_LastSequence, m_Now);
   m_Out.push_back(SendProbe{Link, m_LastSequence, m_Document.version()});
@@ -53,9 +53,9 @@
   if (m_Now < m_NextProbe)
     return;
   // Probes are more frequent after a new version, as an operator waits for it.
-  const bool Fresh = m_Now < m_AdoptedAt + FreshVersion;
-  m_NextProbe = m_Now + jittered(Fresh ? m_Config.m_ProbeInterval / 5
-                                       : m_Config.m_ProbeInterval);
+  const bool IsNewVersion = m_Now < m_AdoptedAt + FastProbePeriod;
+  m_NextProbe = m_Now + jittered(IsNewVersion ? m_Config.m_ProbeInterval / 5
+                                              : m_Config.m_ProbeInterval);
   std::vector<link::LinkId> Links;
   for (const auto &[Link, Peer] : m_Peers)
     if (!Peer.m_IsEntry)
@@ -64,18 +64,18 @@
   std::ranges::stable_sort(Links, {}, [this](link::LinkId Link) {
     return lastWordOf(m_Peers[Link].m_Who);
   });
-  const std::size_t Most =
+  const std::size_t MaxLinks =
       calm() ? m_Config.m_CalmProbeLinks : m_Config.m_ProbeLinks;
-  if (Links.size() > Most)
-    Links.resize(Most);
+  if (Links.size() > MaxLinks)
+    Links.resize(MaxLinks);
   for (const link::LinkId Link : Links)
     probe(Link, m_Peers[Link]);
 }
 
-TimePoint TableCore::lastWordOf(InstanceId Who) const {
-  if (!isVoter(m_Document.m_Voters, Who))
+TimePoint TableCore::lastWordOf(InstanceId Instance) const {
+  if (!isVoter(m_Document.m_Voters, Instance))
     return TimePoint::max();
-  const auto Found = m_Known.voters().find(Who);
+  const auto Found = m_Known.voters().find(Instance);
   return Found == m_Known.voters().end() ? TimePoint() : Found->second.m_Time;
 }
 
@@ -98,20 +98,20 @@
 void TableCore::addVouches(ProbeAnswer &Answer) const {
   for (const auto &Known : m_Known.voters()) {
     const InstanceId Id = Known.first;
-    const Vouch &Each = Known.second;
-    const bool Own = Id == m_Self;
-    if (calm() && !Own)
+    const Vouch &Last = Known.second;
+    const bool IsSelf = Id == m_Self;
+    if (calm() && !IsSelf)
       continue;
-    const bool Counts =
+    const bool IsNeeded =
         isVoter(m_Document.m_Voters, Id) ||
         std::ranges::any_of(m_Document.m_Quorums, [&](const Voters &Quorum) {
           return isVoter(Quorum, Id);
         });
-    if (!Counts || (Own && !m_CaughtUp))
+    if (!IsNeeded || (IsSelf && !m_CaughtUp))
       continue;
-    Answer.m_Vouches.push_back({Id, Each.m_Start,
-                                Own ? m_Document.version() : Each.m_Version,
-                                Own ? Duration::zero() : m_Now - Each.m_Time});
+    Answer.m_Vouches.push_back(
+        {Id, Last.m_Start, IsSelf ? m_Document.version() : Last.m_Version,
+         IsSelf ? Duration::zero() : m_Now - Last.m_Time});
   }
 }
 
@@ -125,15 +125,15 @@
   if (Probe == Probes.end())
     return;
   // Ages count from before the probe was sent; see table_confirmation.h.
-  const TimePoint Asked = Probe->second;
+  const TimePoint SentAt = Probe->second;
   Probes.erase(Probes.begin(), std::next(Probe));
   if (Answer.m_Store)
     m_Known.addStore(
-        {Answer.m_Store->m_Version, Asked - Answer.m_Store->m_Age});
-  for (const RelayedVouch &Each : Answer.m_Vouches)
-    if (Each.m_Who != m_Self)
-      m_Known.add(Each.m_Who,
-                  {Each.m_Start, Each.m_Version, Asked - Each.m_Age});
+        {Answer.m_Store->m_Version, SentAt - Answer.m_Store->m_Age});
+  for (const RelayedVouch &Relayed : Answer.m_Vouches)
+    if (Relayed.m_Who != m_Self)
+      m_Known.add(Relayed.m_Who,
+                  {Relayed.m_Start, Relayed.m_Version, SentAt - Relayed.m_Age});
   want(Event.m_Link, Found->second, Answer.m_Version);
 }
 
@@ -157,26 +157,26 @@
 /// take themselves for it at the same time, the conditional write lets only one
 /// of them succeed.
 bool TableCore::keepsRow() const {
-  for (const membership::Member &Each : m_Members)
-    if (isPresent(Each) && Each.m_Id < m_Self)
+  for (const membership::Member &Member : m_Members)
+    if (isPresent(Member) && Member.m_Id < m_Self)
       return false;
   return isPresent(m_Members, m_Config.m_Name);
 }
 
 void TableCore::replaceVotersIfDue() {
-  Voters Wanted =
+  Voters NextVoters =
       chooseVoters(m_Document.m_Voters, m_Members, m_Config.m_MaxVoters);
-  if (Wanted != m_WantedVoters) {
-    m_WantedVoters = Wanted;
+  if (NextVoters != m_WantedVoters) {
+    m_WantedVoters = NextVoters;
     m_WantedSince = m_Now;
   }
-  const bool Stable = m_Now >= m_WantedSince + m_Config.m_VotersDelay;
-  if (!Stable || Wanted == m_Document.m_Voters ||
+  const bool IsStable = m_Now >= m_WantedSince + m_Config.m_VotersDelay;
+  if (!IsStable || NextVoters == m_Document.m_Voters ||
       m_Document.version() == TableVersion())
     return;
   // Voters of an unsettled version can't be replaced; see nextDocument().
-  const bool Settled = settledVersion() == m_Document.version();
-  if (!m_Document.m_Voters.empty() && !Settled)
+  const bool IsSettled = settledVersion() == m_Document.version();
+  if (!m_Document.m_Voters.empty() && !IsSettled)
     return;
   m_WantedSince = m_Now;
   if (!m_Row || m_Row->m_Document.version() != m_Document.version()) {
@@ -184,8 +184,9 @@
     m_Out.push_back(ReadStore());
     return;
   }
-  writeRow(revotedDocument(m_Row->m_Document, {nextCommit(), Settled, Wanted}),
-           m_Row->m_RowVersion);
+  writeRow(
+      revotedDocument(m_Row->m_Document, {nextCommit(), IsSettled, NextVoters}),
+      m_Row->m_RowVersion);
 }
 
 /// Writes the version in force to a table service that was restored to an older
@@ -198,12 +199,12 @@
   writeRow(m_Document, m_Row->m_RowVersion);
 }
 
-void TableCore::writeRow(const TableDocument &Fresh,
+void TableCore::writeRow(const TableDocument &Document,
                          platform::RowVersion Expected) {
   m_OwnWrite = nextCommit();
-  m_OwnDocument = Fresh;
-  m_Out.push_back(WriteStore{*m_OwnWrite,
-                             {CurrentRowKey, Expected, encodeDocument(Fresh)}});
+  m_OwnDocument = Document;
+  m_Out.push_back(WriteStore{
+      *m_OwnWrite, {CurrentRowKey, Expected, encodeDocument(Document)}});
 }
 
 } // namespace crowstep::contract
--- a/src/contract/table_document.cpp
+++ b/src/contract/table_document.cpp
@@ -29,11 +29,12 @@
 
 } // namespace
 
-bool holdsCommit(const TableDocument &Where, const CommitId &Commit) {
-  return Where.m_Commit == Commit ||
-         std::ranges::any_of(Where.m_History, [&](const CommitHeader &Each) {
-           return Each.m_Commit == Commit;
-         });
+bool holdsCommit(const TableDocument &Document, const CommitId &Commit) {
+  return Document.m_Commit == Commit ||
+         std::ranges::any_of(Document.m_History,
+                             [&](const CommitHeader &Header) {
+                               return Header.m_Commit == Commit;
+                             });
 }
 
 std::string encodeDocument(const TableDocument &Value) {
--- a/src/contract/table_document.h
+++ b/src/contract/table_document.h
@@ -49,7 +49,7 @@
 
 /// Returns whether \p Commit made \p Document or an earlier version that is
 /// still in its history.
-bool holdsCommit(const TableDocument &Where, const CommitId &Commit);
+bool holdsCommit(const TableDocument &Document, const CommitId &Commit);
 
 /// Returns the JSON text; readJson() can read the table from it.
 std::string encodeDocument(const TableDocument &Value);
--- a/src/contract/table_keeper.cpp
+++ b/src/contract/table_keeper.cpp
@@ -38,8 +38,8 @@
   return Names[Outcome.index()];
 }
 
-LogEvent eventOf(TableNotice What) {
-  switch (What) {
+LogEvent eventOf(TableNotice Notice) {
+  switch (Notice) {
   case TableNotice::CaughtUp:
     return LogEvent::TableCaughtUp;
   case TableNotice::StoreWentBack:
@@ -60,8 +60,8 @@
 public:
   Impl(const TableKeeperConfig &Config, const Clock &Time, Scheduler &Timers,
        platform::TableService &Store, membership::Membership &Fleet,
-       link::Links &Wire, Metrics &Stats)
-      : m_Clock(Time), m_Store(Store), m_Fleet(Fleet), m_Links(Wire),
+       link::Links &Links, Metrics &Stats)
+      : m_Clock(Time), m_Store(Store), m_Fleet(Fleet), m_Links(Links),
         m_Stats(Stats), m_Core(checked(Config), randomName(), Time.fresh()),
         m_Timer(Timers), m_Version(Stats.gauge("crowstep_table_version")),
         m_Right(Stats.gauge("crowstep_table_right_to_serve")) {
@@ -74,14 +74,14 @@
   void handle(const TableEvent &Event) {
     const TableActions Actions = m_Core.handle(m_Clock.fresh(), Event);
     for (const TableAction &Action : Actions)
-      std::visit([this](const auto &Each) { run(Each); }, Action);
+      std::visit([this](const auto &Alternative) { run(Alternative); }, Action);
   }
 
-  void change(ChangeAsked Asked, std::function<void(ChangeOutcome)> Done) {
-    Asked.m_Id = ChangeId(++m_LastChange);
-    Asked.m_Time = wallClock();
-    m_Changes.emplace(Asked.m_Id, std::move(Done));
-    handle(std::move(Asked));
+  void change(ChangeAsked Request, std::function<void(ChangeOutcome)> Done) {
+    Request.m_Id = ChangeId(++m_LastChange);
+    Request.m_Time = wallClock();
+    m_Changes.emplace(Request.m_Id, std::move(Done));
+    handle(std::move(Request));
   }
 
   [[nodiscard]] const TableCore &core() const { return m_Core; }
@@ -113,10 +113,10 @@
 
   /// Wraps \p Callback so that it does nothing after this object's destruction.
   template <typename Result, typename Function>
-  std::function<void(Result)> guarded(Function Job) {
-    return [Alive = std::weak_ptr<bool>(m_Alive), Job](Result Value) {
+  std::function<void(Result)> guarded(Function Callback) {
+    return [Alive = std::weak_ptr<bool>(m_Alive), Callback](Result Value) {
       if (!Alive.expired())
-        Job(std::move(Value));
+        Callback(std::move(Value));
     };
   }
 
@@ -172,8 +172,8 @@
     const std::uint64_t Version = m_Core.document().version().value();
     m_Version.set(static_cast<double>(Version));
     logEvent(LogEvent::TableInForce, {{"version", std::to_string(Version)}});
-    for (const auto &Job : m_Listeners)
-      Job();
+    for (const auto &Listener : m_Listeners)
+      Listener();
   }
   void run(const FinishChange &Action) {
     const char *Name = nameOf(Action.m_Outcome);
@@ -206,17 +206,18 @@
 
 TableKeeper::TableKeeper(const TableKeeperConfig &Config, const Clock &Time,
                          Scheduler &Timers, platform::TableService &Store,
-                         membership::Membership &Fleet, link::Links &Wire,
+                         membership::Membership &Fleet, link::Links &Links,
                          Metrics &Stats)
-    : m_Impl(std::make_unique<Impl>(Config, Time, Timers, Store, Fleet, Wire,
+    : m_Impl(std::make_unique<Impl>(Config, Time, Timers, Store, Fleet, Links,
                                     Stats)) {}
 
 TableKeeper::~TableKeeper() = default;
 
 void TableKeeper::start() { m_Impl->start(); }
 
-void TableKeeper::linkUp(link::LinkId Link, const link::Peer &Who) {
-  m_Impl->handle(PeerUp{Link, Who.m_Instance, Who.m_Role == wire::Role::Entry});
+void TableKeeper::linkUp(link::LinkId Link, const link::Peer &Peer) {
+  m_Impl->handle(
+      PeerUp{Link, Peer.m_Instance, Peer.m_Role == wire::Role::Entry});
 }
 
 void TableKeeper::linkFrame(link::LinkId Link, const wire::Frame &Frame) {
@@ -237,8 +238,8 @@
   return m_Impl->core().document().m_Table;
 }
 
-void TableKeeper::onChange(std::function<void()> Job) {
-  m_Impl->m_Listeners.push_back(std::move(Job));
+void TableKeeper::onChange(std::function<void()> Listener) {
+  m_Impl->m_Listeners.push_back(std::move(Listener));
 }
 
 void TableKeeper::entriesHold(TableVersion Version) {
@@ -255,19 +256,19 @@
   return difference(table(), Changed);
 }
 
-void TableKeeper::change(const ContractTable &Changed, TableVersion Read,
+void TableKeeper::change(const ContractTable &Changed, TableVersion BaseVersion,
                          const std::string &Operator,
                          std::function<void(ChangeOutcome)> Done) {
   validate(Changed);
-  m_Impl->change({ChangeId(), Changed.m_Contracts, Read, Operator, {}},
+  m_Impl->change({ChangeId(), Changed.m_Contracts, BaseVersion, Operator, {}},
                  std::move(Done));
 }
 
 void TableKeeper::history(
     const std::function<void(std::vector<HistoryEntry>)> &Done) {
   std::vector<HistoryEntry> Result;
-  for (const CommitHeader &Each : m_Impl->core().document().m_History)
-    Result.push_back({Each.m_Version, Each.m_Operator, Each.m_Time});
+  for (const CommitHeader &Header : m_Impl->core().document().m_History)
+    Result.push_back({Header.m_Version, Header.m_Operator, Header.m_Time});
   Done(std::move(Result));
 }
 
--- a/src/contract/table_keeper.h
+++ b/src/contract/table_keeper.h
@@ -24,7 +24,8 @@
 public:
   TableKeeper(const TableKeeperConfig &Config, const Clock &Time,
               Scheduler &Timers, platform::TableService &Store,
-              membership::Membership &Fleet, link::Links &Wire, Metrics &Stats);
+              membership::Membership &Fleet, link::Links &Links,
+              Metrics &Stats);
   ~TableKeeper();
   TableKeeper(const TableKeeper &) = delete;
   TableKeeper &operator=(const TableKeeper &) = delete;
@@ -33,16 +34,16 @@
   void start();
 
   // Called by the daemon for all its links, including those to entries.
-  void linkUp(link::LinkId Link, const link::Peer &Who);
+  void linkUp(link::LinkId Link, const link::Peer &Peer);
   void linkFrame(link::LinkId Link, const wire::Frame &Frame);
-  void linkDown(link::LinkId Link, const link::Peer &Who,
-                link::CloseReason Why);
+  void linkDown(link::LinkId Link, const link::Peer &Peer,
+                link::CloseReason Reason);
 
   /// Returns the table in force; version 0 before the first.
   [[nodiscard]] const ContractTable &table() const;
 
   /// Registers \p Listener, which is called after each new version.
-  void onChange(std::function<void()> Job);
+  void onChange(std::function<void()> Listener);
 
   /// Sets the lowest version that an attached entry with a right to serve may
   /// have in force. This instance confirms no higher version.
@@ -66,7 +67,7 @@
   /// \p BaseVersion, which the operator read. Calls \p Done with the outcome
   /// when the change is in force everywhere or can't be accepted in time.
   /// \throws TableCellError if \p Changed is not valid.
-  void change(const ContractTable &Changed, TableVersion Read,
+  void change(const ContractTable &Changed, TableVersion BaseVersion,
               const std::string &Operator,
               std::function<void(ChangeOutcome)> Done);
 
--- a/src/contract/table_settle.cpp
+++ b/src/contract/table_settle.cpp
@@ -6,49 +6,50 @@
 namespace crowstep::contract {
 
 SettleWatch::SettleWatch(TableVersion Version, std::vector<Voters> Quorums,
-                         TimePoint Since, Duration Lapse)
+                         TimePoint Since, Duration ExpiryDelay)
     : m_Version(Version), m_Quorums(std::move(Quorums)), m_Since(Since),
-      m_Lapse(Lapse) {}
+      m_Lapse(ExpiryDelay) {}
 
-void SettleWatch::update(const VouchTable &Known,
-                         const std::set<std::string> &Gone, TimePoint Now) {
+void SettleWatch::update(const VouchTable &Confirmations,
+                         const std::set<std::string> &Removed, TimePoint Now) {
   if (!m_Confirmed) {
-    findMoment(Known, Gone, Now);
-    m_Confirmed = m_Moment && confirmed(Known, Gone);
+    findMoment(Confirmations, Removed, Now);
+    m_Confirmed = m_Moment && confirmed(Confirmations, Removed);
   }
   if (m_Confirmed && Now >= std::max(m_Since, *m_Moment) + m_Lapse)
     m_Settled = true;
 }
 
-bool SettleWatch::majorityIn(const Starts &Held,
-                             const std::set<std::string> &Gone) const {
+bool SettleWatch::majorityIn(const Starts &Holders,
+                             const std::set<std::string> &Removed) const {
   return std::ranges::all_of(m_Quorums, [&](const Voters &Quorum) {
-    std::size_t Present = 0;
+    std::size_t Listed = 0;
     std::size_t Holding = 0;
     for (const std::string &Name : Quorum) {
-      if (Gone.contains(Name))
+      if (Removed.contains(Name))
         continue;
-      ++Present;
-      Holding += Held.contains(instanceIdOf(Name)) ? 1 : 0;
+      ++Listed;
+      Holding += Holders.contains(instanceIdOf(Name)) ? 1 : 0;
     }
     // Without voters left, this quorum can give nobody a right to serve.
-    return Present == 0 || Holding >= majorityOf(Present);
+    return Listed == 0 || Holding >= majorityOf(Listed);
   });
 }
 
 /// A new holder, or a new incarnation of one, sets the time anew, so that it
 /// can replace a holder that died before it could confirm the version again.
-void SettleWatch::findMoment(const VouchTable &Known,
-                             const std::set<std::string> &Gone, TimePoint Now) {
+void SettleWatch::findMoment(const VouchTable &Confirmations,
+                             const std::set<std::string> &Removed,
+                             TimePoint Now) {
   bool Changed = !m_Moment;
-  for (const auto &[Id, Vouch] : Known.voters()) {
-    if (Vouch.m_Version < m_Version)
+  for (const auto &[Id, Report] : Confirmations.voters()) {
+    if (Report.m_Version < m_Version)
       continue;
-    const auto [Found, Fresh] = m_Held.try_emplace(Id, Vouch.m_Start);
-    Changed = Changed || Fresh || Found->second != Vouch.m_Start;
-    Found->second = Vouch.m_Start;
+    const auto [Found, IsNew] = m_Held.try_emplace(Id, Report.m_Start);
+    Changed = Changed || IsNew || Found->second != Report.m_Start;
+    Found->second = Report.m_Start;
   }
-  if (Changed && majorityIn(m_Held, Gone))
+  if (Changed && majorityIn(m_Held, Removed))
     m_Moment = Now;
 }
 
@@ -56,16 +57,17 @@
 /// may have returned with a lower version and confirmed that one. Only a voter
 /// that confirms it with the same incarnation at or after m_MajorityAt is known
 /// to have held it at that time.
-bool SettleWatch::confirmed(const VouchTable &Known,
-                            const std::set<std::string> &Gone) const {
-  Starts Still;
-  for (const auto &[Id, Start] : m_Held) {
-    const auto Found = Known.voters().find(Id);
-    if (Found != Known.voters().end() && Found->second.m_Start == Start &&
+bool SettleWatch::confirmed(const VouchTable &Confirmations,
+                            const std::set<std::string> &Removed) const {
+  Starts StillHolding;
+  for (const auto &[Id, HolderIncarnation] : m_Held) {
+    const auto Found = Confirmations.voters().find(Id);
+    if (Found != Confirmations.voters().end() &&
+        Found->second.m_Start == HolderIncarnation &&
         Found->second.m_Time >= *m_Moment)
-      Still.emplace(Id, Start);
+      StillHolding.emplace(Id, HolderIncarnation);
   }
-  return majorityIn(Still, Gone);
+  return majorityIn(StillHolding, Removed);
 }
 
 } // namespace crowstep::contract
--- a/src/contract/table_settle.h
+++ b/src/contract/table_settle.h
@@ -19,12 +19,12 @@
   /// \p ExpiryDelay is the longest time for which an instance or its entries
   /// may serve after the confirmations that their right to serve rests on.
   SettleWatch(TableVersion Version, std::vector<Voters> Quorums,
-              TimePoint Since, Duration Lapse);
+              TimePoint Since, Duration ExpiryDelay);
 
   /// Evaluates the confirmations known at \p Now. \p Removed are voters that
   /// the platform no longer lists; they count in no quorum.
-  void update(const VouchTable &Known, const std::set<std::string> &Gone,
-              TimePoint Now);
+  void update(const VouchTable &Confirmations,
+              const std::set<std::string> &Removed, TimePoint Now);
 
   /// Returns whether no lower version can be in use any more.
   [[nodiscard]] bool settled() const { return m_Settled; }
@@ -35,11 +35,12 @@
 private:
   using Starts = std::map<InstanceId, Incarnation>;
 
-  bool majorityIn(const Starts &Held, const std::set<std::string> &Gone) const;
-  void findMoment(const VouchTable &Known, const std::set<std::string> &Gone,
-                  TimePoint Now);
-  bool confirmed(const VouchTable &Known,
-                 const std::set<std::string> &Gone) const;
+  bool majorityIn(const Starts &Holders,
+                  const std::set<std::string> &Removed) const;
+  void findMoment(const VouchTable &Confirmations,
+                  const std::set<std::string> &Removed, TimePoint Now);
+  bool confirmed(const VouchTable &Confirmations,
+                 const std::set<std::string> &Removed) const;
 
   TableVersion m_Version;            ///< The version that is watched.
   std::vector<Voters> m_Quorums;     ///< A majority is needed in each.
--- a/src/contract/table_vouch.cpp
+++ b/src/contract/table_vouch.cpp
@@ -6,26 +6,26 @@
 
 namespace crowstep::contract {
 
-void VouchTable::add(InstanceId Who, const Vouch &What) {
-  const auto [Found, Fresh] = m_Voters.try_emplace(Who, What);
-  if (!Fresh && What.m_Time > Found->second.m_Time)
-    Found->second = What;
+void VouchTable::add(InstanceId Instance, const Vouch &Report) {
+  const auto [Found, Inserted] = m_Voters.try_emplace(Instance, Report);
+  if (!Inserted && Report.m_Time > Found->second.m_Time)
+    Found->second = Report;
 }
 
-void VouchTable::addStore(const StoreVouch &What) {
-  if (!m_Store || What.m_Time > m_Store->m_Time)
-    m_Store = What;
+void VouchTable::addStore(const StoreVouch &Report) {
+  if (!m_Store || Report.m_Time > m_Store->m_Time)
+    m_Store = Report;
 }
 
 std::optional<TimePoint> VouchTable::majorityAtMost(const Voters &Quorum,
                                                     TableVersion Version,
                                                     InstanceId Self,
-                                                    bool OwnVoice) const {
+                                                    bool CountSelf) const {
   std::vector<TimePoint> Times;
   for (const std::string &Name : Quorum) {
     const InstanceId Id = instanceIdOf(Name);
     const auto Found = m_Voters.find(Id);
-    if (Id == Self && OwnVoice)
+    if (Id == Self && CountSelf)
       Times.push_back(TimePoint::max());
     else if (Id != Self && Found != m_Voters.end() &&
              Found->second.m_Version <= Version)
@@ -39,8 +39,9 @@
 }
 
 void VouchTable::expire(TimePoint Oldest) {
-  std::erase_if(m_Voters,
-                [&](const auto &Each) { return Each.second.m_Time < Oldest; });
+  std::erase_if(m_Voters, [&](const auto &Known) {
+    return Known.second.m_Time < Oldest;
+  });
 }
 
 } // namespace crowstep::contract
--- a/src/contract/table_vouch.h
+++ b/src/contract/table_vouch.h
@@ -37,8 +37,8 @@
 class VouchTable {
 public:
   /// Adds \p Report unless a fresher one is known.
-  void add(InstanceId Who, const Vouch &What);
-  void addStore(const StoreVouch &What);
+  void add(InstanceId Instance, const Vouch &Report);
+  void addStore(const StoreVouch &Report);
 
   [[nodiscard]] const std::map<InstanceId, Vouch> &voters() const {
     return m_Voters;
@@ -54,7 +54,7 @@
   [[nodiscard]] std::optional<TimePoint> majorityAtMost(const Voters &Quorum,
                                                         TableVersion Version,
                                                         InstanceId Self,
-                                                        bool OwnVoice) const;
+                                                        bool CountSelf) const;
 
   /// Removes confirmations by instances from before \p Oldest.
   void expire(TimePoint Oldest);
--- a/src/contract/table_wire.cpp
+++ b/src/contract/table_wire.cpp
@@ -15,17 +15,17 @@
 
 /// Rounds up, as an age must never look smaller than it is.
 std::uint32_t toMilliseconds(Duration Age) {
-  const auto Whole = std::chrono::ceil<milliseconds>(Age).count();
+  const auto Count = std::chrono::ceil<milliseconds>(Age).count();
   return static_cast<std::uint32_t>(std::clamp<std::int64_t>(
-      Whole, 0, std::numeric_limits<std::uint32_t>::max()));
+      Count, 0, std::numeric_limits<std::uint32_t>::max()));
 }
 
 void readDocument(link::LinkId Link, const wire::TableUpdate &Update,
-                  std::vector<TableEvent> &Into) {
+                  std::vector<TableEvent> &Events) {
   try {
     const std::string Text =
         Update.json() == nullptr ? "" : Update.json()->str();
-    Into.emplace_back(DocumentArrived{Link, decodeDocument(Text)});
+    Events.emplace_back(DocumentArrived{Link, decodeDocument(Text)});
   } catch (const Error &Failure) {
     logEvent(LogEvent::TableFrameUnreadable, {{"why", Failure.what()}});
   }
@@ -40,10 +40,10 @@
                       milliseconds(Ack.store_age_ms())};
   if (Ack.vouches() == nullptr)
     return Result;
-  for (const wire::TableVouch *Each : *Ack.vouches())
+  for (const wire::TableVouch *Report : *Ack.vouches())
     Result.m_Vouches.push_back(
-        {InstanceId(Each->instance()), Incarnation(Each->start()),
-         TableVersion(Each->version()), milliseconds(Each->age_ms())});
+        {InstanceId(Report->instance()), Incarnation(Report->start()),
+         TableVersion(Report->version()), milliseconds(Report->age_ms())});
   return Result;
 }
 
@@ -70,9 +70,9 @@
   Frame.table_update->json = encodeDocument(Value);
 }
 
-void addRequest(TableVersion Wanted, wire::FrameT &Frame) {
+void addRequest(TableVersion Version, wire::FrameT &Frame) {
   Frame.table_request = std::make_unique<wire::TableRequestT>();
-  Frame.table_request->version = Wanted.value();
+  Frame.table_request->version = Version.value();
 }
 
 void addProbe(const SendProbe &Probe, wire::FrameT &Frame) {
@@ -90,10 +90,10 @@
     Ack->store_version = Answer.m_Store->m_Version.value();
     Ack->store_age_ms = toMilliseconds(Answer.m_Store->m_Age);
   }
-  for (const RelayedVouch &Each : Answer.m_Vouches)
-    Ack->vouches.emplace_back(Each.m_Who.value(), Each.m_Start.value(),
-                              Each.m_Version.value(),
-                              toMilliseconds(Each.m_Age));
+  for (const RelayedVouch &Report : Answer.m_Vouches)
+    Ack->vouches.emplace_back(Report.m_Who.value(), Report.m_Start.value(),
+                              Report.m_Version.value(),
+                              toMilliseconds(Report.m_Age));
   Frame.table_probe_ack = std::move(Ack);
 }
 
--- a/tests/unit/contract_test.cpp
+++ b/tests/unit/contract_test.cpp
@@ -25,18 +25,18 @@
 rc::Gen<Contract> anyContract(std::uint16_t Id) {
   return rc::gen::exec([Id] {
     Contract Row;
-    for (const Column &Each : columns()) {
+    for (const Column &Col : columns()) {
       const auto Number = *rc::gen::inRange<std::int64_t>(
-          Each.m_Least, std::min<std::int64_t>(Each.m_Greatest, 9999) + 1);
-      if (std::holds_alternative<std::string Contract::*>(Each.m_Field))
-        setCell(Row, Each,
+          Col.m_Least, std::min<std::int64_t>(Col.m_Greatest, 9999) + 1);
+      if (std::holds_alternative<std::string Contract::*>(Col.m_Field))
+        setCell(Row, Col,
                 *rc::gen::container<std::string>(
                     static_cast<std::size_t>(Number % 20) + 1,
                     rc::gen::elementOf(std::string("az09_.:"))),
                 1);
       else
-        setCellText(Row, Each,
-                    std::holds_alternative<bool Contract::*>(Each.m_Field)
+        setCellText(Row, Col,
+                    std::holds_alternative<bool Contract::*>(Col.m_Field)
                         ? (Number != 0 ? "yes" : "no")
                         : std::to_string(Number),
                     1);
@@ -55,11 +55,11 @@
 }
 
 /// Expects that \p Function throws a TableCellError for \p Row and \p Column.
-template <typename Function>
-void expectCellError(const Function &Job, std::size_t Row,
+template <typename Callable>
+void expectCellError(const Callable &Function, std::size_t Row,
                      const std::string &Column) {
   try {
-    Job();
+    Function();
     BOOST_ERROR("accepted: row " << Row << ", " << Column);
   } catch (const TableCellError &Failure) {
     BOOST_TEST(Failure.row() == Row);
@@ -67,7 +67,7 @@
   }
 }
 
-const std::string Head = "id,class,service,tier,first_token_ms,total_ms";
+const std::string Header = "id,class,service,tier,first_token_ms,total_ms";
 
 } // namespace
 
@@ -82,8 +82,8 @@
   std::string Csv = fileText("kilimanjaro/table.csv");
   std::string Json = writeJson(readCsv(Csv));
   for (std::string *Text : {&Csv, &Json}) {
-    const auto Hits = *rc::gen::inRange(1, 8);
-    for (int Hit = 0; Hit < Hits; ++Hit)
+    const auto Count = *rc::gen::inRange(1, 8);
+    for (int Damage = 0; Damage < Count; ++Damage)
       (*Text)[*rc::gen::inRange<std::size_t>(0, Text->size())] =
           *rc::gen::arbitrary<char>();
   }
@@ -111,19 +111,19 @@
 }
 
 BOOST_AUTO_TEST_CASE(SpreadsheetHabitsAreRead) {
-  const ContractTable Plain = readCsv(Head + "\n1,a,s,1,5,9\n");
+  const ContractTable Plain = readCsv(Header + "\n1,a,s,1,5,9\n");
   BOOST_TEST(Plain.m_Contracts.at(0).m_RetryPercent == 10U);
-  BOOST_CHECK(readCsv("\xEF\xBB\xBF" + Head + "\r\n\"1\",a,s,1,5,9\r\n") ==
+  BOOST_CHECK(readCsv("\xEF\xBB\xBF" + Header + "\r\n\"1\",a,s,1,5,9\r\n") ==
               Plain);
   BOOST_CHECK(readCsv("class;id;service;tier;first_token_ms;total_ms\n"
                       "a;1;s;1;5;9") == Plain);
-  BOOST_TEST(!readCsv(Head + ",repeatable\n1,a,s,1,5,9,FALSE\n")
+  BOOST_TEST(!readCsv(Header + ",repeatable\n1,a,s,1,5,9,FALSE\n")
                   .m_Contracts.at(0)
                   .m_Repeatable);
 }
 
 BOOST_AUTO_TEST_CASE(CellErrorsNameRowAndColumn) {
-  const std::string Good = Head + "\n1,a,s,1,5,9\n";
+  const std::string Good = Header + "\n1,a,s,1,5,9\n";
   const auto Read = [](const std::string &Text) {
     return [Text] { validate(readCsv(Text)); };
   };
@@ -137,11 +137,12 @@
   expectCellError(Read(Good + "2,a,s,1,5,9\n"), 2, "class");
   expectCellError(Read(Good + "2,b,s,1,5,4\n"), 2, "total_ms");
   expectCellError(Read(Good + "2,b,s,1\n"), 2, "id");
-  expectCellError(Read(Head + ",colour\n"), 0, "colour");
-  expectCellError(Read(Head + ",tier\n"), 0, "tier");
+  expectCellError(Read(Header + ",colour\n"), 0, "colour");
+  expectCellError(Read(Header + ",tier\n"), 0, "tier");
   expectCellError(Read("id,class\n"), 0, "service");
-  expectCellError(Read(Head + ",repeatable,preemptible\n1,a,s,1,5,9,no,yes\n"),
-                  1, "preemptible");
+  expectCellError(
+      Read(Header + ",repeatable,preemptible\n1,a,s,1,5,9,no,yes\n"), 1,
+      "preemptible");
   BOOST_CHECK_THROW(readCsv(""), TableFormatError);
   BOOST_CHECK_THROW(readCsv("id,\"class\n"), TableFormatError);
 }
@@ -160,8 +161,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(DifferenceNamesCells) {
-  const ContractTable Before = readCsv(Head + "\n1,a,s,1,5,9\n2,b,s,1,5,9\n");
-  const ContractTable After = readCsv(Head + "\n3,c,s,1,5,9\n1,a,s,2,5,9\n");
+  const ContractTable Before = readCsv(Header + "\n1,a,s,1,5,9\n2,b,s,1,5,9\n");
+  const ContractTable After = readCsv(Header + "\n3,c,s,1,5,9\n1,a,s,2,5,9\n");
   const std::vector<std::string> Expected = {"b: removed", "c: added",
                                              "a.tier: 1 -> 2"};
   BOOST_TEST(difference(Before, After) == Expected,
--- a/tests/unit/table_core_test.cpp
+++ b/tests/unit/table_core_test.cpp
@@ -11,39 +11,39 @@
 
 namespace {
 
-template <typename Outcome> bool ended(const SimChange &Change) {
+template <typename Outcome> bool endedWith(const SimChange &Change) {
   return Change.m_Outcome && std::holds_alternative<Outcome>(*Change.m_Outcome);
 }
 
 void randomFault(SimFleet &Fleet) {
   const auto Index =
       static_cast<std::size_t>(Fleet.draw(int(Fleet.m_Processes.size())));
-  SimProcess &Of = Fleet.m_Processes[Index];
+  SimProcess &Process = Fleet.m_Processes[Index];
   switch (Fleet.draw(9)) {
   case 0:
     Fleet.m_Store.m_Up = Fleet.draw(4) != 0;
     break;
   case 1:
-    Of.m_Store = Fleet.draw(4) != 0;
+    Process.m_Store = Fleet.draw(4) != 0;
     break;
   case 2:
   case 3:
     Fleet.moveTo(Index, Fleet.draw(3) == 0 ? 1 : 0);
     break;
   case 4:
-    if (Of.m_Core)
+    if (Process.m_Core)
       Fleet.kill(Index);
     break;
   case 5:
-    if (Of.m_Core)
-      Of.m_Frozen = true;
+    if (Process.m_Core)
+      Process.m_Frozen = true;
     break;
   case 6:
     Fleet.m_LossPercent = Fleet.draw(2) * 40;
     break;
   default:
-    for (std::size_t Each = 0; Each < Fleet.m_Processes.size(); ++Each)
-      Fleet.revive(Each);
+    for (std::size_t Other = 0; Other < Fleet.m_Processes.size(); ++Other)
+      Fleet.revive(Other);
   }
 }
 
@@ -61,13 +61,13 @@
   std::map<TableVersion, std::size_t> Committed;
   for (const SimChange &Change : Fleet.m_Changes) {
     const bool InRow = Fleet.m_Store.m_Operators.contains(Change.m_Operator);
-    if (ended<ChangeAccepted>(Change) || ended<ChangePending>(Change)) {
+    if (endedWith<ChangeAccepted>(Change) || endedWith<ChangePending>(Change)) {
       RC_ASSERT(InRow);
       RC_ASSERT(++Committed[Change.m_Read] == 1U);
     }
-    if (ended<ChangeConflict>(Change))
+    if (endedWith<ChangeConflict>(Change))
       RC_ASSERT(!InRow);
-    if (ended<ChangeUnavailable>(Change) &&
+    if (endedWith<ChangeUnavailable>(Change) &&
         !std::get<ChangeUnavailable>(*Change.m_Outcome).m_MayHaveCommitted)
       RC_ASSERT(!InRow);
   }
@@ -88,18 +88,18 @@
   Fleet.run(seconds(8));
   for (int Step = 0; Step < 60; ++Step) {
     randomFault(Fleet);
-    for (int Left = Fleet.draw(3); Left > 0; --Left)
+    for (int Remaining = Fleet.draw(3); Remaining > 0; --Remaining)
       randomChange(Fleet);
     Fleet.run(milliseconds(Fleet.draw(Fleet.draw(3) == 0 ? 3000 : 300)));
   }
   Fleet.heal();
   Fleet.run(seconds(20));
   RC_ASSERT(Fleet.m_Faults == std::vector<std::string>());
-  const std::size_t Last = Fleet.change(0, std::nullopt);
+  const std::size_t LastChange = Fleet.change(0, std::nullopt);
   Fleet.run(seconds(10));
   RC_ASSERT(Fleet.m_Faults == std::vector<std::string>());
   checkReports(Fleet);
-  RC_ASSERT(ended<ChangeAccepted>(Fleet.m_Changes[Last]));
+  RC_ASSERT(endedWith<ChangeAccepted>(Fleet.m_Changes[LastChange]));
   for (std::size_t Index = 0; Index < Fleet.m_Processes.size(); ++Index) {
     RC_ASSERT(Fleet.serves(Index));
     RC_ASSERT(Fleet.core(Index).document() == Fleet.core(0).document());
--- a/tests/unit/table_fleet.h
+++ b/tests/unit/table_fleet.h
@@ -28,8 +28,8 @@
       return {false, m_Row};
     m_Row = {Write.m_Key, platform::RowVersion(Present.value() + 1),
              Write.m_Value};
-    for (const CommitHeader &Each : decodeDocument(Write.m_Value).m_History)
-      m_Operators.insert(Each.m_Operator);
+    for (const CommitHeader &Header : decodeDocument(Write.m_Value).m_History)
+      m_Operators.insert(Header.m_Operator);
     return {true, m_Row};
   }
 };
@@ -86,24 +86,24 @@
     return {Row};
   }
 
-  TableKeeperConfig config(const SimProcess &Of) const {
+  TableKeeperConfig config(const SimProcess &Process) const {
     TableKeeperConfig Config;
-    Config.m_Name = Of.m_Name;
-    Config.m_Incarnation = Incarnation(Of.m_Start);
+    Config.m_Name = Process.m_Name;
+    Config.m_Incarnation = Incarnation(Process.m_Start);
     Config.m_EntryRight = Duration::zero(); // Slack could hide a fault.
-    Config.m_Seed = Of.m_Start;
+    Config.m_Seed = Process.m_Start;
     return Config;
   }
 
   void start(std::size_t Index) {
-    SimProcess &Of = m_Processes[Index];
-    Of.m_Start = ++m_LastStart;
-    Of.m_Core = std::make_unique<TableCore>(
-        config(Of), "c" + std::to_string(Of.m_Start), m_Clock.now());
-    Of.m_Published = TableVersion();
-    Of.m_Heard.clear();
-    Of.m_Waiting.clear();
-    Of.m_Frozen = false;
+    SimProcess &Process = m_Processes[Index];
+    Process.m_Start = ++m_LastStart;
+    Process.m_Core = std::make_unique<TableCore>(
+        config(Process), "c" + std::to_string(Process.m_Start), m_Clock.now());
+    Process.m_Published = TableVersion();
+    Process.m_Heard.clear();
+    Process.m_Waiting.clear();
+    Process.m_Frozen = false;
     for (std::size_t Other = 0; Other < m_Processes.size(); ++Other)
       connect(Index, Other);
   }
@@ -112,18 +112,18 @@
     for (std::size_t Other = 0; Other < m_Processes.size(); ++Other)
       disconnect(Index, Other);
   }
-  void moveTo(std::size_t Index, int Side) {
-    m_Processes[Index].m_Side = Side;
+  void moveTo(std::size_t Index, int Partition) {
+    m_Processes[Index].m_Side = Partition;
     for (std::size_t Other = 0; Other < m_Processes.size(); ++Other) {
       disconnect(Index, Other);
       connect(Index, Other);
     }
   }
   void thaw(std::size_t Index) {
-    SimProcess &Of = m_Processes[Index];
-    Of.m_Frozen = false;
-    for (const TableEvent &Event : std::exchange(Of.m_Waiting, {}))
-      deliver(Index, Of.m_Start, Event);
+    SimProcess &Process = m_Processes[Index];
+    Process.m_Frozen = false;
+    for (const TableEvent &Event : std::exchange(Process.m_Waiting, {}))
+      deliver(Index, Process.m_Start, Event);
   }
   void heal() {
     m_Store.m_Up = true;
@@ -144,10 +144,11 @@
   /// Requests a change at process \p Index, based on \p BaseVersion or, if
   /// none, on the version in force there. Returns the change's index in
   /// m_Changes.
-  std::size_t change(std::size_t Index, std::optional<TableVersion> Read) {
+  std::size_t change(std::size_t Index,
+                     std::optional<TableVersion> BaseVersion) {
     const std::size_t Id = m_Changes.size();
     const TableVersion Base =
-        Read.value_or(m_Processes[Index].m_Core->document().version());
+        BaseVersion.value_or(m_Processes[Index].m_Core->document().version());
     m_Changes.push_back({"operator-" + std::to_string(Id), Base, {}});
     deliver(Index, m_Processes[Index].m_Start,
             ChangeAsked{ChangeId(Id), rows(static_cast<std::uint32_t>(2 + Id)),
@@ -158,15 +159,16 @@
   /// Advances the time by \p Span in steps of 20 ms, and checks the invariants
   /// after each step.
   void run(Duration Span) {
-    for (Duration Done{}; Done < Span; Done += milliseconds(20)) {
+    for (Duration Elapsed{}; Elapsed < Span; Elapsed += milliseconds(20)) {
       m_Timers.advance(milliseconds(20));
       check();
     }
   }
 
   [[nodiscard]] bool serves(std::size_t Index) const {
-    const SimProcess &Of = m_Processes[Index];
-    return Of.m_Core && !Of.m_Frozen && Of.m_Core->rightToServe(m_Clock.now());
+    const SimProcess &Process = m_Processes[Index];
+    return Process.m_Core && !Process.m_Frozen &&
+           Process.m_Core->rightToServe(m_Clock.now());
   }
   TableCore &core(std::size_t Index) { return *m_Processes[Index].m_Core; }
   int draw(int Below) {
@@ -198,29 +200,30 @@
                            " serves a version below the accepted one");
   }
 
-  void later(Duration Delay, std::function<void()> Job) {
-    m_Timers.after(Delay, std::move(Job));
+  void later(Duration Delay, std::function<void()> Callback) {
+    m_Timers.after(Delay, std::move(Callback));
   }
 
   void deliver(std::size_t Index, std::uint64_t Start,
                const TableEvent &Event) {
-    SimProcess &Of = m_Processes[Index];
-    if (!Of.m_Core || Of.m_Start != Start)
+    SimProcess &Process = m_Processes[Index];
+    if (!Process.m_Core || Process.m_Start != Start)
       return;
-    if (Of.m_Frozen) {
-      Of.m_Waiting.push_back(Event);
+    if (Process.m_Frozen) {
+      Process.m_Waiting.push_back(Event);
       return;
     }
-    const TableVersion Before = Of.m_Core->document().version();
-    const TableActions Actions = Of.m_Core->handle(m_Clock.now(), Event);
-    if (Of.m_Core->document().version() < Before)
-      m_Faults.push_back(Of.m_Name + " went back to a lower version");
+    const TableVersion Before = Process.m_Core->document().version();
+    const TableActions Actions = Process.m_Core->handle(m_Clock.now(), Event);
+    if (Process.m_Core->document().version() < Before)
+      m_Faults.push_back(Process.m_Name + " went back to a lower version");
     for (const TableAction &Action : Actions)
-      std::visit([&](const auto &Each) { act(Index, Each); }, Action);
+      std::visit([&](const auto &Alternative) { act(Index, Alternative); },
+                 Action);
   }
-  template <typename Event> auto delivery(std::size_t Index, Event What) {
+  template <typename Event> auto delivery(std::size_t Index, Event Payload) {
     return [this, Index, Start = m_Processes[Index].m_Start,
-            What = std::move(What)] { deliver(Index, Start, What); };
+            Payload = std::move(Payload)] { deliver(Index, Start, Payload); };
   }
 
   // ---- Time and membership ----
@@ -239,28 +242,28 @@
     later(milliseconds(500), [this] { hear(); });
   }
   std::vector<membership::Member> membersOf(std::size_t Index) {
-    SimProcess &Of = m_Processes[Index];
+    SimProcess &Process = m_Processes[Index];
     std::vector<membership::Member> Result;
     for (std::size_t Other = 0; Other < m_Processes.size(); ++Other) {
       const SimProcess &Peer = m_Processes[Other];
       if (Other == Index ||
-          (Peer.m_Core && !Peer.m_Frozen && Peer.m_Side == Of.m_Side))
-        Of.m_Heard[Other] = {m_Clock.now(), memberOf(Peer)};
-      const auto Heard = Of.m_Heard.find(Other);
-      if (Heard == Of.m_Heard.end())
+          (Peer.m_Core && !Peer.m_Frozen && Peer.m_Side == Process.m_Side))
+        Process.m_Heard[Other] = {m_Clock.now(), memberOf(Peer)};
+      const auto Observed = Process.m_Heard.find(Other);
+      if (Observed == Process.m_Heard.end())
         continue;
-      Result.push_back(Heard->second.second);
-      if (m_Clock.now() > Heard->second.first + m_DeadAfter)
+      Result.push_back(Observed->second.second);
+      if (m_Clock.now() > Observed->second.first + m_DeadAfter)
         Result.back().m_State = membership::MemberState::Dead;
     }
     return Result;
   }
-  static membership::Member memberOf(const SimProcess &Of) {
+  static membership::Member memberOf(const SimProcess &Process) {
     membership::Member Result;
-    Result.m_Name = Of.m_Name;
-    Result.m_Id = instanceIdOf(Of.m_Name);
-    Result.m_Incarnation = Incarnation(Of.m_Start);
-    Result.m_TableVersion = Of.m_Published;
+    Result.m_Name = Process.m_Name;
+    Result.m_Id = instanceIdOf(Process.m_Name);
+    Result.m_Incarnation = Incarnation(Process.m_Start);
+    Result.m_TableVersion = Process.m_Published;
     return Result;
   }
 
@@ -297,7 +300,7 @@
   /// Sends an event over a link. It is delivered even if the link is cut
   /// meanwhile, as a receiver may still read it from its socket.
   template <typename Event>
-  void send(std::size_t From, link::LinkId Link, const Event &What) {
+  void send(std::size_t From, link::LinkId Link, const Event &Payload) {
     const auto Found = m_Ends.find(Link);
     if (Found == m_Ends.end())
       return;
@@ -307,7 +310,7 @@
                                                      : milliseconds(draw(40));
     TimePoint &Last = m_LastArrival[{From, To}];
     Last = std::max(Last, m_Clock.now() + Delay);
-    later(Last - m_Clock.now(), delivery(To, What));
+    later(Last - m_Clock.now(), delivery(To, Payload));
   }
 
   // ---- Actions ----
@@ -333,10 +336,10 @@
   void act(std::size_t Index, const WriteStore &Action) {
     const bool Lost = draw(100) < m_LossPercent;
     if (!m_Store.m_Up || !m_Processes[Index].m_Store) {
-      const auto Why = Lost ? platform::PlatformFailure::Uncertain
-                            : platform::PlatformFailure::Refused;
+      const auto Failure = Lost ? platform::PlatformFailure::Uncertain
+                                : platform::PlatformFailure::Refused;
       later(milliseconds(draw(900)),
-            delivery(Index, StoreWriteFailed{Action.m_Commit, Why}));
+            delivery(Index, StoreWriteFailed{Action.m_Commit, Failure}));
       return;
     }
     later(milliseconds(Lost ? draw(3000) : draw(100)),
@@ -378,8 +381,8 @@
   }
   void act(std::size_t, const FinishChange &Action) {
     m_Changes.at(Action.m_Id.value()).m_Outcome = Action.m_Outcome;
-    if (const auto *Done = std::get_if<ChangeAccepted>(&Action.m_Outcome))
-      m_Accepted = std::max(m_Accepted, Done->m_Version);
+    if (const auto *Accepted = std::get_if<ChangeAccepted>(&Action.m_Outcome))
+      m_Accepted = std::max(m_Accepted, Accepted->m_Version);
   }
   void act(std::size_t, const Notify &) {}
 
--- a/tests/unit/table_keeper_test.cpp
+++ b/tests/unit/table_keeper_test.cpp
@@ -79,10 +79,10 @@
 
 /// The parts of a dispatcher that keep the table.
 struct Node final : link::LinkListener {
-  Node(const std::string &Name, const Address &Where, Scheduler &Timers,
+  Node(const std::string &Name, const Address &Listen, Scheduler &Timers,
        platform::TableService &Store)
-      : m_Links(linkConfig(Name, Where), Timers, m_Stats, *this),
-        m_Fleet({}, self(Name, Where), m_Clock, Timers, m_Links, m_Stats),
+      : m_Links(linkConfig(Name, Listen), Timers, m_Stats, *this),
+        m_Fleet({}, self(Name, Listen), m_Clock, Timers, m_Links, m_Stats),
         m_Table(tableConfig(Name), m_Clock, Timers, Store, m_Fleet, m_Links,
                 m_Stats) {
     m_Table.onChange([this] {
@@ -94,23 +94,23 @@
     m_Table.start();
   }
   static link::LinkConfig linkConfig(const std::string &Name,
-                                     const Address &Where) {
+                                     const Address &Listen) {
     link::LinkConfig Config;
     Config.m_Role = wire::Role::Dispatcher;
     Config.m_Name = Name;
     Config.m_Incarnation = Incarnation(1);
     Config.m_Zone = {"njiro"};
-    Config.m_Listen = Where;
+    Config.m_Listen = Listen;
     Config.m_Key = "secret";
     return Config;
   }
   static membership::Member self(const std::string &Name,
-                                 const Address &Where) {
+                                 const Address &Listen) {
     membership::Member Result;
     Result.m_Id = instanceIdOf(Name);
     Result.m_Name = Name;
     Result.m_Incarnation = Incarnation(1);
-    Result.m_Address = Where;
+    Result.m_Address = Listen;
     Result.m_Zone = {"njiro"};
     return Result;
   }
@@ -121,21 +121,21 @@
     Config.m_VotersDelay = 500ms;
     return Config;
   }
-  void linkUp(link::LinkId Link, const link::Peer &Who) override {
-    m_Fleet.linkUp(Link, Who);
-    m_Table.linkUp(Link, Who);
+  void linkUp(link::LinkId Link, const link::Peer &Peer) override {
+    m_Fleet.linkUp(Link, Peer);
+    m_Table.linkUp(Link, Peer);
   }
   void linkFrame(link::LinkId Link, const wire::Frame &Frame) override {
     m_Fleet.linkFrame(Link, Frame);
     m_Table.linkFrame(Link, Frame);
   }
-  void linkDown(link::LinkId Link, const link::Peer &Who,
-                link::CloseReason Why) override {
-    m_Fleet.linkDown(Link, Who, Why);
-    m_Table.linkDown(Link, Who, Why);
+  void linkDown(link::LinkId Link, const link::Peer &Peer,
+                link::CloseReason Reason) override {
+    m_Fleet.linkDown(Link, Peer, Reason);
+    m_Table.linkDown(Link, Peer, Reason);
   }
-  void dialFailed(const Address &Where, link::CloseReason Why) override {
-    m_Fleet.dialFailed(Where, Why);
+  void dialFailed(const Address &Target, link::CloseReason Reason) override {
+    m_Fleet.dialFailed(Target, Reason);
   }
 
   LoopClock m_Clock;              ///< Of the loop.
@@ -160,8 +160,8 @@
       m_Nodes.push_back(
           std::make_unique<Node>("instance-" + std::to_string(Index),
                                  Addresses[Index], m_Timers, m_Store));
-    for (const auto &Each : m_Nodes)
-      Each->m_Fleet.seed(Addresses);
+    for (const auto &NodePtr : m_Nodes)
+      NodePtr->m_Fleet.seed(Addresses);
     runUntil([&] {
       return allServe() &&
              decodeDocument(m_Store.m_Row.m_Value).m_Voters.size() ==
@@ -169,8 +169,8 @@
     });
     // The version with the voters must reach all nodes.
     runUntil([&] {
-      return std::ranges::all_of(m_Nodes, [&](const auto &Each) {
-        return Each->m_Table.table().m_Version ==
+      return std::ranges::all_of(m_Nodes, [&](const auto &NodePtr) {
+        return NodePtr->m_Table.table().m_Version ==
                decodeDocument(m_Store.m_Row.m_Value).version();
       });
     });
@@ -181,8 +181,9 @@
                    std::to_string(Weight) + ",250,2000\n");
   }
   [[nodiscard]] bool allServe() const {
-    return std::ranges::all_of(
-        m_Nodes, [](const auto &Each) { return Each->m_Table.rightToServe(); });
+    return std::ranges::all_of(m_Nodes, [](const auto &NodePtr) {
+      return NodePtr->m_Table.rightToServe();
+    });
   }
   /// Changes the table at node \p Index and waits for the outcome.
   ChangeOutcome change(std::size_t Index, std::uint32_t Weight) {
@@ -202,28 +203,28 @@
 } // namespace
 
 BOOST_AUTO_TEST_CASE(AChangeIsAcceptedOnceAllNodesHoldIt) {
-  Fleet Of(3);
-  const ChangeOutcome Outcome = Of.change(1, 7);
+  Fleet Cluster(3);
+  const ChangeOutcome Outcome = Cluster.change(1, 7);
   BOOST_REQUIRE(std::holds_alternative<ChangeAccepted>(Outcome));
-  for (const auto &Each : Of.m_Nodes)
-    BOOST_TEST(Each->m_Table.table().m_Contracts.at(0).m_Weight == 7U);
+  for (const auto &NodePtr : Cluster.m_Nodes)
+    BOOST_TEST(NodePtr->m_Table.table().m_Contracts.at(0).m_Weight == 7U);
   std::vector<HistoryEntry> History;
-  Of.m_Nodes[2]->m_Table.history(
+  Cluster.m_Nodes[2]->m_Table.history(
       [&](std::vector<HistoryEntry> Value) { History = std::move(Value); });
   BOOST_REQUIRE(History.size() == 1U);
   BOOST_TEST(History[0].m_Operator == "operator");
-  const TableKeeper &At = Of.m_Nodes[0]->m_Table;
+  const TableKeeper &At = Cluster.m_Nodes[0]->m_Table;
   BOOST_CHECK_THROW(static_cast<void>(At.tryChange(Fleet::tableOf(5000))),
                     Error);
 }
 
 /// Two operators request changes at two instances at the same time.
 BOOST_AUTO_TEST_CASE(OfTwoOperatorsOneWins) {
-  Fleet Of(2);
+  Fleet Cluster(2);
   std::vector<ChangeOutcome> Outcomes;
   for (const std::size_t Index : {0U, 1U}) {
-    TableKeeper &At = Of.m_Nodes[Index]->m_Table;
-    At.change(Of.tableOf(8 + static_cast<std::uint32_t>(Index)),
+    TableKeeper &At = Cluster.m_Nodes[Index]->m_Table;
+    At.change(Cluster.tableOf(8 + static_cast<std::uint32_t>(Index)),
               At.table().m_Version, "operator",
               [&](const ChangeOutcome &Value) { Outcomes.push_back(Value); });
   }
@@ -236,34 +237,34 @@
 
 /// The table service is down for longer than a right to serve lasts without it.
 BOOST_AUTO_TEST_CASE(AnOutageLeavesTheRightToServe) {
-  Fleet Of(3);
-  Of.m_Store.m_Up = false;
+  Fleet Cluster(3);
+  Cluster.m_Store.m_Up = false;
   const TimePoint Until = LoopClock().fresh() + 4s;
   runUntil([&] {
-    BOOST_REQUIRE(Of.allServe());
+    BOOST_REQUIRE(Cluster.allServe());
     return LoopClock().fresh() >= Until;
   });
-  BOOST_TEST(std::holds_alternative<ChangeUnavailable>(Of.change(0, 9)));
+  BOOST_TEST(std::holds_alternative<ChangeUnavailable>(Cluster.change(0, 9)));
 }
 
 /// Measures changes at 8 nodes; CROWSTEP_TABLE_CHANGES sets their number.
 BOOST_AUTO_TEST_CASE(MeasuresTheSpread) {
-  const char *Wanted = std::getenv("CROWSTEP_TABLE_CHANGES");
-  const int Changes = Wanted == nullptr ? 2 : std::atoi(Wanted);
+  const char *Setting = std::getenv("CROWSTEP_TABLE_CHANGES");
+  const int Changes = Setting == nullptr ? 2 : std::atoi(Setting);
   const TimePoint Start = LoopClock().fresh();
-  Fleet Of(8);
+  Fleet Cluster(8);
   std::vector<Duration> Spread;
   std::vector<Duration> Accept;
   for (int Change = 0; Change < Changes; ++Change) {
-    const TimePoint Asked = LoopClock().fresh();
+    const TimePoint RequestedAt = LoopClock().fresh();
     const std::size_t At = static_cast<std::size_t>(Change) % 8;
     BOOST_REQUIRE(std::holds_alternative<ChangeAccepted>(
-        Of.change(At, 2 + static_cast<std::uint32_t>(Change))));
+        Cluster.change(At, 2 + static_cast<std::uint32_t>(Change))));
     TimePoint Last;
-    for (const auto &Each : Of.m_Nodes)
-      Last = std::max(Last, Each->m_ChangedAt);
-    Spread.push_back(Last - Asked);
-    Accept.push_back(LoopClock().fresh() - Asked);
+    for (const auto &NodePtr : Cluster.m_Nodes)
+      Last = std::max(Last, NodePtr->m_ChangedAt);
+    Spread.push_back(Last - RequestedAt);
+    Accept.push_back(LoopClock().fresh() - RequestedAt);
   }
   std::ranges::sort(Spread);
   std::ranges::sort(Accept);
@@ -275,6 +276,7 @@
                      << Spread.back().count() << " us; to accepted: median "
                      << Accept[Accept.size() / 2].count() << " us, max "
                      << Accept.back().count() << " us; reads "
-                     << Of.m_Store.m_Reads << ", writes " << Of.m_Store.m_Writes
-                     << " in " << Seconds.count() << " s");
+                     << Cluster.m_Store.m_Reads << ", writes "
+                     << Cluster.m_Store.m_Writes << " in " << Seconds.count()
+                     << " s");
 }
--- a/tests/unit/table_safety_test.cpp
+++ b/tests/unit/table_safety_test.cpp
@@ -21,8 +21,8 @@
 }
 
 /// A single core of instance x; the test sends its events.
-struct Lone {
-  Lone() {
+struct SingleCore {
+  SingleCore() {
     TableKeeperConfig Config;
     Config.m_Name = "x";
     Config.m_Incarnation = Incarnation(7);
@@ -111,21 +111,21 @@
   const auto At = [&](int Second) { return Start + seconds(Second); };
   SettleWatch Watch(TableVersion(4), {Three}, Start, seconds(2));
   VouchTable Known;
-  const auto Hear = [&](const char *Who, std::uint64_t Incarnate,
-                        std::uint64_t Version, int Second) {
-    Known.add(instanceIdOf(Who),
+  const auto Confirm = [&](const char *Name, std::uint64_t Incarnate,
+                           std::uint64_t Version, int Second) {
+    Known.add(instanceIdOf(Name),
               {Incarnation(Incarnate), TableVersion(Version), At(Second)});
     Watch.update(Known, {}, At(Second));
   };
-  Hear("y", 1, 4, 1);
-  Hear("y", 2, 3, 2);
-  Hear("z", 1, 4, 3);
-  Hear("z", 1, 4, 9);
+  Confirm("y", 1, 4, 1);
+  Confirm("y", 2, 3, 2);
+  Confirm("z", 1, 4, 3);
+  Confirm("z", 1, 4, 9);
   BOOST_TEST(!Watch.settled());
-  Hear("x", 1, 4, 10);
-  Hear("z", 1, 4, 11);
+  Confirm("x", 1, 4, 10);
+  Confirm("z", 1, 4, 11);
   BOOST_TEST(!Watch.settled()); // The expiry delay has not passed.
-  Hear("x", 1, 4, 13);
+  Confirm("x", 1, 4, 13);
   BOOST_TEST(Watch.settled());
 }
 
@@ -163,31 +163,31 @@
 /// A process that was frozen reads old answers from its socket. If their age
 /// did not count, they would renew a right to serve that expired meanwhile.
 BOOST_AUTO_TEST_CASE(OldAnswersRenewNothing) {
-  Lone Of;
-  Of.answer({"y", "z"}, Duration::zero());
-  BOOST_TEST(Of.serves());
-  Of.pass(seconds(1));
-  const std::uint64_t Old = Of.m_Probe;
-  Of.m_Now += seconds(5);
-  BOOST_TEST(!Of.serves());
-  Of.m_Probe = Old;
-  Of.answer({"y", "z"}, Duration::zero());
-  BOOST_TEST(!Of.serves());
-  Of.pass(seconds(1));
-  Of.answer({"y"}, milliseconds(1400)); // x and y are two of three.
-  BOOST_TEST(Of.serves());
-  Of.m_Now += milliseconds(101);
-  BOOST_TEST(!Of.serves());
+  SingleCore Single;
+  Single.answer({"y", "z"}, Duration::zero());
+  BOOST_TEST(Single.serves());
+  Single.pass(seconds(1));
+  const std::uint64_t Old = Single.m_Probe;
+  Single.m_Now += seconds(5);
+  BOOST_TEST(!Single.serves());
+  Single.m_Probe = Old;
+  Single.answer({"y", "z"}, Duration::zero());
+  BOOST_TEST(!Single.serves());
+  Single.pass(seconds(1));
+  Single.answer({"y"}, milliseconds(1400)); // x and y are two of three.
+  BOOST_TEST(Single.serves());
+  Single.m_Now += milliseconds(101);
+  BOOST_TEST(!Single.serves());
 }
 
 /// A confirmation of a higher version must not support the right to serve by a
 /// lower one.
 BOOST_AUTO_TEST_CASE(VoicesForAHigherVersionDoNotCount) {
-  Lone Of;
-  Of.answer({"y", "z"}, Duration::zero());
-  Of.pass(seconds(2));
-  Of.answer({"y", "z"}, Duration::zero(), 4);
-  BOOST_TEST(!Of.serves());
+  SingleCore Single;
+  Single.answer({"y", "z"}, Duration::zero());
+  Single.pass(seconds(2));
+  Single.answer({"y", "z"}, Duration::zero(), 4);
+  BOOST_TEST(!Single.serves());
 }
 
 /// An instance that restarts during an outage of the table service gets the
@@ -195,18 +195,18 @@
 /// confirmations by a majority of the voters show that nothing newer was
 /// accepted.
 BOOST_AUTO_TEST_CASE(ARestartedInstanceCatchesUpFirst) {
-  Lone Of;
-  BOOST_TEST(!Of.m_Core->caughtUp());
-  Of.answer({"y"}, Duration::zero());
-  BOOST_TEST(!Of.m_Core->caughtUp());
-  BOOST_TEST(!Of.serves());
-  Of.pass(seconds(1));
-  Of.answer({"y", "z"}, seconds(2)); // Older than the process.
-  BOOST_TEST(!Of.m_Core->caughtUp());
-  Of.pass(seconds(1));
-  Of.answer({"y", "z"}, Duration::zero());
-  BOOST_TEST(Of.m_Core->caughtUp());
-  BOOST_TEST(Of.serves());
+  SingleCore Single;
+  BOOST_TEST(!Single.m_Core->caughtUp());
+  Single.answer({"y"}, Duration::zero());
+  BOOST_TEST(!Single.m_Core->caughtUp());
+  BOOST_TEST(!Single.serves());
+  Single.pass(seconds(1));
+  Single.answer({"y", "z"}, seconds(2)); // Older than the process.
+  BOOST_TEST(!Single.m_Core->caughtUp());
+  Single.pass(seconds(1));
+  Single.answer({"y", "z"}, Duration::zero());
+  BOOST_TEST(Single.m_Core->caughtUp());
+  BOOST_TEST(Single.serves());
 }
 
 /// The table service is down for a minute. All instances continue to serve; one
