--- a/src/contract/contract_error.h
+++ b/src/contract/contract_error.h
@@ -34,7 +34,7 @@
 class TableKeeperConfigError : public Error {
 public:
   explicit TableKeeperConfigError(const std::string &Reason)
-      : Error("keeper of the table: " + Reason) {}
+      : Error("table keeper: " + Reason) {}
 };
 
 } // namespace crowstep::contract
