--- a/tests/unit/contract_test.cpp
+++ b/tests/unit/contract_test.cpp
@@ -110,7 +110,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(SpreadsheetHabitsAreRead) {
+BOOST_AUTO_TEST_CASE(SpreadsheetNotationsAreRead) {
   const ContractTable Plain = readCsv(Header + "\n1,a,s,1,5,9\n");
   BOOST_TEST(Plain.m_Contracts.at(0).m_RetryPercent == 10U);
   BOOST_CHECK(readCsv("\xEF\xBB\xBF" + Header + "\r\n\"1\",a,s,1,5,9\r\n") ==
--- a/tests/unit/table_safety_test.cpp
+++ b/tests/unit/table_safety_test.cpp
@@ -68,7 +68,7 @@
 /// the membership at once. If they accepted the change before its right to
 /// serve expired, it would serve requests by the old table after the
 /// acceptance.
-BOOST_AUTO_TEST_CASE(AcceptanceWaitsForRightsToLapse) {
+BOOST_AUTO_TEST_CASE(AcceptanceWaitsForRightsToExpire) {
   SimFleet Fleet(4, 5);
   Fleet.run(seconds(12));
   Fleet.m_DeadAfter = Duration::zero();
@@ -106,7 +106,7 @@
 /// y confirms version 4, restarts with 3 and confirms 3 for an instance that
 /// serves 3; then z confirms 4. Two of three held 4, but never at the same
 /// time, and 3 is still in use.
-BOOST_AUTO_TEST_CASE(AMajorityMustHoldAtOneMoment) {
+BOOST_AUTO_TEST_CASE(AMajorityMustHoldAtTheSameTime) {
   const TimePoint Start{seconds(10)};
   const auto At = [&](int Second) { return Start + seconds(Second); };
   SettleWatch Watch(TableVersion(4), {Three}, Start, seconds(2));
@@ -131,7 +131,7 @@
 
 /// If removed voters counted, a fleet that is replaced under new names would
 /// wait for its old voters for ever.
-BOOST_AUTO_TEST_CASE(VotersTakenAwayByThePlatformDoNotCount) {
+BOOST_AUTO_TEST_CASE(RemovedVotersDoNotCount) {
   SettleWatch Watch(TableVersion(4), {Three}, TimePoint(), seconds(2));
   Watch.update({}, {"x", "y"}, TimePoint(seconds(9)));
   BOOST_TEST(!Watch.settled());
@@ -182,7 +182,7 @@
 
 /// A confirmation of a higher version must not support the right to serve by a
 /// lower one.
-BOOST_AUTO_TEST_CASE(VoicesForAHigherVersionDoNotCount) {
+BOOST_AUTO_TEST_CASE(ConfirmationsOfHigherVersionsDoNotCount) {
   SingleCore Single;
   Single.answer({"y", "z"}, Duration::zero());
   Single.pass(seconds(2));
