--- a/src/balance/balancer.cpp
+++ b/src/balance/balancer.cpp
@@ -11,12 +11,12 @@
 
 /// An upstream that had no room gets nothing for this long: about the time in
 /// which a slot of a plain service comes free.
-constexpr Duration FullSpan = std::chrono::milliseconds(50);
+constexpr Duration FullBackoff = std::chrono::milliseconds(50);
 
 /// An upstream that says that it closes its connections, or that it is another
 /// one, gets nothing until the directory has said what it is; the directory
 /// follows within a second.
-constexpr Duration LeavingSpan = std::chrono::milliseconds(1500);
+constexpr Duration DrainingBackoff = std::chrono::milliseconds(1500);
 
 /// A caller refused for want of an upstream comes back after this: the
 /// directory learns of a new upstream within a second.
@@ -27,39 +27,39 @@
 constexpr Duration LimitedRetryAfter = std::chrono::seconds(4);
 
 /// Another zone's upstream must have this many calls fewer to be worth the way.
-constexpr double ZoneAdvantage = 2;
+constexpr double OtherZonePenalty = 2;
 
 /// A report older than this says nothing about now.
-constexpr Duration ReportLife = std::chrono::milliseconds(1500);
+constexpr Duration ReportLifetime = std::chrono::milliseconds(1500);
 
 /// A call is refused at once if what is read before it takes longer than this
 /// many targets. Its own prompt does not count, so that long prompts are not
 /// refused where shorter ones are taken. It would be late, and what is read for
 /// it would make calls late that can still be in time.
-constexpr double WaitInTargets = 0.75;
+constexpr double MaxWaitInTargets = 0.75;
 
 /// Callers with short targets wait longer than these before they give up, and a
 /// late answer is worth something to them.
-constexpr Duration LeastWait = std::chrono::milliseconds(1200);
+constexpr Duration MinWaitLimit = std::chrono::milliseconds(1200);
 
 /// Share of an engine's memory that calls may need beside the parts that it
 /// keeps, which are as much again.
-constexpr double HeldShare = 0.55;
+constexpr double MaxHeldShare = 0.55;
 
 /// Share of an engine's slots that calls may take. Over its slots an engine
 /// makes calls wait, and stops less urgent ones amid their streams for more
 /// urgent ones, to read them again later. The rest is for calls that other
 /// instances place meanwhile.
-constexpr double SlotShare = 0.85;
+constexpr double MaxSlotShare = 0.85;
 
 /// An engine whose slots are all taken frees one each time that one of its
 /// calls ends: with calls of 1.5 s and 40 tokens read in a ms, this many tokens
 /// could be read until all slots have changed hands.
-constexpr double SlotTurnTokens = 60000;
+constexpr double SlotTurnoverTokens = 60000;
 
 /// A caller that is refused for load comes back after the time by which the
 /// wait is too long, and not sooner than this.
-constexpr Duration LeastRetryAfter = std::chrono::milliseconds(300);
+constexpr Duration MinRetryAfter = std::chrono::milliseconds(300);
 
 /// A step of a full batch makes one token for each of its calls and takes 6 to
 /// 9 ms, in which an engine could read about this many: a token made takes as
@@ -69,10 +69,10 @@
 
 /// At most this share of a service is kept out for its answers: when all fail
 /// alike the fault is elsewhere, and the rest could not take the load.
-constexpr double MaxEjected = 0.5;
+constexpr double MaxExcludedShare = 0.5;
 
 /// Returns the tokens that a call is expected to make.
-std::uint32_t outputOf(const PromptSize &Prompt) {
+std::uint32_t expectedOutput(const PromptSize &Prompt) {
   if (Prompt.m_ExpectedOutput > 0 && Prompt.m_MaxOutput > 0)
     return std::min(Prompt.m_ExpectedOutput, Prompt.m_MaxOutput);
   return std::max(Prompt.m_ExpectedOutput, Prompt.m_MaxOutput);
@@ -81,16 +81,16 @@
 } // namespace
 
 void Balancer::setUpstreams(const std::vector<Upstream> &List) {
-  std::map<UpstreamId, UpstreamState> Next;
-  for (const Upstream &Each : List) {
-    const auto Found = m_States.find(Each.m_Id);
+  std::map<UpstreamId, UpstreamState> NewStates;
+  for (const Upstream &Listed : List) {
+    const auto Found = m_States.find(Listed.m_Id);
     UpstreamState State;
     if (Found != m_States.end())
       State = std::move(Found->second);
-    State.m_Upstream = Each;
-    Next.emplace(Each.m_Id, std::move(State));
+    State.m_Upstream = Listed;
+    NewStates.emplace(Listed.m_Id, std::move(State));
   }
-  m_States = std::move(Next);
+  m_States = std::move(NewStates);
   m_Cache.keepOnly(List);
   m_Limits.keepOnly(List);
   rankEngines();
@@ -122,15 +122,16 @@
             Query.m_Avoid.end() &&
         Now >= State.m_LeavingUntil && m_Limits.mayTake(Id, Now))
       Listed.push_back(&State);
-  States Fit;
-  std::copy_if(Listed.begin(), Listed.end(), std::back_inserter(Fit),
+  States Available;
+  std::copy_if(Listed.begin(), Listed.end(), std::back_inserter(Available),
                [&](const UpstreamState *State) {
                  return !State->m_Health.ejected(Now) &&
                         Now >= State->m_FullUntil;
                });
-  const auto Least = static_cast<std::size_t>(
-      static_cast<double>(Listed.size()) * (1 - MaxEjected));
-  return Fit.empty() || Fit.size() < Least ? Listed : Fit;
+  const auto MinAvailable = static_cast<std::size_t>(
+      static_cast<double>(Listed.size()) * (1 - MaxExcludedShare));
+  return Available.empty() || Available.size() < MinAvailable ? Listed
+                                                              : Available;
 }
 
 PlacementResult Balancer::place(const PlacementQuery &Query, TimePoint Now) {
@@ -140,15 +141,15 @@
         Left > Duration::zero())
       return NotPlaced{
           RefusalReason::Quarantined, Left, {0, 0, 0, 0, m_Peers.size()}};
-  const States From = candidates(Query, Now);
-  if (From.empty())
+  const States Candidates = candidates(Query, Now);
+  if (Candidates.empty())
     return nonePlaced(Query);
   if (Query.m_Prompt.m_PromptTokens > 0)
-    return placeAtEngine(Query, From, Now);
-  UpstreamState &Chosen = *chooseForPlain(From, Now);
-  const PlacementInputs Why = {From.size(), callsAt(Chosen, Now), 0, 0,
-                               m_Peers.size()};
-  return begin(Chosen, Query, {}, Why, Now);
+    return placeAtEngine(Query, Candidates, Now);
+  UpstreamState &Chosen = *chooseForPlain(Candidates, Now);
+  const PlacementInputs Inputs = {Candidates.size(), callsAt(Chosen, Now), 0, 0,
+                                  m_Peers.size()};
+  return begin(Chosen, Query, {}, Inputs, Now);
 }
 
 NotPlaced Balancer::nonePlaced(const PlacementQuery &Query) const {
@@ -171,11 +172,12 @@
 }
 
 PlacementResult Balancer::placeAtEngine(const PlacementQuery &Query,
-                                        const States &From, TimePoint Now) {
+                                        const States &Candidates,
+                                        TimePoint Now) {
   const PromptSize &Prompt = Query.m_Prompt;
-  const bool Tight = tight(Query);
+  const bool LatencySensitive = tight(Query);
   const PoolId Pool = poolIdOf(Query.m_Service, 0);
-  const std::size_t ShortOnly = shortEngines(Query.m_Service);
+  const std::size_t SensitiveEngines = shortEngines(Query.m_Service);
   // Engines of the other role only where none of the call's own has room.
   std::vector<EngineOption> Options;
   for (const bool OwnRole : {true, false}) {
@@ -183,29 +185,32 @@
     // it makes the others late.
     if (!Options.empty() || (!OwnRole && Query.m_WaitedInVain))
       break;
-    for (UpstreamState *State : From)
-      if (((State->m_ShortRank < ShortOnly) == Tight) == OwnRole)
+    for (UpstreamState *State : Candidates)
+      if (((State->m_ShortRank < SensitiveEngines) == LatencySensitive) ==
+          OwnRole)
         Options.push_back(optionAt(*State, Query, Now));
     markFull(Query, Options);
   }
   if (Options.empty())
     return NotPlaced{RefusalReason::TargetUnreachable,
-                     LeastRetryAfter,
+                     MinRetryAfter,
                      {0, 0, 0, 0, m_Peers.size()}};
-  const EngineOption &Chosen = chooseEngine(Query, Tight, Options, m_Random);
-  const PlacementInputs Why = {Options.size(), Chosen.m_Calls,
-                               Chosen.m_UnreadTokens, Chosen.m_MissingTokens,
-                               m_Peers.size()};
+  const EngineOption &Chosen =
+      chooseEngine(Query, LatencySensitive, Options, m_Random);
+  const PlacementInputs Inputs = {Options.size(), Chosen.m_Calls,
+                                  Chosen.m_UnreadTokens, Chosen.m_MissingTokens,
+                                  m_Peers.size()};
   if (Chosen.m_Full)
-    return MustWait{Why};
+    return MustWait{Inputs};
   const Duration Wait = m_Speed.timeFor(Query.m_Service, Chosen.m_UnreadTokens);
-  const auto Limit = std::max(
-      LeastWait, std::chrono::duration_cast<Duration>(
-                     std::chrono::duration<double, std::micro>(Query.m_Target) *
-                     WaitInTargets));
+  const auto Limit =
+      std::max(MinWaitLimit,
+               std::chrono::duration_cast<Duration>(
+                   std::chrono::duration<double, std::micro>(Query.m_Target) *
+                   MaxWaitInTargets));
   if (Wait > Limit)
     return NotPlaced{RefusalReason::TargetUnreachable,
-                     std::max(Wait - Query.m_Target, LeastRetryAfter), Why};
+                     std::max(Wait - Query.m_Target, MinRetryAfter), Inputs};
   UpstreamState &State = *Chosen.m_State;
   // The last part is the call's own; nobody will ask for it again.
   for (std::size_t I = 0; I + 1 < Prompt.m_Parts.size(); ++I) {
@@ -213,17 +218,17 @@
                    m_CacheTokens[Query.m_Service]);
     m_NewParts.push_back({State.m_Upstream.m_Id, Prompt.m_Parts[I]});
   }
-  noteWork(Pool, Tight,
+  noteWork(Pool, LatencySensitive,
            Chosen.m_MissingTokens +
-               outputOf(Prompt) * StepTokens / slotsOf(State.m_Upstream),
+               expectedOutput(Prompt) * StepTokens / slotsOf(State.m_Upstream),
            Now);
-  const bool Undisturbed = Chosen.m_UnreadTokens == 0;
+  const bool NoQueuedPrefill = Chosen.m_UnreadTokens == 0;
   const Placed Result =
       begin(State, Query,
-            {Chosen.m_MissingTokens, Chosen.m_MissingTokens + outputOf(Prompt),
-             Tight},
-            Why, Now);
-  m_Tickets[Result.m_Ticket].m_Undisturbed = Undisturbed;
+            {Chosen.m_MissingTokens,
+             Chosen.m_MissingTokens + expectedOutput(Prompt), LatencySensitive},
+            Inputs, Now);
+  m_Tickets[Result.m_Ticket].m_Undisturbed = NoQueuedPrefill;
   return Result;
 }
 
@@ -237,20 +242,20 @@
                                 const PlacementQuery &Query,
                                 TimePoint Now) const {
   const UpstreamId Id = State.m_Upstream.m_Id;
-  const Urgency How = Query.m_Urgency;
+  const Urgency Level = Query.m_Urgency;
   const std::uint32_t Tokens = Query.m_Prompt.m_PromptTokens;
-  const std::uint32_t Kept = m_Cache.kept(Id, Query.m_Prompt.m_Parts);
+  const std::uint32_t CachedTokens = m_Cache.kept(Id, Query.m_Prompt.m_Parts);
   const CallLoad &Own = State.m_Own;
   const CallLoad &Peers = m_Peers.at(Id);
   EngineOption Result;
   Result.m_State = &State;
   Result.m_Calls = callsAt(State, Peers, Now);
-  Result.m_UnreadTokens = Own.unreadBefore(How) + Peers.unreadBefore(How);
-  Result.m_UnreadAfter = Own.unreadAfter(How) + Peers.unreadAfter(How);
-  Result.m_MoreUrgent = Own.moreUrgent(How) + Peers.moreUrgent(How);
+  Result.m_UnreadTokens = Own.unreadBefore(Level) + Peers.unreadBefore(Level);
+  Result.m_UnreadAfter = Own.unreadAfter(Level) + Peers.unreadAfter(Level);
+  Result.m_MoreUrgent = Own.moreUrgent(Level) + Peers.moreUrgent(Level);
   Result.m_Tight = Own.tight() + Peers.tight();
-  Result.m_LessUrgent = Own.lessUrgent(How) + Peers.lessUrgent(How);
-  Result.m_MissingTokens = Tokens - std::min(Tokens, Kept);
+  Result.m_LessUrgent = Own.lessUrgent(Level) + Peers.lessUrgent(Level);
+  Result.m_MissingTokens = Tokens - std::min(Tokens, CachedTokens);
   Result.m_HeldTokens = Own.held() + Peers.held();
   return Result;
 }
@@ -277,34 +282,37 @@
 void Balancer::markFull(const PlacementQuery &Query,
                         std::vector<EngineOption> &Options) const {
   const auto Capacity = m_CacheTokens.find(Query.m_Service);
-  const double Limit = Capacity == m_CacheTokens.end() || Capacity->second == 0
-                           ? std::numeric_limits<double>::infinity()
-                           : HeldShare * static_cast<double>(Capacity->second);
-  for (EngineOption &Each : Options) {
-    const double Slots = slotsOf(Each.m_State->m_Upstream);
-    const bool Yields = Each.m_LessUrgent > 0;
-    const bool NoSlot = Each.m_Calls >= (Yields ? 1 : SlotShare) * Slots;
-    Each.m_Full =
-        (Query.m_WaitedInVain ? !Yields : NoSlot) ||
-        (Each.m_HeldTokens > 0 &&
-         static_cast<double>(Each.m_HeldTokens + Each.m_MissingTokens +
-                             outputOf(Query.m_Prompt)) > Limit);
-    Each.m_FullTokens = SlotTurnTokens / Slots;
+  const double Limit =
+      Capacity == m_CacheTokens.end() || Capacity->second == 0
+          ? std::numeric_limits<double>::infinity()
+          : MaxHeldShare * static_cast<double>(Capacity->second);
+  for (EngineOption &Option : Options) {
+    const double Slots = slotsOf(Option.m_State->m_Upstream);
+    const bool HasLessUrgent = Option.m_LessUrgent > 0;
+    const bool NoSlot =
+        Option.m_Calls >= (HasLessUrgent ? 1 : MaxSlotShare) * Slots;
+    Option.m_Full =
+        (Query.m_WaitedInVain ? !HasLessUrgent : NoSlot) ||
+        (Option.m_HeldTokens > 0 &&
+         static_cast<double>(Option.m_HeldTokens + Option.m_MissingTokens +
+                             expectedOutput(Query.m_Prompt)) > Limit);
+    Option.m_FullTokens = SlotTurnoverTokens / Slots;
   }
   if (!Query.m_MayWait)
     std::erase_if(Options,
-                  [](const EngineOption &Each) { return Each.m_Full; });
+                  [](const EngineOption &Option) { return Option.m_Full; });
 }
 
-void Balancer::noteWork(PoolId Pool, bool Tight, double Tokens, TimePoint Now) {
+void Balancer::noteWork(PoolId Pool, bool LatencySensitive, double Tokens,
+                        TimePoint Now) {
   WorkTokens Work;
-  (Tight ? Work.m_Short : Work.m_Long) = Tokens;
+  (LatencySensitive ? Work.m_Short : Work.m_Long) = Tokens;
   m_Splits[Pool].add(Work, Now);
   m_NewWork[Pool] += Work;
 }
 
 Placed Balancer::begin(UpstreamState &Chosen, const PlacementQuery &Query,
-                       const CallTokens &Tokens, const PlacementInputs &Why,
+                       const CallTokens &Tokens, const PlacementInputs &Inputs,
                        TimePoint Now) {
   Chosen.m_Own.begin(Query.m_Urgency, Tokens);
   m_Limits.taken(Chosen.m_Upstream.m_Id, Now);
@@ -312,7 +320,7 @@
   m_Tickets[Id] = {Chosen.m_Upstream.m_Id, Query.m_Urgency, Tokens, Now, false,
                    Query.m_Content};
   return Placed{Id, Chosen.m_Upstream.m_Id, Chosen.m_Upstream.m_Name,
-                Chosen.m_Upstream.m_Address, Why};
+                Chosen.m_Upstream.m_Address, Inputs};
 }
 
 double Balancer::callsAt(const UpstreamState &State, TimePoint Now) const {
@@ -324,7 +332,7 @@
   const auto Own = static_cast<double>(State.m_Own.running());
   if (m_Peers.size() > 0)
     return Own + Peers.running();
-  if (!State.m_Load || Now - State.m_LoadAt > ReportLife)
+  if (!State.m_Load || Now - State.m_LoadAt > ReportLifetime)
     return Own;
   const double Reported = State.m_Load->m_Running + State.m_Load->m_Waiting;
   return std::max(Own, Reported + Own - State.m_RunningAtLoad);
@@ -337,10 +345,10 @@
   m_Limits.take(Digest.m_Limits, Now);
   for (const auto &[Pool, Work] : Digest.m_Work)
     m_Splits[Pool].add(Work, Now);
-  for (const PartPlaced &Each : Digest.m_Parts) {
-    const auto Found = m_States.find(Each.m_Upstream);
+  for (const PartPlaced &Placement : Digest.m_Parts) {
+    const auto Found = m_States.find(Placement.m_Upstream);
     if (Found != m_States.end())
-      m_Cache.placed(Each.m_Upstream, Each.m_Part,
+      m_Cache.placed(Placement.m_Upstream, Placement.m_Part,
                      m_CacheTokens[Found->second.m_Upstream.m_Service]);
   }
 }
@@ -349,10 +357,10 @@
   LoadDigest Result;
   for (const auto &[Id, State] : m_States) {
     State.m_Own.tell(Id, Result.m_Loads);
-    std::vector<PromptPart> Parts;
-    m_Cache.tell(Id, Parts);
-    for (const PromptPart &Each : Parts)
-      Result.m_Parts.push_back({Id, Each});
+    std::vector<PromptPart> Segments;
+    m_Cache.tell(Id, Segments);
+    for (const PromptPart &Segment : Segments)
+      Result.m_Parts.push_back({Id, Segment});
   }
   // Only the proportion matters, so it does no harm to hear it from several.
   for (const auto &[Pool, Split] : m_Splits)
@@ -373,16 +381,16 @@
   return Result;
 }
 
-UpstreamState *Balancer::chooseForPlain(const States &From,
+UpstreamState *Balancer::chooseForPlain(const States &Candidates,
                                         TimePoint Now) const {
   const auto Cost = [&](const UpstreamState &State) {
-    const bool Near = State.m_Upstream.m_Zone == m_Zone;
-    return callsAt(State, Now) + (Near ? 0 : ZoneAdvantage) +
+    const bool SameZone = State.m_Upstream.m_Zone == m_Zone;
+    return callsAt(State, Now) + (SameZone ? 0 : OtherZonePenalty) +
            // A sick upstream that isn't kept out is the last choice.
            State.m_Health.failureShare();
   };
   return *std::min_element(
-      From.begin(), From.end(),
+      Candidates.begin(), Candidates.end(),
       [&](auto *Left, auto *Right) { return Cost(*Left) < Cost(*Right); });
 }
 
@@ -441,30 +449,29 @@
 
 void Balancer::ended(TicketId Ticket, CallOutcome Outcome, TimePoint Now) {
   if (UpstreamState *State = stateOf(Ticket)) {
-    const struct Ticket &Over = m_Tickets[Ticket];
-    State->m_Own.read(Over.m_Urgency, Over.m_Tokens.m_Unread);
-    State->m_Own.end(Over.m_Urgency, Over.m_Tokens);
+    const struct Ticket &Ended = m_Tickets[Ticket];
+    State->m_Own.read(Ended.m_Urgency, Ended.m_Tokens.m_Unread);
+    State->m_Own.end(Ended.m_Urgency, Ended.m_Tokens);
     State->m_Health.ended(Outcome, Now);
-    reportToQuarantine(Over, *State, Outcome, Now);
+    reportToQuarantine(Ended, *State, Outcome, Now);
     if (Outcome == CallOutcome::Refused)
-      State->m_FullUntil = Now + FullSpan;
+      State->m_FullUntil = Now + FullBackoff;
     if (Outcome == CallOutcome::Leaving)
-      State->m_LeavingUntil = Now + LeavingSpan;
+      State->m_LeavingUntil = Now + DrainingBackoff;
   }
   m_Tickets.erase(Ticket);
 }
 
 /// An upstream that leaves ends its last calls without a crash.
-void Balancer::reportToQuarantine(const Ticket &Over,
-                                  const UpstreamState &Where,
+void Balancer::reportToQuarantine(const Ticket &Ended, const UpstreamState &At,
                                   CallOutcome Outcome, TimePoint Now) {
-  if (!Over.m_Content)
+  if (!Ended.m_Content)
     return;
   if (Outcome == CallOutcome::Served)
-    m_Quarantine.served(*Over.m_Content);
-  else if (Outcome == CallOutcome::Broken && !Where.m_Upstream.m_Leaving &&
-           Now >= Where.m_LeavingUntil)
-    m_Quarantine.callBroken(*Over.m_Content, Over.m_Upstream, Now);
+    m_Quarantine.served(*Ended.m_Content);
+  else if (Outcome == CallOutcome::Broken && !At.m_Upstream.m_Leaving &&
+           Now >= At.m_LeavingUntil)
+    m_Quarantine.callBroken(*Ended.m_Content, Ended.m_Upstream, Now);
 }
 
 bool Balancer::mayBegin(TicketId Ticket, TimePoint Now) const {
--- a/src/balance/balancer.h
+++ b/src/balance/balancer.h
@@ -112,8 +112,8 @@
 
   States candidates(const PlacementQuery &Query, TimePoint Now);
   [[nodiscard]] NotPlaced nonePlaced(const PlacementQuery &Query) const;
-  PlacementResult placeAtEngine(const PlacementQuery &Query, const States &From,
-                                TimePoint Now);
+  PlacementResult placeAtEngine(const PlacementQuery &Query,
+                                const States &Candidates, TimePoint Now);
   void rankEngines();
   [[nodiscard]] bool tight(const PlacementQuery &Query) const;
   [[nodiscard]] std::size_t shortEngines(const std::string &Service) const;
@@ -122,13 +122,14 @@
                                       TimePoint Now) const;
   void markFull(const PlacementQuery &Query,
                 std::vector<EngineOption> &Options) const;
-  void noteWork(PoolId Pool, bool Tight, double Tokens, TimePoint Now);
+  void noteWork(PoolId Pool, bool LatencySensitive, double Tokens,
+                TimePoint Now);
   Placed begin(UpstreamState &Chosen, const PlacementQuery &Query,
-               const CallTokens &Tokens, const PlacementInputs &Why,
+               const CallTokens &Tokens, const PlacementInputs &Inputs,
                TimePoint Now);
-  void reportToQuarantine(const Ticket &Over, const UpstreamState &Where,
+  void reportToQuarantine(const Ticket &Ended, const UpstreamState &At,
                           CallOutcome Outcome, TimePoint Now);
-  UpstreamState *chooseForPlain(const States &From, TimePoint Now) const;
+  UpstreamState *chooseForPlain(const States &Candidates, TimePoint Now) const;
   [[nodiscard]] double callsAt(const UpstreamState &State, TimePoint Now) const;
   [[nodiscard]] double callsAt(const UpstreamState &State,
                                const CallLoad &Peers, TimePoint Now) const;
--- a/src/balance/cache_model.cpp
+++ b/src/balance/cache_model.cpp
@@ -5,17 +5,17 @@
 
 namespace crowstep::balance {
 
-void CacheModel::placed(UpstreamId Engine, const PromptPart &Part,
+void CacheModel::placed(UpstreamId Engine, const PromptPart &Segment,
                         std::uint64_t Capacity) {
   EngineCache &Cache = m_Engines[Engine];
-  const auto Found = Cache.m_Where.find(Part.m_Id);
+  const auto Found = Cache.m_Where.find(Segment.m_Id);
   if (Found != Cache.m_Where.end()) {
     Cache.m_Order.splice(Cache.m_Order.begin(), Cache.m_Order, Found->second);
     return;
   }
-  Cache.m_Order.push_front(Part);
-  Cache.m_Where[Part.m_Id] = Cache.m_Order.begin();
-  Cache.m_Tokens += Part.m_Tokens;
+  Cache.m_Order.push_front(Segment);
+  Cache.m_Where[Segment.m_Id] = Cache.m_Order.begin();
+  Cache.m_Tokens += Segment.m_Tokens;
   const auto Limit = static_cast<std::uint64_t>(
       KeptShare *
       static_cast<double>(Capacity == 0 ? DefaultCapacity : Capacity));
@@ -27,15 +27,15 @@
 }
 
 std::uint32_t CacheModel::kept(UpstreamId Engine,
-                               const std::vector<PromptPart> &Parts) const {
+                               const std::vector<PromptPart> &Segments) const {
   const auto Found = m_Engines.find(Engine);
   if (Found == m_Engines.end())
     return 0;
   std::uint32_t Result = 0;
-  for (const PromptPart &Part : Parts) {
-    if (!Found->second.m_Where.contains(Part.m_Id))
+  for (const PromptPart &Segment : Segments) {
+    if (!Found->second.m_Where.contains(Segment.m_Id))
       break;
-    Result += Part.m_Tokens;
+    Result += Segment.m_Tokens;
   }
   return Result;
 }
@@ -48,10 +48,11 @@
 }
 
 void CacheModel::keepOnly(const std::vector<Upstream> &Listed) {
-  std::erase_if(m_Engines, [&](const auto &Each) {
-    return std::none_of(
-        Listed.begin(), Listed.end(),
-        [&](const Upstream &Known) { return Known.m_Id == Each.first; });
+  std::erase_if(m_Engines, [&](const auto &Entry) {
+    return std::none_of(Listed.begin(), Listed.end(),
+                        [&](const Upstream &Candidate) {
+                          return Candidate.m_Id == Entry.first;
+                        });
   });
 }
 
--- a/src/balance/cache_model.h
+++ b/src/balance/cache_model.h
@@ -25,13 +25,13 @@
   static constexpr double KeptShare = 0.6;
 
   /// A part of a prompt was sent to an engine whose memory is \p Capacity.
-  void placed(UpstreamId Engine, const PromptPart &Part,
+  void placed(UpstreamId Engine, const PromptPart &Segment,
               std::uint64_t Capacity);
 
   /// Returns the tokens at the beginning of a prompt that \p Engine keeps: a
   /// part counts only if all parts before it are kept.
-  [[nodiscard]] std::uint32_t kept(UpstreamId Engine,
-                                   const std::vector<PromptPart> &Parts) const;
+  [[nodiscard]] std::uint32_t
+  kept(UpstreamId Engine, const std::vector<PromptPart> &Segments) const;
 
   /// Appends all parts that \p Engine keeps, those used longest ago first.
   void tell(UpstreamId Engine, std::vector<PromptPart> &Out) const;
--- a/src/balance/digest_sum.cpp
+++ b/src/balance/digest_sum.cpp
@@ -12,8 +12,8 @@
     m_Work[Pool] += Work;
   m_Crashes.insert(m_Crashes.end(), Digest.m_Crashes.begin(),
                    Digest.m_Crashes.end());
-  for (const LimitNews &Each : Digest.m_Limits)
-    m_Limits.emplace_back(Each, Now);
+  for (const LimitNews &Update : Digest.m_Limits)
+    m_Limits.emplace_back(Update, Now);
 }
 
 void DigestSum::clear() {
@@ -31,9 +31,9 @@
   Result.m_Parts = std::exchange(m_Parts, {});
   Result.m_Work = std::exchange(m_Work, {});
   Result.m_Crashes = std::exchange(m_Crashes, {});
-  for (auto [News, Arrived] : std::exchange(m_Limits, {})) {
-    News.m_Age += Now - Arrived;
-    Result.m_Limits.push_back(News);
+  for (auto [Update, ReceivedAt] : std::exchange(m_Limits, {})) {
+    Update.m_Age += Now - ReceivedAt;
+    Result.m_Limits.push_back(Update);
   }
   return Result;
 }
--- a/src/balance/engine_choice.cpp
+++ b/src/balance/engine_choice.cpp
@@ -17,48 +17,48 @@
 
 /// Prompts below this count as short: an engine reads one in under 80 ms, less
 /// than the shortest pause that a caller notices.
-constexpr std::uint32_t ShortPrompt = 4000;
+constexpr std::uint32_t ShortPromptTokens = 4000;
 
 /// What must be read of a call's own prompt counts this many times while the
 /// engines have little to do: it delays this call once, and every call behind
 /// it as well.
-constexpr double MissingWeight = 4.5;
+constexpr double UncachedWeight = 4.5;
 
 /// It counts this much more where all slots of the engines are taken, and less
 /// by the square of the share that is. Load: a burst that takes most slots.
 /// Calls then went wherever a slot was free, their beginnings were read once
 /// more there, calls lasted longer and took more slots.
-constexpr double ScarceWeight = 8;
+constexpr double ScarceSlotWeight = 8;
 
 /// The engine that comes first by hash is preferred by this share of what must
 /// be read. Instances that place calls with one beginning within the same
 /// tenth of a second don't know of one another, and so read it once.
-constexpr double HomeAdvantage = 0.7;
+constexpr double PreferredDiscount = 0.7;
 
 /// Engines that are compared, of those that keep the prompt's beginning and of
 /// those that don't. Instances learn of one another's calls late, and all that
 /// compared all engines would send their calls to the same one, the best by
 /// what they know; the best of three by chance is nearly as good, and another
 /// one for each call.
-constexpr std::size_t Compared = 3;
+constexpr std::size_t SampleSize = 3;
 
 /// Prompts that differ by less in what must be read are alike: an engine reads
 /// this much in the time of a few steps of its batch.
-constexpr std::uint32_t AlikeTokens = 1000;
+constexpr std::uint32_t EqualTokens = 1000;
 
 /// Less urgent prompts are read between the tokens of a more urgent call and
 /// make its pauses longer: they count by this part.
-constexpr double UnreadAfterWeight = 0.3;
+constexpr double LaterPrefillWeight = 0.3;
 
 /// A call whose prompt is read between the tokens of a more urgent one makes
 /// that one's pauses longer: it counts as this many tokens.
-constexpr double TokensPerDisturbed = 300;
+constexpr double TokensPerMoreUrgent = 300;
 
 /// A long prompt makes the tight calls that it is read beside late. Each counts
 /// as this many tokens, so that another engine is taken unless some tens of a
 /// second must be waited there. The line between the roles moves within a
 /// second, and streams that began before run on for six.
-constexpr double TokensPerTight = 5000;
+constexpr double TokensPerLatencySensitive = 5000;
 
 /// Any number; sets this hash apart from that of prompts.
 constexpr std::uint64_t RoleSeed = 1;
@@ -69,26 +69,26 @@
 /// elsewhere a second time. Of 60 beginnings of two parts, asked for twice by
 /// instances that don't know of one another, 44 are read once, and 4 with homes
 /// by the first part.
-std::uint64_t homeKey(const PromptSize &Prompt) {
-  const std::vector<PromptPart> &Parts = Prompt.m_Parts;
-  if (Parts.empty())
+std::uint64_t preferredKey(const PromptSize &Prompt) {
+  const std::vector<PromptPart> &Segments = Prompt.m_Parts;
+  if (Segments.empty())
     return RoleSeed;
-  return Parts[Parts.size() < 2 ? 0 : Parts.size() - 2].m_Id;
+  return Segments[Segments.size() < 2 ? 0 : Segments.size() - 2].m_Id;
 }
 
 using OptionList = std::vector<const EngineOption *>;
 
 /// Returns the engine that comes first by hash for this beginning.
-const EngineOption *homeOf(const PlacementQuery &Query,
-                           const std::vector<EngineOption> &Options) {
-  const std::uint64_t Key = homeKey(Query.m_Prompt);
+const EngineOption *preferredEngine(const PlacementQuery &Query,
+                                    const std::vector<EngineOption> &Options) {
+  const std::uint64_t Key = preferredKey(Query.m_Prompt);
   const EngineOption *Result = nullptr;
   std::uint64_t Highest = 0;
-  for (const EngineOption &Each : Options) {
+  for (const EngineOption &Option : Options) {
     const std::uint64_t Rank =
-        pairHash(Key, Each.m_State->m_Upstream.m_Id.value());
+        pairHash(Key, Option.m_State->m_Upstream.m_Id.value());
     if (Result == nullptr || Rank > Highest) {
-      Result = &Each;
+      Result = &Option;
       Highest = Rank;
     }
   }
@@ -97,57 +97,58 @@
 
 /// Returns the engines to compare: the home, some that need to read least, and
 /// some others.
-OptionList someOf(const std::vector<EngineOption> &Options,
-                  const EngineOption *Home, std::mt19937_64 &Random) {
+OptionList sampleOptions(const std::vector<EngineOption> &Options,
+                         const EngineOption *Preferred,
+                         std::mt19937_64 &Random) {
   const auto Least = std::min_element(
       Options.begin(), Options.end(), [](const auto &Left, const auto &Right) {
         return Left.m_MissingTokens < Right.m_MissingTokens;
       });
-  OptionList Keepers;
+  OptionList Cached;
   OptionList Others;
-  for (const EngineOption &Each : Options)
-    if (&Each != Home)
-      (Each.m_MissingTokens <= Least->m_MissingTokens + AlikeTokens ? Keepers
-                                                                    : Others)
-          .push_back(&Each);
-  OptionList Result = {Home};
-  for (const OptionList *From : {&Keepers, &Others})
-    std::sample(From->begin(), From->end(), std::back_inserter(Result),
-                Compared, Random);
+  for (const EngineOption &Option : Options)
+    if (&Option != Preferred)
+      (Option.m_MissingTokens <= Least->m_MissingTokens + EqualTokens ? Cached
+                                                                      : Others)
+          .push_back(&Option);
+  OptionList Result = {Preferred};
+  for (const OptionList *Group : {&Cached, &Others})
+    std::sample(Group->begin(), Group->end(), std::back_inserter(Result),
+                SampleSize, Random);
   return Result;
 }
 
 /// Returns how often a token that must be read counts, by the share of slots
 /// that are taken.
-double missingWeight(const std::vector<EngineOption> &Options) {
-  double Taken = 0;
-  for (const EngineOption &Each : Options)
-    Taken += Each.m_Calls / slotsOf(Each.m_State->m_Upstream);
+double uncachedWeight(const std::vector<EngineOption> &Options) {
+  double LoadSum = 0;
+  for (const EngineOption &Option : Options)
+    LoadSum += Option.m_Calls / slotsOf(Option.m_State->m_Upstream);
   const double Share =
-      std::min(1.0, Taken / static_cast<double>(Options.size()));
-  return MissingWeight + ScarceWeight * Share * Share;
+      std::min(1.0, LoadSum / static_cast<double>(Options.size()));
+  return UncachedWeight + ScarceSlotWeight * Share * Share;
 }
 
-double costOf(const EngineOption &Option, double Weight, bool Tight,
-              bool Home) {
-  const double Missing =
-      Weight * Option.m_MissingTokens * (Home ? 1 - HomeAdvantage : 1);
-  return static_cast<double>(Option.m_UnreadTokens) + Missing +
-         UnreadAfterWeight * static_cast<double>(Option.m_UnreadAfter) +
-         TokensPerDisturbed * Option.m_MoreUrgent +
-         (Tight ? 0 : TokensPerTight * Option.m_Tight) +
+double costOf(const EngineOption &Option, double Weight, bool LatencySensitive,
+              bool Preferred) {
+  const double Uncached =
+      Weight * Option.m_MissingTokens * (Preferred ? 1 - PreferredDiscount : 1);
+  return static_cast<double>(Option.m_UnreadTokens) + Uncached +
+         LaterPrefillWeight * static_cast<double>(Option.m_UnreadAfter) +
+         TokensPerMoreUrgent * Option.m_MoreUrgent +
+         (LatencySensitive ? 0 : TokensPerLatencySensitive * Option.m_Tight) +
          (Option.m_Full ? Option.m_FullTokens : 0);
 }
 
 } // namespace
 
-bool isTight(const PlacementQuery &Query, Duration TightestPause) {
-  if (Query.m_Prompt.m_PromptTokens >= ShortPrompt)
+bool isTight(const PlacementQuery &Query, Duration MinPause) {
+  if (Query.m_Prompt.m_PromptTokens >= ShortPromptTokens)
     return false;
-  if (TightestPause == Duration::zero())
+  if (MinPause == Duration::zero())
     return true;
   return Query.m_LongestPause > Duration::zero() &&
-         Query.m_LongestPause * 2 < TightestPause * 3;
+         Query.m_LongestPause * 2 < MinPause * 3;
 }
 
 std::vector<UpstreamId> shortOrder(std::vector<UpstreamId> Engines) {
@@ -159,16 +160,17 @@
   return Engines;
 }
 
-const EngineOption &chooseEngine(const PlacementQuery &Query, bool Tight,
+const EngineOption &chooseEngine(const PlacementQuery &Query,
+                                 bool LatencySensitive,
                                  const std::vector<EngineOption> &Options,
                                  std::mt19937_64 &Random) {
-  const EngineOption *Home = homeOf(Query, Options);
-  const double Weight = missingWeight(Options);
-  const OptionList Some = someOf(Options, Home, Random);
+  const EngineOption *Preferred = preferredEngine(Query, Options);
+  const double Weight = uncachedWeight(Options);
+  const OptionList Sample = sampleOptions(Options, Preferred, Random);
   return **std::min_element(
-      Some.begin(), Some.end(), [&](const auto *Left, const auto *Right) {
-        return costOf(*Left, Weight, Tight, Left == Home) <
-               costOf(*Right, Weight, Tight, Right == Home);
+      Sample.begin(), Sample.end(), [&](const auto *Left, const auto *Right) {
+        return costOf(*Left, Weight, LatencySensitive, Left == Preferred) <
+               costOf(*Right, Weight, LatencySensitive, Right == Preferred);
       });
 }
 
--- a/src/balance/engine_choice.h
+++ b/src/balance/engine_choice.h
@@ -30,10 +30,11 @@
 /// Returns whether a call is one that a long prompt, read between its events,
 /// would make late, and that itself makes no such pause. \p TightestPause is
 /// the shortest that any class of the service allows; zero: none is known.
-bool isTight(const PlacementQuery &Query, Duration TightestPause);
+bool isTight(const PlacementQuery &Query, Duration MinPause);
 
 /// Returns the best of \p Options, which are not empty, or of some of them.
-const EngineOption &chooseEngine(const PlacementQuery &Query, bool Tight,
+const EngineOption &chooseEngine(const PlacementQuery &Query,
+                                 bool LatencySensitive,
                                  const std::vector<EngineOption> &Options,
                                  std::mt19937_64 &Random);
 
--- a/src/balance/peer_loads.cpp
+++ b/src/balance/peer_loads.cpp
@@ -12,8 +12,8 @@
   m_Tight += Tokens.m_Tight ? 1 : 0;
 }
 
-void CallLoad::Part::read(std::uint64_t UnreadTokens) {
-  m_Unread -= std::min(UnreadTokens, m_Unread);
+void CallLoad::Part::read(std::uint64_t PrefillTokens) {
+  m_Unread -= std::min(PrefillTokens, m_Unread);
 }
 
 void CallLoad::Part::end(const CallTokens &Tokens) {
@@ -23,24 +23,25 @@
   m_Tight -= std::min(m_Tight, Tokens.m_Tight ? 1U : 0U);
 }
 
-void CallLoad::Part::add(const UpstreamLoad &Said) {
-  m_Running += Said.m_Running;
-  m_Unread += Said.m_UnreadTokens;
-  m_Held += Said.m_HeldTokens;
-  m_Tight += Said.m_Tight;
+void CallLoad::Part::add(const UpstreamLoad &Reported) {
+  m_Running += Reported.m_Running;
+  m_Unread += Reported.m_UnreadTokens;
+  m_Held += Reported.m_HeldTokens;
+  m_Tight += Reported.m_Tight;
 }
 
-void CallLoad::Part::remove(const UpstreamLoad &Said) {
-  m_Running -= Said.m_Running;
-  m_Unread -= Said.m_UnreadTokens;
-  m_Held -= Said.m_HeldTokens;
-  m_Tight -= Said.m_Tight;
+void CallLoad::Part::remove(const UpstreamLoad &Reported) {
+  m_Running -= Reported.m_Running;
+  m_Unread -= Reported.m_UnreadTokens;
+  m_Held -= Reported.m_HeldTokens;
+  m_Tight -= Reported.m_Tight;
 }
 
 /// Adds to the sum what really changed: a part that has nothing left to take
 /// away from takes nothing away from the others.
-template <typename Job> void CallLoad::change(Urgency How, Job Change) {
-  Part &Changed = m_Parts.at(How);
+template <typename Function>
+void CallLoad::change(Urgency Level, Function Change) {
+  Part &Changed = m_Parts.at(Level);
   const Part Before = Changed;
   Change(Changed);
   m_All.m_Running += Changed.m_Running - Before.m_Running;
@@ -49,36 +50,36 @@
   m_All.m_Tight += Changed.m_Tight - Before.m_Tight;
 }
 
-void CallLoad::begin(Urgency How, const CallTokens &Tokens) {
-  change(How, [&](Part &Which) { Which.begin(Tokens); });
+void CallLoad::begin(Urgency Level, const CallTokens &Tokens) {
+  change(Level, [&](Part &Target) { Target.begin(Tokens); });
 }
 
-void CallLoad::read(Urgency How, std::uint64_t UnreadTokens) {
-  change(How, [&](Part &Which) { Which.read(UnreadTokens); });
+void CallLoad::read(Urgency Level, std::uint64_t PrefillTokens) {
+  change(Level, [&](Part &Target) { Target.read(PrefillTokens); });
 }
 
-void CallLoad::end(Urgency How, const CallTokens &Tokens) {
-  change(How, [&](Part &Which) { Which.end(Tokens); });
+void CallLoad::end(Urgency Level, const CallTokens &Tokens) {
+  change(Level, [&](Part &Target) { Target.end(Tokens); });
 }
 
-void CallLoad::add(const UpstreamLoad &Said) {
-  change(Said.m_Urgency, [&](Part &Which) { Which.add(Said); });
+void CallLoad::add(const UpstreamLoad &Reported) {
+  change(Reported.m_Urgency, [&](Part &Target) { Target.add(Reported); });
 }
 
-void CallLoad::remove(const UpstreamLoad &Said) {
-  change(Said.m_Urgency, [&](Part &Which) { Which.remove(Said); });
+void CallLoad::remove(const UpstreamLoad &Reported) {
+  change(Reported.m_Urgency, [&](Part &Target) { Target.remove(Reported); });
 }
 
-std::uint64_t CallLoad::unreadBefore(Urgency How) const {
+std::uint64_t CallLoad::unreadBefore(Urgency Level) const {
   std::uint64_t Result = 0;
-  for (std::size_t I = 0; I <= How; ++I)
+  for (std::size_t I = 0; I <= Level; ++I)
     Result += m_Parts.at(I).m_Unread;
   return Result;
 }
 
-std::uint32_t CallLoad::moreUrgent(Urgency How) const {
+std::uint32_t CallLoad::moreUrgent(Urgency Level) const {
   std::uint32_t Result = 0;
-  for (std::size_t I = 0; I < How; ++I)
+  for (std::size_t I = 0; I < Level; ++I)
     Result += m_Parts.at(I).m_Running;
   return Result;
 }
@@ -95,8 +96,8 @@
 void PeerLoads::take(InstanceId Peer, const std::vector<UpstreamLoad> &Loads,
                      TimePoint Now) {
   drop(Peer);
-  for (const UpstreamLoad &Each : Loads)
-    m_Sum[Each.m_Upstream].add(Each);
+  for (const UpstreamLoad &Load : Loads)
+    m_Sum[Load.m_Upstream].add(Load);
   m_Peers[Peer] = {Loads, Now};
 }
 
@@ -104,21 +105,21 @@
   const auto Found = m_Peers.find(Peer);
   if (Found == m_Peers.end())
     return;
-  for (const UpstreamLoad &Each : Found->second.m_Loads) {
-    CallLoad &Sum = m_Sum[Each.m_Upstream];
-    Sum.remove(Each);
+  for (const UpstreamLoad &Load : Found->second.m_Loads) {
+    CallLoad &Sum = m_Sum[Load.m_Upstream];
+    Sum.remove(Load);
     if (Sum.running() == 0)
-      m_Sum.erase(Each.m_Upstream);
+      m_Sum.erase(Load.m_Upstream);
   }
   m_Peers.erase(Found);
 }
 
 void PeerLoads::expire(TimePoint Now) {
-  std::vector<InstanceId> Old;
-  for (const auto &[Peer, Last] : m_Peers)
-    if (Now - Last.m_At > DigestLife)
-      Old.push_back(Peer);
-  for (const InstanceId Peer : Old)
+  std::vector<InstanceId> Expired;
+  for (const auto &[Peer, Report] : m_Peers)
+    if (Now - Report.m_At > DigestLife)
+      Expired.push_back(Peer);
+  for (const InstanceId Peer : Expired)
     drop(Peer);
 }
 
--- a/src/balance/peer_loads.h
+++ b/src/balance/peer_loads.h
@@ -35,13 +35,13 @@
 /// Calls at one upstream, by urgency.
 class CallLoad {
 public:
-  void begin(Urgency How, const CallTokens &Tokens);
-  void read(Urgency How, std::uint64_t UnreadTokens);
-  void end(Urgency How, const CallTokens &Tokens);
+  void begin(Urgency Level, const CallTokens &Tokens);
+  void read(Urgency Level, std::uint64_t PrefillTokens);
+  void end(Urgency Level, const CallTokens &Tokens);
 
   /// Adds what an instance said, or takes it away.
-  void add(const UpstreamLoad &Said);
-  void remove(const UpstreamLoad &Said);
+  void add(const UpstreamLoad &Reported);
+  void remove(const UpstreamLoad &Reported);
 
   [[nodiscard]] std::uint32_t running() const { return m_All.m_Running; }
 
@@ -54,19 +54,19 @@
 
   /// Returns the tokens that are read before those of a call of urgency
   /// \p How that comes now.
-  [[nodiscard]] std::uint64_t unreadBefore(Urgency How) const;
+  [[nodiscard]] std::uint64_t unreadBefore(Urgency Level) const;
 
   /// Returns the tokens that are read after those of such a call.
-  [[nodiscard]] std::uint64_t unreadAfter(Urgency How) const {
-    return m_All.m_Unread - unreadBefore(How);
+  [[nodiscard]] std::uint64_t unreadAfter(Urgency Level) const {
+    return m_All.m_Unread - unreadBefore(Level);
   }
 
   /// Returns how many calls are more urgent than \p How.
-  [[nodiscard]] std::uint32_t moreUrgent(Urgency How) const;
+  [[nodiscard]] std::uint32_t moreUrgent(Urgency Level) const;
 
   /// Returns how many calls are less urgent than \p How.
-  [[nodiscard]] std::uint32_t lessUrgent(Urgency How) const {
-    return running() - moreUrgent(How) - m_Parts.at(How).m_Running;
+  [[nodiscard]] std::uint32_t lessUrgent(Urgency Level) const {
+    return running() - moreUrgent(Level) - m_Parts.at(Level).m_Running;
   }
 
   /// Appends what there is to tell of \p Upstream.
@@ -80,13 +80,13 @@
     std::uint32_t m_Tight = 0;   ///< Of m_Running; see isTight().
 
     void begin(const CallTokens &Tokens);
-    void read(std::uint64_t UnreadTokens);
+    void read(std::uint64_t PrefillTokens);
     void end(const CallTokens &Tokens);
-    void add(const UpstreamLoad &Said);
-    void remove(const UpstreamLoad &Said);
+    void add(const UpstreamLoad &Reported);
+    void remove(const UpstreamLoad &Reported);
   };
 
-  template <typename Job> void change(Urgency How, Job Change);
+  template <typename Function> void change(Urgency Level, Function Change);
 
   std::array<Part, UrgencyCount> m_Parts{}; ///< By urgency.
   Part m_All; ///< Their sum: each placement asks for it at all engines.
--- a/src/balance/quarantine.cpp
+++ b/src/balance/quarantine.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 /// Lapses differ between instances by up to this part.
-constexpr double LapseSpread = 0.5;
+constexpr double MaxHoldJitter = 0.5;
 
 /// A crash in the last part of a quarantine is one of another instance where it
 /// has lapsed; before that, of a call that was on its way when it began.
-constexpr int LastPart = 2;
+constexpr int LastPartDivisor = 2;
 
 } // namespace
 
@@ -39,11 +39,11 @@
 
 std::size_t Quarantine::upstreamDown(UpstreamId Upstream, TimePoint Now) {
   std::vector<ContentHash> Suspects;
-  std::erase_if(m_Broken, [&](const Broken &Each) {
-    if (Each.m_Upstream != Upstream)
+  std::erase_if(m_Broken, [&](const Broken &Call) {
+    if (Call.m_Upstream != Upstream)
       return false;
-    if (Now - Each.m_At <= BrokenLife)
-      Suspects.push_back(Each.m_Request);
+    if (Now - Call.m_At <= BrokenLife)
+      Suspects.push_back(Call.m_Request);
     return true;
   });
   for (const ContentHash &Request : Suspects)
@@ -52,33 +52,34 @@
 }
 
 void Quarantine::crashed(const ContentHash &Request, UpstreamId Upstream,
-                         bool Own, TimePoint Now) {
-  Record &What = m_Records[Request];
-  if (!What.quarantined() && Now - What.m_LastAt > SuspectLife)
-    What.m_Crashes.clear();
-  What.m_Own = What.m_Own || Own;
-  if (!What.m_Crashes.insert(Upstream).second)
+                         bool ObservedHere, TimePoint Now) {
+  Record &Entry = m_Records[Request];
+  if (!Entry.quarantined() && Now - Entry.m_LastAt > SuspectLife)
+    Entry.m_Crashes.clear();
+  Entry.m_Own = Entry.m_Own || ObservedHere;
+  if (!Entry.m_Crashes.insert(Upstream).second)
     return;
-  What.m_LastAt = Now;
-  if (Own)
+  Entry.m_LastAt = Now;
+  if (ObservedHere)
     broadcast({Request, Upstream});
-  if (What.m_Crashes.size() >= MostCrashes &&
-      What.m_HeldUntil - Now <= What.m_Lapse / LastPart)
-    hold(Request, What, Now);
+  if (Entry.m_Crashes.size() >= MostCrashes &&
+      Entry.m_HeldUntil - Now <= Entry.m_Lapse / LastPartDivisor)
+    hold(Request, Entry, Now);
   makeRoom();
 }
 
-void Quarantine::hold(const ContentHash &Request, Record &What, TimePoint Now) {
-  if (!What.quarantined()) {
+void Quarantine::hold(const ContentHash &Request, Record &Entry,
+                      TimePoint Now) {
+  if (!Entry.quarantined()) {
     ++m_Size;
-    What.m_Lapse = std::chrono::duration_cast<Duration>(
-        FirstLapse * (1 + LapseSpread * m_Spread));
+    Entry.m_Lapse = std::chrono::duration_cast<Duration>(
+        FirstLapse * (1 + MaxHoldJitter * m_Spread));
   } else {
-    What.m_Lapse = std::min(What.m_Lapse * LapseGrowth, LongestLapse);
+    Entry.m_Lapse = std::min(Entry.m_Lapse * LapseGrowth, LongestLapse);
   }
-  What.m_HeldUntil = Now + What.m_Lapse;
+  Entry.m_HeldUntil = Now + Entry.m_Lapse;
   if (m_Listener != nullptr)
-    m_Listener->quarantined(Request, What.m_Crashes.size(), What.m_Lapse);
+    m_Listener->quarantined(Request, Entry.m_Crashes.size(), Entry.m_Lapse);
 }
 
 void Quarantine::served(const ContentHash &Request) {
@@ -90,26 +91,26 @@
   clear(Request, ClearReason::Served);
 }
 
-void Quarantine::clear(const ContentHash &Request, ClearReason Why) {
+void Quarantine::clear(const ContentHash &Request, ClearReason Reason) {
   const auto Node = m_Records.extract(Request);
   if (Node.empty() || !Node.mapped().quarantined())
     return;
   --m_Size;
   if (m_Listener != nullptr)
-    m_Listener->cleared(Request, Why);
+    m_Listener->cleared(Request, Reason);
 }
 
-void Quarantine::broadcast(const CrashNews &News) {
+void Quarantine::broadcast(const CrashNews &Update) {
   if (m_News.size() < MostNews)
-    m_News.push_back(News);
+    m_News.push_back(Update);
 }
 
-void Quarantine::take(const std::vector<CrashNews> &News, TimePoint Now) {
-  for (const CrashNews &Each : News)
-    if (Each.m_Upstream)
-      crashed(Each.m_Request, *Each.m_Upstream, false, Now);
+void Quarantine::take(const std::vector<CrashNews> &Updates, TimePoint Now) {
+  for (const CrashNews &Update : Updates)
+    if (Update.m_Upstream)
+      crashed(Update.m_Request, *Update.m_Upstream, false, Now);
     else
-      clear(Each.m_Request, ClearReason::ServedElsewhere);
+      clear(Update.m_Request, ClearReason::ServedElsewhere);
 }
 
 std::vector<CrashNews> Quarantine::takeNews() {
@@ -118,11 +119,11 @@
 
 std::vector<CrashNews> Quarantine::all() const {
   std::vector<CrashNews> Result;
-  for (const bool Held : {true, false})
-    for (const auto &[Request, What] : m_Records) {
-      if (What.quarantined() != Held)
+  for (const bool Quarantined : {true, false})
+    for (const auto &[Request, Entry] : m_Records) {
+      if (Entry.quarantined() != Quarantined)
         continue;
-      for (const UpstreamId Upstream : What.m_Crashes) {
+      for (const UpstreamId Upstream : Entry.m_Crashes) {
         if (Result.size() >= MostNews)
           return Result;
         Result.push_back({Request, Upstream});
@@ -133,8 +134,8 @@
 
 void Quarantine::setListed(const std::set<ContentHash> &Listed, TimePoint Now) {
   const std::set<ContentHash> Before = std::exchange(m_Listed, Listed);
-  std::erase_if(m_WronglyListed, [&](const ContentHash &Each) {
-    return !Listed.contains(Each);
+  std::erase_if(m_WronglyListed, [&](const ContentHash &Request) {
+    return !Listed.contains(Request);
   });
   for (const ContentHash &Request : Before)
     if (!Listed.contains(Request))
@@ -142,18 +143,18 @@
   for (const ContentHash &Request : Listed) {
     if (Before.contains(Request))
       continue;
-    Record &What = m_Records[Request];
-    What.m_LastAt = Now;
-    if (!What.quarantined())
-      hold(Request, What, Now);
+    Record &Entry = m_Records[Request];
+    Entry.m_LastAt = Now;
+    if (!Entry.quarantined())
+      hold(Request, Entry, Now);
   }
   makeRoom();
 }
 
 std::vector<ContentHash> Quarantine::unlisted() const {
   std::vector<ContentHash> Result;
-  for (const auto &[Request, What] : m_Records)
-    if (What.quarantined() && What.m_Own && !m_Listed.contains(Request))
+  for (const auto &[Request, Entry] : m_Records)
+    if (Entry.quarantined() && Entry.m_Own && !m_Listed.contains(Request))
       Result.push_back(Request);
   return Result;
 }
--- a/src/balance/quarantine.h
+++ b/src/balance/quarantine.h
@@ -51,10 +51,10 @@
 
   /// \p Request may not run for \p Span.
   virtual void quarantined(const ContentHash &Request, std::size_t Crashes,
-                           Duration Span) = 0;
+                           Duration Hold) = 0;
 
   /// A quarantine has ended.
-  virtual void cleared(const ContentHash &Request, ClearReason Why) = 0;
+  virtual void cleared(const ContentHash &Request, ClearReason Reason) = 0;
 };
 
 class Quarantine {
@@ -99,7 +99,7 @@
   void served(const ContentHash &Request);
 
   /// Takes another instance's news.
-  void take(const std::vector<CrashNews> &News, TimePoint Now);
+  void take(const std::vector<CrashNews> &Updates, TimePoint Now);
 
   /// Returns this instance's own news since the last time.
   std::vector<CrashNews> takeNews();
@@ -153,11 +153,11 @@
     TimePoint m_At;        ///< When.
   };
 
-  void crashed(const ContentHash &Request, UpstreamId Upstream, bool Own,
-               TimePoint Now);
-  void hold(const ContentHash &Request, Record &What, TimePoint Now);
-  void clear(const ContentHash &Request, ClearReason Why);
-  void broadcast(const CrashNews &News);
+  void crashed(const ContentHash &Request, UpstreamId Upstream,
+               bool ObservedHere, TimePoint Now);
+  void hold(const ContentHash &Request, Record &Entry, TimePoint Now);
+  void clear(const ContentHash &Request, ClearReason Reason);
+  void broadcast(const CrashNews &Update);
   void makeRoom();
 
   QuarantineListener *m_Listener = nullptr;          ///< Null: none.
--- a/src/balance/rate_limits.cpp
+++ b/src/balance/rate_limits.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Returns the number of the TrialSpan that \p Now is in.
-std::int64_t spanOf(TimePoint Now) {
+std::int64_t trialIntervalOf(TimePoint Now) {
   return Now.time_since_epoch() / RateLimits::TrialSpan;
 }
 
@@ -25,15 +25,16 @@
   m_Self = Self;
   m_All = std::move(All);
   m_ChangedAt = Now;
-  for (auto &[Upstream, What] : m_States)
-    elect(Upstream, What, Now);
+  for (auto &[Upstream, Entry] : m_States)
+    elect(Upstream, Entry, Now);
 }
 
 void RateLimits::keepOnly(const std::vector<Upstream> &Listed) {
-  std::erase_if(m_States, [&](const auto &Each) {
-    return std::none_of(Listed.begin(), Listed.end(), [&](const Upstream &One) {
-      return One.m_Id == Each.first;
-    });
+  std::erase_if(m_States, [&](const auto &Entry) {
+    return std::none_of(Listed.begin(), Listed.end(),
+                        [&](const Upstream &Candidate) {
+                          return Candidate.m_Id == Entry.first;
+                        });
   });
 }
 
@@ -43,38 +44,40 @@
 }
 
 /// Rendezvous: a change of the list moves few senders.
-void RateLimits::elect(UpstreamId Upstream, State &What, TimePoint Now) const {
-  const auto Score = [&](InstanceId Each) {
-    return pairHash(Upstream.value(), Each.value());
+void RateLimits::elect(UpstreamId Upstream, State &Entry, TimePoint Now) const {
+  const auto Score = [&](InstanceId Instance) {
+    return pairHash(Upstream.value(), Instance.value());
   };
-  const std::uint64_t Own = Score(m_Self);
-  const auto Before = static_cast<std::size_t>(
-      std::count_if(m_All.begin(), m_All.end(),
-                    [&](InstanceId Each) { return Score(Each) > Own; }));
-  const bool Sends = What.m_Limit && Before < sendersFor(*What.m_Limit) &&
+  const std::uint64_t OwnScore = Score(m_Self);
+  const auto HigherCount = static_cast<std::size_t>(
+      std::count_if(m_All.begin(), m_All.end(), [&](InstanceId Instance) {
+        return Score(Instance) > OwnScore;
+      }));
+  const bool Sends = Entry.m_Limit &&
+                     HigherCount < sendersFor(*Entry.m_Limit) &&
                      std::binary_search(m_All.begin(), m_All.end(), m_Self);
-  if (Sends && !What.m_Sender) {
-    What.m_Tokens = 0;
-    What.m_FilledAt = std::max(Now, m_ChangedAt + SettleSpan);
+  if (Sends && !Entry.m_Sender) {
+    Entry.m_Tokens = 0;
+    Entry.m_FilledAt = std::max(Now, m_ChangedAt + SettleSpan);
   }
-  What.m_Sender = Sends;
+  Entry.m_Sender = Sends;
 }
 
 void RateLimits::update(UpstreamId Upstream, RateLimit Limit,
                         TimePoint StatedAt, TimePoint Now) {
-  State &What = m_States[Upstream];
-  fill(What, Now);
-  if (What.m_Limit != Limit) {
+  State &Entry = m_States[Upstream];
+  fill(Entry, Now);
+  if (Entry.m_Limit != Limit) {
     // Tokens of a higher limit, or of none, are not spent on a lower one.
-    if (Limit && (!What.m_Limit || *Limit < *What.m_Limit))
-      What.m_Tokens = 0;
-    What.m_FilledAt = std::max(What.m_FilledAt, Now);
-    What.m_Limit = Limit;
-    elect(Upstream, What, Now);
+    if (Limit && (!Entry.m_Limit || *Limit < *Entry.m_Limit))
+      Entry.m_Tokens = 0;
+    Entry.m_FilledAt = std::max(Entry.m_FilledAt, Now);
+    Entry.m_Limit = Limit;
+    elect(Upstream, Entry, Now);
   }
-  What.m_StatedAt = StatedAt;
+  Entry.m_StatedAt = StatedAt;
   if (Limit)
-    What.m_LimitAt = StatedAt;
+    Entry.m_LimitAt = StatedAt;
 }
 
 void RateLimits::stated(UpstreamId Upstream, RateLimit Limit, TimePoint Sent,
@@ -87,51 +90,53 @@
   m_States[Upstream].m_News = true;
 }
 
-void RateLimits::take(const std::vector<LimitNews> &News, TimePoint Now) {
-  for (const LimitNews &Each : News) {
-    const TimePoint At = Now - Each.m_Age;
-    const auto Found = m_States.find(Each.m_Upstream);
-    if (Found == m_States.end() ? !Each.m_Limit.has_value()
-                                : At <= Found->second.m_StatedAt)
+void RateLimits::take(const std::vector<LimitNews> &Updates, TimePoint Now) {
+  for (const LimitNews &Update : Updates) {
+    const TimePoint StatedAt = Now - Update.m_Age;
+    const auto Found = m_States.find(Update.m_Upstream);
+    if (Found == m_States.end() ? !Update.m_Limit.has_value()
+                                : StatedAt <= Found->second.m_StatedAt)
       continue;
-    update(Each.m_Upstream, Each.m_Limit, At, Now);
+    update(Update.m_Upstream, Update.m_Limit, StatedAt, Now);
   }
 }
 
 std::vector<LimitNews> RateLimits::takeNews(TimePoint Now) {
   std::vector<LimitNews> Result;
-  for (auto &[Upstream, What] : m_States)
-    if (std::exchange(What.m_News, false))
-      Result.push_back({Upstream, What.m_Limit, Now - What.m_StatedAt});
+  for (auto &[Upstream, Entry] : m_States)
+    if (std::exchange(Entry.m_News, false))
+      Result.push_back({Upstream, Entry.m_Limit, Now - Entry.m_StatedAt});
   return Result;
 }
 
 std::vector<LimitNews> RateLimits::all(TimePoint Now) const {
   std::vector<LimitNews> Result;
-  for (const auto &[Upstream, What] : m_States)
-    if (What.m_Limit)
-      Result.push_back({Upstream, What.m_Limit, Now - What.m_StatedAt});
+  for (const auto &[Upstream, Entry] : m_States)
+    if (Entry.m_Limit)
+      Result.push_back({Upstream, Entry.m_Limit, Now - Entry.m_StatedAt});
   return Result;
 }
 
 /// A sender may save up what its part is in a second, and one call at least.
-void RateLimits::fill(State &What, TimePoint Now) const {
-  if (!What.m_Limit || !What.m_Sender || Now <= What.m_FilledAt)
+void RateLimits::fill(State &Entry, TimePoint Now) const {
+  if (!Entry.m_Limit || !Entry.m_Sender || Now <= Entry.m_FilledAt)
     return;
-  const double Part =
-      *What.m_Limit / static_cast<double>(sendersFor(*What.m_Limit));
+  const double Share =
+      *Entry.m_Limit / static_cast<double>(sendersFor(*Entry.m_Limit));
   const double Seconds =
-      std::chrono::duration<double>(Now - What.m_FilledAt).count();
-  What.m_Tokens = std::min(What.m_Tokens + Part * Seconds, std::max(1.0, Part));
-  What.m_FilledAt = Now;
+      std::chrono::duration<double>(Now - Entry.m_FilledAt).count();
+  Entry.m_Tokens =
+      std::min(Entry.m_Tokens + Share * Seconds, std::max(1.0, Share));
+  Entry.m_FilledAt = Now;
 }
 
-bool RateLimits::mayTry(UpstreamId Upstream, const State &What,
+bool RateLimits::mayTry(UpstreamId Upstream, const State &Entry,
                         TimePoint Now) const {
-  const std::int64_t Span = spanOf(Now);
-  return !m_All.empty() && Now - What.m_StatedAt > StaleAfter &&
-         Now - m_ChangedAt > SettleSpan && Span != What.m_Trial &&
-         pairHash(m_Seed ^ Upstream.value(), static_cast<std::uint64_t>(Span)) %
+  const std::int64_t Interval = trialIntervalOf(Now);
+  return !m_All.empty() && Now - Entry.m_StatedAt > StaleAfter &&
+         Now - m_ChangedAt > SettleSpan && Interval != Entry.m_Trial &&
+         pairHash(m_Seed ^ Upstream.value(),
+                  static_cast<std::uint64_t>(Interval)) %
                  m_All.size() ==
              0;
 }
@@ -140,20 +145,21 @@
   const auto Found = m_States.find(Upstream);
   if (Found == m_States.end() || !Found->second.m_Limit)
     return true;
-  State &What = Found->second;
-  fill(What, Now);
-  return (What.m_Sender && What.m_Tokens >= 1) || mayTry(Upstream, What, Now);
+  State &Entry = Found->second;
+  fill(Entry, Now);
+  return (Entry.m_Sender && Entry.m_Tokens >= 1) ||
+         mayTry(Upstream, Entry, Now);
 }
 
 void RateLimits::taken(UpstreamId Upstream, TimePoint Now) {
   const auto Found = m_States.find(Upstream);
   if (Found == m_States.end() || !Found->second.m_Limit)
     return;
-  State &What = Found->second;
-  if (What.m_Tokens >= 1)
-    What.m_Tokens -= 1;
+  State &Entry = Found->second;
+  if (Entry.m_Tokens >= 1)
+    Entry.m_Tokens -= 1;
   else
-    What.m_Trial = spanOf(Now);
+    Entry.m_Trial = trialIntervalOf(Now);
 }
 
 RateLimit RateLimits::limitOf(UpstreamId Upstream) const {
--- a/src/balance/rate_limits.h
+++ b/src/balance/rate_limits.h
@@ -60,7 +60,7 @@
               TimePoint Now);
 
   /// Takes another instance's news.
-  void take(const std::vector<LimitNews> &News, TimePoint Now);
+  void take(const std::vector<LimitNews> &Updates, TimePoint Now);
 
   /// Returns what was stated to this instance since the last time.
   std::vector<LimitNews> takeNews(TimePoint Now);
@@ -92,10 +92,10 @@
 
   void update(UpstreamId Upstream, RateLimit Limit, TimePoint StatedAt,
               TimePoint Now);
-  void elect(UpstreamId Upstream, State &What, TimePoint Now) const;
-  void fill(State &What, TimePoint Now) const;
+  void elect(UpstreamId Upstream, State &Entry, TimePoint Now) const;
+  void fill(State &Entry, TimePoint Now) const;
   [[nodiscard]] std::size_t sendersFor(double Limit) const;
-  [[nodiscard]] bool mayTry(UpstreamId Upstream, const State &What,
+  [[nodiscard]] bool mayTry(UpstreamId Upstream, const State &Entry,
                             TimePoint Now) const;
 
   std::uint64_t m_Seed;          ///< Of trials.
--- a/src/balance/reading_speed.h
+++ b/src/balance/reading_speed.h
@@ -15,7 +15,7 @@
 public:
   /// A call to an engine with nothing else to read had its first event after
   /// \p Took, with \p Tokens to read.
-  void seen(const std::string &Service, std::uint64_t Tokens, Duration Took);
+  void seen(const std::string &Service, std::uint64_t Tokens, Duration Elapsed);
 
   /// Returns the time to a first event behind and with \p Tokens.
   [[nodiscard]] Duration timeFor(const std::string &Service,
--- a/src/balance/retry_budget.cpp
+++ b/src/balance/retry_budget.cpp
@@ -5,8 +5,8 @@
 
 namespace {
 
-void dropBefore(std::deque<TimePoint> &Times, TimePoint Limit) {
-  while (!Times.empty() && Times.front() < Limit)
+void dropBefore(std::deque<TimePoint> &Times, TimePoint Earliest) {
+  while (!Times.empty() && Times.front() < Earliest)
     Times.pop_front();
 }
 
@@ -14,10 +14,10 @@
 
 RetryBudget::Usage &RetryBudget::recent(const std::string &Service,
                                         TimePoint Now) {
-  Usage &Found = m_Usage[Service];
-  dropBefore(Found.m_Calls, Now - m_Bound.m_Window);
-  dropBefore(Found.m_Repeats, Now - m_Bound.m_Window);
-  return Found;
+  Usage &Current = m_Usage[Service];
+  dropBefore(Current.m_Calls, Now - m_Bound.m_Window);
+  dropBefore(Current.m_Repeats, Now - m_Bound.m_Window);
+  return Current;
 }
 
 void RetryBudget::call(const std::string &Service, TimePoint Now) {
@@ -25,8 +25,8 @@
 }
 
 void RetryBudget::setInstances(std::size_t Count, TimePoint Now) {
-  const auto Most = static_cast<double>(mostInstances(Now));
-  if (static_cast<double>(Count) > Most * (1 + SmallGrowth))
+  const auto MaxCount = static_cast<double>(mostInstances(Now));
+  if (static_cast<double>(Count) > MaxCount * (1 + SmallGrowth))
     m_GrewAt = Now;
   if (Count < m_Instances)
     m_Earlier.push_back({m_Instances, Now});
@@ -51,13 +51,13 @@
 }
 
 bool RetryBudget::take(const std::string &Service, TimePoint Now) {
-  Usage &Found = recent(Service, Now);
+  Usage &Current = recent(Service, Now);
   const double Earned =
-      m_Bound.m_Ratio * RatioUsed * static_cast<double>(Found.m_Calls.size());
+      m_Bound.m_Ratio * RatioUsed * static_cast<double>(Current.m_Calls.size());
   const double Allowed = Earned + ownSlack(Now);
-  if (static_cast<double>(Found.m_Repeats.size()) + 1 > Allowed)
+  if (static_cast<double>(Current.m_Repeats.size()) + 1 > Allowed)
     return false;
-  Found.m_Repeats.push_back(Now);
+  Current.m_Repeats.push_back(Now);
   return true;
 }
 
--- a/src/balance/retry_budget.h
+++ b/src/balance/retry_budget.h
@@ -44,9 +44,9 @@
   /// instances lag behind by less.
   static constexpr Duration GrowthSpan = std::chrono::seconds(4);
 
-  explicit RetryBudget(const RetryBudgetSettings &Chosen) : m_Bound(Chosen) {}
+  explicit RetryBudget(const RetryBudgetSettings &Bound) : m_Bound(Bound) {}
 
-  void setBound(const RetryBudgetSettings &Chosen) { m_Bound = Chosen; }
+  void setBound(const RetryBudgetSettings &Bound) { m_Bound = Bound; }
 
   /// Takes the number of instances that are known, this one among them. Until
   /// the first time there is no slack.
--- a/src/balance/role_split.cpp
+++ b/src/balance/role_split.cpp
@@ -10,13 +10,13 @@
 
 /// A token of a short prompt counts this many times: its callers notice pauses
 /// that others don't, so their engines must be less busy.
-constexpr double ShortWeight = 1.5;
+constexpr double LatencySensitiveWeight = 1.5;
 
 /// What is taken for granted before any work was seen: a fifth is tight.
-constexpr WorkTokens Unseen = {1, 4};
+constexpr WorkTokens InitialWork = {1, 4};
 
 /// With less than this share of the work a kind has none, and gets no engines.
-constexpr double LeastShare = 0.01;
+constexpr double MinShare = 0.01;
 
 } // namespace
 
@@ -33,13 +33,13 @@
   if (Engines < 2)
     return 0;
   // After minutes without work nothing is left to divide by.
-  const bool Any = m_Recent.m_Short + m_Recent.m_Long > 0;
-  const WorkTokens &Work = Any ? m_Recent : Unseen;
-  const double Short = ShortWeight * Work.m_Short;
-  const double Share = Short / (Short + Work.m_Long);
-  if (Share < LeastShare)
+  const bool HasWork = m_Recent.m_Short + m_Recent.m_Long > 0;
+  const WorkTokens &Work = HasWork ? m_Recent : InitialWork;
+  const double Weighted = LatencySensitiveWeight * Work.m_Short;
+  const double Share = Weighted / (Weighted + Work.m_Long);
+  if (Share < MinShare)
     return 0;
-  if (Share > 1 - LeastShare)
+  if (Share > 1 - MinShare)
     return Engines;
   const auto Count = static_cast<std::size_t>(
       std::lround(static_cast<double>(Engines) * Share));
--- a/src/balance/upstream_state.cpp
+++ b/src/balance/upstream_state.cpp
@@ -13,18 +13,18 @@
 /// A share of failures over which an upstream is kept out. Services answer a
 /// seventh of some kinds of call with an error in good health; an upstream that
 /// fails has a third or more.
-constexpr double SickShare = 0.45;
+constexpr double MaxFailureShare = 0.45;
 
 /// A sick upstream is tried again after this; one call then finds out.
-constexpr Duration SickSpan = std::chrono::milliseconds(1500);
+constexpr Duration FailingEjection = std::chrono::milliseconds(1500);
 
 /// Failures in a row that say "gone", not "sick".
-constexpr unsigned GoneAfter = 3;
+constexpr unsigned MaxConsecutiveFailures = 3;
 
 /// An upstream to which no connection can be made has crashed; it comes back
 /// under another id or after seconds.
-constexpr Duration UnreachableSpan = std::chrono::milliseconds(700);
-constexpr Duration LongestSpan = std::chrono::seconds(5);
+constexpr Duration UnreachableEjection = std::chrono::milliseconds(700);
+constexpr Duration MaxEjection = std::chrono::seconds(5);
 
 } // namespace
 
@@ -47,13 +47,14 @@
   ++m_InARow;
   m_FailureShare += NewestWeight * (1 - m_FailureShare);
   if (Outcome == CallOutcome::Silent || Outcome == CallOutcome::NoAnswer)
-    eject(UnreachableSpan * m_InARow, Now);
-  else if (m_FailureShare > SickShare || m_InARow >= GoneAfter)
-    eject(SickSpan, Now);
+    eject(UnreachableEjection * m_InARow, Now);
+  else if (m_FailureShare > MaxFailureShare ||
+           m_InARow >= MaxConsecutiveFailures)
+    eject(FailingEjection, Now);
 }
 
 void UpstreamHealth::eject(Duration Span, TimePoint Now) {
-  m_EjectedUntil = Now + std::min(Span, LongestSpan);
+  m_EjectedUntil = Now + std::min(Span, MaxEjection);
 }
 
 } // namespace crowstep::balance
--- a/src/content_hash.cpp
+++ b/src/content_hash.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t HalfDigits = 16;
 
-std::optional<std::uint64_t> half(std::string_view Digits) {
+std::optional<std::uint64_t> parseHalf(std::string_view Digits) {
   std::uint64_t Value = 0;
   const char *Last = Digits.data() + Digits.size();
   const auto [End, Code] = std::from_chars(Digits.data(), Last, Value, 16);
@@ -30,9 +30,9 @@
                                        Content.m_Target, Content.m_Workspace})
     Head.append(std::to_string(Field.size())).append(":").append(Field);
   const XXH64_hash_t Seed = XXH3_64bits(Head.data(), Head.size());
-  const XXH128_hash_t Whole =
+  const XXH128_hash_t Hash =
       XXH3_128bits_withSeed(Content.m_Body.data(), Content.m_Body.size(), Seed);
-  return {Whole.high64, Whole.low64};
+  return {Hash.high64, Hash.low64};
 }
 
 std::string toString(const ContentHash &Hash) {
@@ -46,8 +46,8 @@
 std::optional<ContentHash> parseContentHash(std::string_view Text) {
   if (Text.size() != 2 * HalfDigits)
     return std::nullopt;
-  const auto High = half(Text.substr(0, HalfDigits));
-  const auto Low = half(Text.substr(HalfDigits));
+  const auto High = parseHalf(Text.substr(0, HalfDigits));
+  const auto Low = parseHalf(Text.substr(HalfDigits));
   if (!High || !Low)
     return std::nullopt;
   return ContentHash{*High, *Low};
--- a/src/knowledge_wire.h
+++ b/src/knowledge_wire.h
@@ -10,12 +10,12 @@
 
 namespace crowstep {
 
-std::unique_ptr<wire::UpstreamInfoT> toWire(const Upstream &What);
-std::unique_ptr<wire::WorkspaceInfoT> toWire(const Workspace &What);
+std::unique_ptr<wire::UpstreamInfoT> toWire(const Upstream &Value);
+std::unique_ptr<wire::WorkspaceInfoT> toWire(const Workspace &Value);
 
 /// Returns what a peer sent; absent texts are empty.
-Upstream fromWire(const wire::UpstreamInfo &What);
-Workspace fromWire(const wire::WorkspaceInfo &What);
+Upstream fromWire(const wire::UpstreamInfo &Value);
+Workspace fromWire(const wire::WorkspaceInfo &Value);
 
 } // namespace crowstep
 
--- a/src/upstream.cpp
+++ b/src/upstream.cpp
@@ -15,10 +15,10 @@
   return PoolId(XXH3_64bits(Text.data(), Text.size()));
 }
 
-std::uint32_t slotsOf(const Upstream &Which) {
+std::uint32_t slotsOf(const Upstream &Target) {
   return std::visit(
       [](const auto &Kind) { return std::max<std::uint32_t>(1, Kind.m_Slots); },
-      Which.m_Kind);
+      Target.m_Kind);
 }
 
 } // namespace crowstep
--- a/src/upstream_type.h
+++ b/src/upstream_type.h
@@ -51,7 +51,7 @@
 };
 
 /// Returns how many calls an upstream works on at once; at least 1.
-std::uint32_t slotsOf(const Upstream &Which);
+std::uint32_t slotsOf(const Upstream &Target);
 
 } // namespace crowstep
 
