--- a/src/attachment_type.h
+++ b/src/attachment_type.h
@@ -1,4 +1,4 @@
-/// Times of the attachment of an entry to a dispatcher; both sides use them.
+/// Timing of the attachment of an entry to a dispatcher, used by both sides.
 #ifndef CROWSTEP_ATTACHMENT_TYPE_H
 #define CROWSTEP_ATTACHMENT_TYPE_H
 
@@ -7,8 +7,8 @@
 namespace crowstep {
 
 /// How long an entry may serve after it sent an acknowledgement that a
-/// dispatcher has echoed. The dispatcher counts the same span from the receipt,
-/// so it never takes an entry's right for lapsed too early.
+/// dispatcher has echoed. The dispatcher counts the same time from the receipt
+/// of it, so it never treats an entry's right as expired too early.
 inline constexpr Duration EntryRightToServe = std::chrono::seconds(2);
 
 /// Time between two attachments to an entry.
--- a/src/balance/balance_type.cpp
+++ b/src/balance/balance_type.cpp
@@ -1,4 +1,4 @@
-/// Names of outcomes.
+/// Names of call outcomes.
 #include "balance/balance_type.h"
 
 #include <array>
--- a/src/balance/balance_type.h
+++ b/src/balance/balance_type.h
@@ -1,4 +1,4 @@
-/// Plain types of the decisions of a gateway that decides alone.
+/// Plain types of placement decisions, which each gateway makes on its own.
 #ifndef CROWSTEP_BALANCE_BALANCE_TYPE_H
 #define CROWSTEP_BALANCE_BALANCE_TYPE_H
 
@@ -15,80 +15,81 @@
 
 namespace crowstep {
 
-/// An upstream's load as it says itself, with an answer.
+/// An upstream's own report of its load, sent with an answer.
 struct LoadReport {
-  std::uint32_t m_Running = 0; ///< Calls that it works on.
+  std::uint32_t m_Running = 0; ///< Calls in progress.
   std::uint32_t m_Waiting = 0; ///< Calls in its queue.
-  std::uint32_t m_Slots = 0;   ///< Calls that it works on at once.
+  std::uint32_t m_Slots = 0;   ///< Calls that it can run at once.
 };
 
 namespace balance {
 
-/// Names a call from its placement to its end.
+/// Identifies a call from its placement to its end.
 using TicketId = StrongId<struct TicketTag, std::uint64_t>;
 
-/// How urgent a call is, as engines know it: 0 goes first.
+/// Urgency of a call at an engine; 0 goes first.
 using Urgency = std::uint8_t;
 
-/// Engines know this many.
+/// Number of urgencies that engines distinguish.
 inline constexpr std::size_t UrgencyCount = 10;
 
-/// A call that wants an upstream.
+/// A call for which an upstream is to be chosen.
 struct PlacementQuery {
-  std::string m_Service;                ///< Its service.
-  Urgency m_Urgency = 0;                ///< Below UrgencyCount.
-  PromptSize m_Prompt;                  ///< Empty for plain calls.
-  Duration m_Target{};                  ///< Latency for a good answer.
-  Duration m_LongestPause{};            ///< Between events, in time; 0: any.
-  std::vector<UpstreamId> m_Avoid;      ///< Tried before.
-  std::optional<ContentHash> m_Content; ///< Of the request, where known.
-  bool m_MayWait = false;               ///< For room at the best upstream.
-  bool m_WaitedInVain = false;          ///< And may not wait any more.
+  std::string m_Service;           ///< Service that is called.
+  Urgency m_Urgency = 0;           ///< Below UrgencyCount.
+  PromptSize m_Prompt;             ///< Empty for plain calls.
+  Duration m_Target{};             ///< Latency target of the call.
+  Duration m_LongestPause{};       ///< Between events that are in time; 0: any.
+  std::vector<UpstreamId> m_Avoid; ///< Already tried.
+  std::optional<ContentHash> m_Content; ///< Of the request, if known.
+  bool m_MayWait = false;               ///< Until the best upstream has room.
+  bool m_WaitedInVain = false;          ///< Must not wait again.
 };
 
-/// What an upstream was chosen by, for the logs.
+/// What a placement was based on, for the logs.
 struct PlacementInputs {
   std::size_t m_Options = 0;         ///< Upstreams that could take the call.
-  double m_Calls = 0;                ///< At the chosen one, by all instances.
-  std::uint64_t m_UnreadTokens = 0;  ///< Waiting there to be read before it.
-  std::uint32_t m_MissingTokens = 0; ///< Of this prompt, to be read there.
-  std::size_t m_Peers = 0;           ///< Instances whose digests count.
+  double m_Calls = 0;                ///< At the chosen one, from all instances.
+  std::uint64_t m_UnreadTokens = 0;  ///< Prompt tokens queued there before it.
+  std::uint32_t m_MissingTokens = 0; ///< Of this prompt, not cached there.
+  std::size_t m_Peers = 0;           ///< Instances whose digests are in use.
 };
 
-/// An upstream was chosen and the call counts there.
+/// An upstream was chosen; the call counts towards its load.
 struct Placed {
-  TicketId m_Ticket;     ///< To be ended.
-  UpstreamId m_Upstream; ///< Which one.
-  std::string m_Name;    ///< As the upstream calls itself.
+  TicketId m_Ticket;     ///< Must be passed to recordCallEnd().
+  UpstreamId m_Upstream; ///< The chosen one.
+  std::string m_Name;    ///< Its name in the instance list.
   Address m_Address;     ///< Where it listens.
-  PlacementInputs m_Why; ///< What decided.
+  PlacementInputs m_Why; ///< Basis of the choice.
 };
 
 /// No upstream can take the call now.
 struct NotPlaced {
-  RefusalReason m_Reason = RefusalReason::NoUpstream; ///< Why.
-  Duration m_RetryAfter{}; ///< When there may be one.
-  PlacementInputs m_Why;   ///< What decided.
+  RefusalReason m_Reason =
+      RefusalReason::NoUpstream; ///< Why the call is refused.
+  Duration m_RetryAfter{};       ///< Time until an upstream may be free.
+  PlacementInputs m_Why;         ///< Basis of the refusal.
 };
 
-/// The best upstream has no room now, and one that has some would read again
-/// what that one keeps: the call should wait and ask again.
+/// The best upstream has no room now, and those with room would have to prefill
+/// again what it has cached: the call should wait and ask again.
 struct MustWait {
-  PlacementInputs m_Why; ///< What decided.
+  PlacementInputs m_Why; ///< Basis of the decision.
 };
 
 using PlacementResult = std::variant<Placed, NotPlaced, MustWait>;
 
-/// How a call at an upstream ended, as far as it tells of the upstream.
+/// How a call at an upstream ended, as evidence of the state of the upstream.
 enum class CallOutcome : std::uint8_t {
-  Served,   ///< A whole answer.
-  Failed,   ///< An error of its own, or a false answer.
-  Silent,   ///< Nothing came within the limit.
-  Refused,  ///< It had no room.
-  Leaving,  ///< It said that it is not this upstream, or is going.
+  Served,   ///< Complete answer.
+  Failed,   ///< Error of the upstream, or invalid answer.
+  Silent,   ///< Nothing was received within the limit.
+  Refused,  ///< The upstream had no room.
+  Leaving,  ///< It is draining, or is not the expected upstream.
   NoAnswer, ///< No connection could be made.
-  Dropped,  ///< Ended from our side; says nothing.
-  Broken,   ///< Its connection ended before the answer did.
+  Dropped,  ///< Ended by this side; no evidence.
+  Broken,   ///< The connection closed before the end of the answer.
 };
 
 /// Returns the stable name in logs, such as "no_answer".
--- a/src/balance/balancer.cpp
+++ b/src/balance/balancer.cpp
@@ -9,69 +9,72 @@
 
 namespace {
 
-/// An upstream that had no room gets nothing for this long: about the time in
-/// which a slot of a plain service comes free.
+/// An upstream that had no room gets no calls for this long: about the time in
+/// which a slot of a plain service becomes free.
 constexpr Duration FullBackoff = std::chrono::milliseconds(50);
 
-/// An upstream that says that it closes its connections, or that it is another
-/// one, gets nothing until the directory has said what it is; the directory
-/// follows within a second.
+/// An upstream that says that it is draining, or that it is another one, gets
+/// no calls until the directory has its state; the directory has it within a
+/// second.
 constexpr Duration DrainingBackoff = std::chrono::milliseconds(1500);
 
-/// A caller refused for want of an upstream comes back after this: the
+/// Retry time for callers that are refused for lack of an upstream: the
 /// directory learns of a new upstream within a second.
 constexpr Duration NoUpstreamRetryAfter = std::chrono::milliseconds(500);
 
-/// A caller refused for upstreams' limits comes back within this time: until
-/// then the limits may have ended.
+/// Longest retry time for callers that are refused because of upstreams' rate
+/// limits: the limits may have ended by then.
 constexpr Duration LimitedRetryAfter = std::chrono::seconds(4);
 
-/// Another zone's upstream must have this many calls fewer to be worth the way.
+/// Number of calls that an upstream in another zone must have fewer to be
+/// chosen, for the longer way to it.
 constexpr double OtherZonePenalty = 2;
 
-/// A report older than this says nothing about now.
+/// Age from which a load report is not used any more.
 constexpr Duration ReportLifetime = std::chrono::milliseconds(1500);
 
-/// A call is refused at once if what is read before it takes longer than this
-/// many targets. Its own prompt does not count, so that long prompts are not
-/// refused where shorter ones are taken. It would be late, and what is read for
-/// it would make calls late that can still be in time.
+/// A call is refused at once if the prefill queued before it takes longer than
+/// this share of its latency target: it would be late, and its own prefill
+/// would delay calls that can still be in time. Its own prompt is not counted,
+/// so that long prompts are not refused where shorter ones are accepted.
 constexpr double MaxWaitInTargets = 0.75;
 
-/// Callers with short targets wait longer than these before they give up, and a
-/// late answer is worth something to them.
+/// Least limit on that wait: callers with short targets wait longer than these
+/// before they give up, and a late answer is still of use to them.
 constexpr Duration MinWaitLimit = std::chrono::milliseconds(1200);
 
-/// Share of an engine's memory that calls may need beside the parts that it
-/// keeps, which are as much again.
+/// Share of an engine's memory that calls may need beside the cached segments,
+/// which take about as much again.
 constexpr double MaxHeldShare = 0.55;
 
-/// Share of an engine's slots that calls may take. Over its slots an engine
-/// makes calls wait, and stops less urgent ones amid their streams for more
-/// urgent ones, to read them again later. The rest is for calls that other
-/// instances place meanwhile.
+/// Share of an engine's slots that calls may take; the rest is for calls that
+/// other instances place at the same time. An engine with more calls than slots
+/// makes calls wait, and preempts less urgent ones amid their streams, to
+/// prefill them again later.
 constexpr double MaxSlotShare = 0.85;
 
-/// An engine whose slots are all taken frees one each time that one of its
-/// calls ends: with calls of 1.5 s and 40 tokens read in a ms, this many tokens
-/// could be read until all slots have changed hands.
+/// Tokens that an engine could prefill while all of its slots are freed once,
+/// at 1.5 s a call and 40 tokens a ms. An engine whose slots are all taken
+/// frees one each time that one of its calls ends.
 constexpr double SlotTurnoverTokens = 60000;
 
-/// A caller that is refused for load comes back after the time by which the
-/// wait is too long, and not sooner than this.
+/// Least retry time for callers that are refused for load; else it is the time
+/// by which the wait exceeds the latency target.
 constexpr Duration MinRetryAfter = std::chrono::milliseconds(300);
 
-/// A step of a full batch makes one token for each of its calls and takes 6 to
-/// 9 ms, in which an engine could read about this many: a token made takes as
-/// long as reading a slot's share of them. With one weight for all, engines of
-/// 16 slots had too few of them for streams, whose slots were taken.
+/// Tokens that an engine could prefill during one step of a full batch, which
+/// takes 6 to 9 ms and generates one token for each call: a generated token
+/// costs as much as the prefill of one slot's share of these. With one weight
+/// for all numbers of slots, too few engines of 16 slots went to streams, and
+/// their slots were all taken.
 constexpr double StepTokens = 400;
 
-/// At most this share of a service is kept out for its answers: when all fail
-/// alike the fault is elsewhere, and the rest could not take the load.
+/// Largest share of a service's upstreams that is left out for their health or
+/// for lack of room: when all fail alike the fault is elsewhere, and the rest
+/// could not take the load.
 constexpr double MaxExcludedShare = 0.5;
 
-/// Returns the tokens that a call is expected to make.
+/// Returns the number of tokens that a call is expected to generate.
 std::uint32_t expectedOutput(const PromptSize &Prompt) {
   if (Prompt.m_ExpectedOutput > 0 && Prompt.m_MaxOutput > 0)
     return std::min(Prompt.m_ExpectedOutput, Prompt.m_MaxOutput);
@@ -96,8 +99,8 @@
   rankEngines();
 }
 
-/// Roles go by the engines' order among all that are listed, so that one that
-/// is kept out for a while moves no role.
+/// Roles follow the order among all listed engines that are not draining, so
+/// that the ejection of one does not change the role of another.
 void Balancer::rankEngines() {
   std::map<std::string, std::vector<UpstreamId>> Engines;
   for (const auto &[Id, State] : m_States)
@@ -178,11 +181,12 @@
   const bool LatencySensitive = tight(Query);
   const PoolId Pool = poolIdOf(Query.m_Service, 0);
   const std::size_t SensitiveEngines = shortEngines(Query.m_Service);
-  // Engines of the other role only where none of the call's own has room.
+  // Engines of the other role are used only if none of the call's own role has
+  // room.
   std::vector<EngineOption> Options;
   for (const bool OwnRole : {true, false}) {
-    // One that waited for engines of its role is refused rather than put where
-    // it makes the others late.
+    // A call that has waited for an engine of its role is refused rather than
+    // placed where it would make other calls late.
     if (!Options.empty() || (!OwnRole && Query.m_WaitedInVain))
       break;
     for (UpstreamState *State : Candidates)
@@ -212,7 +216,7 @@
     return NotPlaced{RefusalReason::TargetUnreachable,
                      std::max(Wait - Query.m_Target, MinRetryAfter), Inputs};
   UpstreamState &State = *Chosen.m_State;
-  // The last part is the call's own; nobody will ask for it again.
+  // The last segment is unique to the call and will not be requested again.
   for (std::size_t I = 0; I + 1 < Prompt.m_Parts.size(); ++I) {
     m_Cache.placed(State.m_Upstream.m_Id, Prompt.m_Parts[I],
                    m_CacheTokens[Query.m_Service]);
@@ -260,7 +264,7 @@
   return Result;
 }
 
-/// Returns how many engines take short prompts only: the first by rank.
+/// The first engines by rank take latency-sensitive calls only.
 std::size_t Balancer::shortEngines(const std::string &Service) const {
   const auto Engines = m_Staying.find(Service);
   const auto Split = m_Splits.find(poolIdOf(Service, 0));
@@ -270,15 +274,16 @@
       .shortEngines(Engines->second);
 }
 
-/// Marks the engines whose slots are taken or whose memory the call could fill.
-/// One that runs out stops a call amid its stream to read it again later, and
-/// drops what it keeps of prompts.
+/// Marks the engines whose slots are taken, or whose memory the call could
+/// exhaust. An engine without free memory preempts a call amid its stream, to
+/// prefill it again later, and evicts cached segments.
 ///
-/// An engine with less urgent calls has all its slots for this one, and if it
-/// has waited in vain, more: the engine then stops the least urgent one. Others
-/// are full for such a call; it would read its beginning again there. Else a
-/// burst of the least urgent class would take every slot that comes free, at
-/// whatever instance it waits, and urgent calls would be refused meanwhile.
+/// A call may take all slots of an engine with less urgent calls, and even
+/// exceed them if its wait has timed out: the engine then preempts the least
+/// urgent call. All other engines count as full for a call whose wait has timed
+/// out, as it would prefill its prefix again there. Otherwise a burst of the
+/// least urgent class would take every slot that becomes free, at whichever
+/// instance it waits, while urgent calls are refused.
 void Balancer::markFull(const PlacementQuery &Query,
                         std::vector<EngineOption> &Options) const {
   const auto Capacity = m_CacheTokens.find(Query.m_Service);
@@ -362,7 +367,7 @@
     for (const PromptPart &Segment : Segments)
       Result.m_Parts.push_back({Id, Segment});
   }
-  // Only the proportion matters, so it does no harm to hear it from several.
+  // Only the proportion matters, so it may be received from several instances.
   for (const auto &[Pool, Split] : m_Splits)
     Result.m_Work[Pool] = Split.recent();
   Result.m_Crashes = m_Quarantine.all();
@@ -386,7 +391,8 @@
   const auto Cost = [&](const UpstreamState &State) {
     const bool SameZone = State.m_Upstream.m_Zone == m_Zone;
     return callsAt(State, Now) + (SameZone ? 0 : OtherZonePenalty) +
-           // A sick upstream that isn't kept out is the last choice.
+           // Among upstreams with equal calls, prefers those with fewer
+           // failures.
            State.m_Health.failureShare();
   };
   return *std::min_element(
@@ -462,7 +468,7 @@
   m_Tickets.erase(Ticket);
 }
 
-/// An upstream that leaves ends its last calls without a crash.
+/// A draining upstream may cut its last calls without having crashed.
 void Balancer::reportToQuarantine(const Ticket &Ended, const UpstreamState &At,
                                   CallOutcome Outcome, TimePoint Now) {
   if (!Ended.m_Content)
--- a/src/balance/balancer.h
+++ b/src/balance/balancer.h
@@ -1,8 +1,9 @@
 /// Chooses an upstream for each call, from what one instance knows.
 ///
-/// Every instance decides alone, by its own calls and by the digests of the
-/// others; without digests it goes by the upstreams' reports. What instances
-/// must agree on at once follows from hashes of ids that all of them know.
+/// Every instance decides on its own, from its own calls and the digests of the
+/// other instances, or without digests from the upstreams' load reports. What
+/// instances must agree on at once follows from hashes of ids that all of them
+/// know.
 #ifndef CROWSTEP_BALANCE_BALANCER_H
 #define CROWSTEP_BALANCE_BALANCER_H
 
@@ -21,80 +22,80 @@
 
 class Balancer {
 public:
-  /// \p Zone is the instance's own.
-  /// \p Seed differs between instances.
+  /// \p Zone is the zone of this instance; \p Seed differs between instances.
   explicit Balancer(AvailabilityZone Zone, std::uint64_t Seed = 1)
       : m_Zone(std::move(Zone)), m_Random(Seed), m_Quarantine(Seed),
         m_Limits(Seed) {}
 
-  /// Replaces the list; what is known of those that stay is kept. Calls at
-  /// upstreams that went count on until they end.
+  /// Replaces the list of upstreams. The state of those that stay listed is
+  /// kept; tickets of calls at removed ones remain until the calls end.
   void setUpstreams(const std::vector<Upstream> &List);
 
-  /// Chooses an upstream and counts the call there until ended().
+  /// Chooses an upstream and counts the call there until recordCallEnd().
   PlacementResult place(const PlacementQuery &Query, TimePoint Now);
 
-  /// The first event or the whole answer came: the prompt has been read.
+  /// The first event or the whole answer was received: prefill is complete.
   void answered(TicketId Ticket, TimePoint Now);
 
-  /// The upstream told its load.
+  /// The call's upstream reported its load.
   void reported(TicketId Ticket, const LoadReport &Load, TimePoint Now);
 
-  /// The upstream stated how many requests a second it takes, or that it takes
-  /// as many as it has room for.
+  /// The call's upstream stated its limit in requests a second, or that it has
+  /// none and takes as many as it has room for.
   void stated(TicketId Ticket, RateLimit Limit, TimePoint Now);
 
-  /// Takes all instances, this one as \p Self.
+  /// Sets the list of all instances, this one as \p Self.
   void setInstances(InstanceId Self, std::vector<InstanceId> All,
                     TimePoint Now) {
     m_Limits.setInstances(Self, std::move(All), Now);
   }
 
-  /// Returns the limit that an upstream has stated.
+  /// Returns the rate limit that an upstream has stated.
   [[nodiscard]] RateLimit limitOf(UpstreamId Upstream) const {
     return m_Limits.limitOf(Upstream);
   }
 
-  /// Bytes came from the call's upstream.
+  /// Bytes were received from the call's upstream.
   void heard(TicketId Ticket, TimePoint Now);
 
-  /// Returns how long nothing has come from the upstream of a call, on any
-  /// call; at most since the call began.
+  /// Returns how long nothing has been received from the upstream of a call, on
+  /// any call; at most the time since the call was placed.
   [[nodiscard]] Duration unheardOf(TicketId Ticket, TimePoint Now) const;
 
-  /// The call is over at the upstream. Unknown tickets are ignored.
+  /// The call has ended at the upstream. Unknown tickets are ignored.
   void ended(TicketId Ticket, CallOutcome Outcome, TimePoint Now);
 
-  /// Returns whether the upstream of a call is still listed and not leaving,
+  /// Returns whether the upstream of a call is still listed and not draining,
   /// and the call's request is not quarantined.
   [[nodiscard]] bool mayBegin(TicketId Ticket, TimePoint Now) const;
 
-  /// Sets the memory of the engines of a service, in tokens.
+  /// Sets the memory of each engine of a service, in tokens.
   void setCacheTokens(const std::string &Service, std::uint64_t Tokens) {
     m_CacheTokens[Service] = Tokens;
   }
 
-  /// Sets the shortest pause between events that any class of a service
-  /// allows, for the services where one does.
+  /// Sets the shortest of the pauses between events that the classes of a
+  /// service allow, for the services where a class sets one.
   void setTightestPauses(std::map<std::string, Duration> Pauses) {
     m_TightestPauses = std::move(Pauses);
   }
 
-  /// Returns the requests that may not run.
+  /// Returns the requests that must not run.
   [[nodiscard]] Quarantine &quarantine() { return m_Quarantine; }
 
-  /// Takes another instance's digest.
+  /// Applies another instance's digest.
   void peerSaid(InstanceId Peer, const LoadDigest &Digest, TimePoint Now);
 
-  /// Another instance is gone.
+  /// Forgets the loads of an instance that was removed.
   void peerGone(InstanceId Peer) { m_Peers.drop(Peer); }
 
-  /// Returns what the other instances should know, and forgets the parts.
+  /// Returns the digest for the other instances. What it holds as changes since
+  /// the last digest is returned once.
   LoadDigest takeDigest(TimePoint Now);
 
-  /// Returns all that an instance should know that has just started: what is
-  /// believed of the engines' memory. Without it a restarted instance sends
-  /// prompts to engines that have not read their beginnings.
+  /// Returns the digest for an instance that has just started, with the whole
+  /// model of the engines' caches. Without it a restarted instance sends
+  /// prompts to engines that have not cached their prefixes.
   [[nodiscard]] LoadDigest wholeDigest(TimePoint Now) const;
 
 private:
@@ -102,12 +103,12 @@
 
   /// A call that counts at an upstream.
   struct Ticket {
-    UpstreamId m_Upstream;                ///< May have gone from the list.
-    Urgency m_Urgency = 0;                ///< Of the call.
-    CallTokens m_Tokens;                  ///< What it adds there.
-    TimePoint m_Begin;                    ///< When it was placed.
-    bool m_Undisturbed = false;           ///< Nothing was to be read before it.
-    std::optional<ContentHash> m_Content; ///< Of the request, where known.
+    UpstreamId m_Upstream;                ///< May be removed from the list.
+    Urgency m_Urgency = 0;                ///< Urgency of the call.
+    CallTokens m_Tokens;                  ///< Load that it adds there.
+    TimePoint m_Begin;                    ///< Time of the placement.
+    bool m_Undisturbed = false;           ///< No prefill queued before it.
+    std::optional<ContentHash> m_Content; ///< Of the request, if known.
   };
 
   States candidates(const PlacementQuery &Query, TimePoint Now);
@@ -135,22 +136,23 @@
                                const CallLoad &Peers, TimePoint Now) const;
   UpstreamState *stateOf(TicketId Ticket);
 
-  AvailabilityZone m_Zone;                          ///< Own.
-  std::mt19937_64 m_Random;                         ///< For choices.
+  AvailabilityZone m_Zone;                          ///< Of this instance.
+  std::mt19937_64 m_Random;                         ///< For sampling engines.
   Quarantine m_Quarantine;                          ///< Of requests.
-  RateLimits m_Limits;                              ///< Of upstreams.
-  ReadingSpeed m_Speed;                             ///< Of engines.
-  PeerLoads m_Peers;                                ///< By digests.
-  CacheModel m_Cache;                               ///< Of engines.
+  RateLimits m_Limits;                              ///< Stated by upstreams.
+  ReadingSpeed m_Speed;                             ///< Of the engines.
+  PeerLoads m_Peers;                                ///< From their digests.
+  CacheModel m_Cache;                               ///< Of the engines.
   std::unordered_map<PoolId, RoleSplit> m_Splits;   ///< By service.
   std::unordered_map<PoolId, WorkTokens> m_NewWork; ///< Since takeDigest().
   std::vector<PartPlaced> m_NewParts;               ///< Since takeDigest().
   std::unordered_map<std::string, std::uint64_t> m_CacheTokens; ///< By service.
   std::map<std::string, Duration> m_TightestPauses;             ///< By service.
-  std::map<std::string, std::size_t> m_Staying;   ///< Not leaving, by service.
-  std::map<UpstreamId, UpstreamState> m_States;   ///< Listed ones.
-  std::unordered_map<TicketId, Ticket> m_Tickets; ///< Not ended.
-  std::uint64_t m_LastTicket = 0;                 ///< Ids start at 1.
+  std::map<std::string, std::size_t> m_Staying; ///< Not draining, by service.
+  std::map<UpstreamId, UpstreamState> m_States; ///< Listed upstreams.
+  std::unordered_map<TicketId, Ticket>
+      m_Tickets;                  ///< Calls that have not ended.
+  std::uint64_t m_LastTicket = 0; ///< The first id is 1.
 };
 
 } // namespace crowstep::balance
--- a/src/balance/cache_model.cpp
+++ b/src/balance/cache_model.cpp
@@ -1,4 +1,4 @@
-/// What engines are believed to keep of prompts.
+/// Model of the engines' prefix caches.
 #include "balance/cache_model.h"
 
 #include <algorithm>
--- a/src/balance/cache_model.h
+++ b/src/balance/cache_model.h
@@ -1,8 +1,8 @@
-/// What engines are believed to keep of prompts.
+/// Model of the engines' prefix caches.
 ///
-/// Engines drop the parts that were used longest ago. The model does the same
-/// from the placements that this instance made or heard of, so it needs no call
-/// to an engine; a wrong belief costs a part that is read again.
+/// Engines evict the least recently used segments. The model does the same with
+/// the placements of this and other instances, so it needs no call to an
+/// engine; a wrong entry costs the prefill of a segment.
 #ifndef CROWSTEP_BALANCE_CACHE_MODEL_H
 #define CROWSTEP_BALANCE_CACHE_MODEL_H
 
@@ -17,35 +17,36 @@
 
 class CacheModel {
 public:
-  /// Memory of an engine where none is known, in tokens.
+  /// Memory of an engine in tokens if it is not known.
   static constexpr std::uint64_t DefaultCapacity = 200000;
 
-  /// Share of an engine's memory that is left for kept parts: the rest holds
-  /// the calls that run.
+  /// Share of an engine's memory that holds cached segments; the rest holds the
+  /// running calls.
   static constexpr double KeptShare = 0.6;
 
-  /// A part of a prompt was sent to an engine whose memory is \p Capacity.
+  /// A segment of a prompt was sent to an engine whose memory is \p Capacity,
+  /// in tokens; 0: not known.
   void placed(UpstreamId Engine, const PromptPart &Segment,
               std::uint64_t Capacity);
 
-  /// Returns the tokens at the beginning of a prompt that \p Engine keeps: a
-  /// part counts only if all parts before it are kept.
+  /// Returns the length in tokens of the prefix that \p Engine has cached: a
+  /// segment counts only if all segments before it are cached.
   [[nodiscard]] std::uint32_t
   kept(UpstreamId Engine, const std::vector<PromptPart> &Segments) const;
 
-  /// Appends all parts that \p Engine keeps, those used longest ago first.
+  /// Appends all segments that \p Engine has cached, least recently used first.
   void tell(UpstreamId Engine, std::vector<PromptPart> &Out) const;
 
   /// Forgets all engines but \p Listed.
   void keepOnly(const std::vector<Upstream> &Listed);
 
 private:
-  /// The parts that one engine keeps.
+  /// The segments that one engine has cached.
   struct EngineCache {
-    std::list<PromptPart> m_Order; ///< Used last comes first.
+    std::list<PromptPart> m_Order; ///< Most recently used first.
     std::unordered_map<std::uint64_t, std::list<PromptPart>::iterator>
-        m_Where;                ///< By part.
-    std::uint64_t m_Tokens = 0; ///< Of all parts.
+        m_Where;                ///< By segment id.
+    std::uint64_t m_Tokens = 0; ///< Of all segments.
   };
 
   std::unordered_map<UpstreamId, EngineCache> m_Engines; ///< By engine.
--- a/src/balance/digest_sum.cpp
+++ b/src/balance/digest_sum.cpp
@@ -1,4 +1,4 @@
-/// The sum of several instances' digests.
+/// Sum of several instances' digests.
 #include "balance/digest_sum.h"
 
 #include <utility>
--- a/src/balance/digest_sum.h
+++ b/src/balance/digest_sum.h
@@ -1,4 +1,4 @@
-/// The sum of several instances' digests, to be passed on as one.
+/// Sum of several instances' digests, sent on as one digest.
 #ifndef CROWSTEP_BALANCE_DIGEST_SUM_H
 #define CROWSTEP_BALANCE_DIGEST_SUM_H
 
@@ -8,26 +8,26 @@
 
 class DigestSum {
 public:
-  /// Replaces the loads that \p From said before; the rest adds up until it is
-  /// taken.
+  /// Replaces the loads of the last digest of \p From; the rest of the digests
+  /// accumulates until takeSum().
   void take(InstanceId From, const LoadDigest &Digest, TimePoint Now);
 
   /// Forgets an instance's loads.
   void drop(InstanceId From) { m_Loads.drop(From); }
 
-  /// Forgets everything.
   void clear();
 
-  /// Returns the sum of the loads said lately, and the rest since the last
-  /// time.
+  /// Returns the sum of all loads that have not expired, and what else has
+  /// accumulated since the last call.
   LoadDigest takeSum(TimePoint Now);
 
 private:
-  PeerLoads m_Loads;                             ///< What was said last.
+  PeerLoads m_Loads;                             ///< Of the last digests.
   std::vector<PartPlaced> m_Parts;               ///< Not yet taken.
   std::unordered_map<PoolId, WorkTokens> m_Work; ///< Not yet taken.
   std::vector<CrashNews> m_Crashes;              ///< Not yet taken.
-  std::vector<std::pair<LimitNews, TimePoint>> m_Limits; ///< And arrival.
+  std::vector<std::pair<LimitNews, TimePoint>>
+      m_Limits; ///< With time of receipt.
 };
 
 } // namespace crowstep::balance
--- a/src/balance/engine_choice.cpp
+++ b/src/balance/engine_choice.cpp
@@ -1,10 +1,10 @@
 /// Placement of model calls.
 ///
-/// Reading a long prompt delays the next token of every call in the engine's
-/// batch, so calls with short prompts, whose callers notice each pause, get
-/// engines of their own. A call with a long prompt goes where its first event
-/// comes soonest: after the prompts that wait there, and after what must be
-/// read of its own.
+/// Prefill of a long prompt delays the next token of every call in the engine's
+/// batch, so latency-sensitive calls, which have short prompts and callers who
+/// notice each pause, get engines of their own. A call with a long prompt goes
+/// where its first event is due soonest, after the prefill that is queued there
+/// and that of its own uncached tokens.
 #include "balance/engine_choice.h"
 
 #include "core/pair_hash.h"
@@ -15,60 +15,62 @@
 
 namespace {
 
-/// Prompts below this count as short: an engine reads one in under 80 ms, less
-/// than the shortest pause that a caller notices.
+/// Prompts below this length in tokens are short: their prefill takes less than
+/// 80 ms, which is less than the shortest pause that a caller notices.
 constexpr std::uint32_t ShortPromptTokens = 4000;
 
-/// What must be read of a call's own prompt counts this many times while the
-/// engines have little to do: it delays this call once, and every call behind
-/// it as well.
+/// Weight of a call's own uncached tokens while the engines have little to do:
+/// their prefill delays this call once, and every call behind it as well.
 constexpr double UncachedWeight = 4.5;
 
-/// It counts this much more where all slots of the engines are taken, and less
-/// by the square of the share that is. Load: a burst that takes most slots.
-/// Calls then went wherever a slot was free, their beginnings were read once
-/// more there, calls lasted longer and took more slots.
+/// Added to UncachedWeight when all slots of the engines are taken; scaled by
+/// the square of the share that is taken. Without it, in a burst that takes
+/// most slots, calls go wherever a slot is free and prefill their prefixes once
+/// more there, so that calls last longer and take more slots.
 constexpr double ScarceSlotWeight = 8;
 
-/// The engine that comes first by hash is preferred by this share of what must
-/// be read. Instances that place calls with one beginning within the same
-/// tenth of a second don't know of one another, and so read it once.
+/// Discount on the uncached tokens at the preferred engine, as a share of them.
+/// Instances that place calls with the same prefix within a tenth of a second
+/// don't know of one another's calls; with it they choose the same engine, and
+/// the prefix is prefilled once.
 constexpr double PreferredDiscount = 0.7;
 
-/// Engines that are compared, of those that keep the prompt's beginning and of
-/// those that don't. Instances learn of one another's calls late, and all that
-/// compared all engines would send their calls to the same one, the best by
-/// what they know; the best of three by chance is nearly as good, and another
-/// one for each call.
+/// Number of engines that are compared, of those that have cached the prefix
+/// and of the others each. Instances learn of one another's calls late: if each
+/// compared all engines, all would send their calls to the same one, the best
+/// as far as they know. The best of a random three is nearly as good, and
+/// differs between calls.
 constexpr std::size_t SampleSize = 3;
 
-/// Prompts that differ by less in what must be read are alike: an engine reads
-/// this much in the time of a few steps of its batch.
+/// Engines whose uncached tokens exceed the least by no more than this are
+/// considered equal: an engine prefills this much in a few steps of its batch.
 constexpr std::uint32_t EqualTokens = 1000;
 
-/// Less urgent prompts are read between the tokens of a more urgent call and
-/// make its pauses longer: they count by this part.
+/// Weight of the prompt tokens of less urgent calls: their prefill takes place
+/// between the tokens of a more urgent call and makes its pauses longer.
 constexpr double LaterPrefillWeight = 0.3;
 
-/// A call whose prompt is read between the tokens of a more urgent one makes
-/// that one's pauses longer: it counts as this many tokens.
+/// Cost in tokens of each more urgent call at an engine: prefill of this call's
+/// prompt takes place between its tokens and makes its pauses longer.
 constexpr double TokensPerMoreUrgent = 300;
 
-/// A long prompt makes the tight calls that it is read beside late. Each counts
-/// as this many tokens, so that another engine is taken unless some tens of a
-/// second must be waited there. The line between the roles moves within a
-/// second, and streams that began before run on for six.
+/// Cost in tokens of each latency-sensitive call at an engine, for a call that
+/// is none: prefill of a long prompt makes such calls late. With this cost
+/// another engine is taken unless the wait there is some tenths of a second
+/// longer. The boundary between the roles moves within a second, while streams
+/// that began before it moved run for six seconds more.
 constexpr double TokensPerLatencySensitive = 5000;
 
-/// Any number; sets this hash apart from that of prompts.
+/// Arbitrary; keeps the hash of roles apart from that of prefixes.
 constexpr std::uint64_t RoleSeed = 1;
 
-/// Returns what a call's home goes by: the last part of its prompt that other
-/// calls share. The first part alone is common to most calls of a class: homes
-/// by it send a class to a few engines, and what spills from these is read
-/// elsewhere a second time. Of 60 beginnings of two parts, asked for twice by
-/// instances that don't know of one another, 44 are read once, and 4 with homes
-/// by the first part.
+/// Returns the key by which a call's preferred engine is chosen: the id of the
+/// last segment of its prompt that other calls share. The first segment alone
+/// is common to most calls of a class: as the key it would send a class to a
+/// few engines, and the overflow of these would be prefilled elsewhere a second
+/// time. Of 60 prefixes of two segments, requested twice by instances that
+/// don't know of one another's calls, 44 are prefilled once, against 4 with the
+/// first segment as the key.
 std::uint64_t preferredKey(const PromptSize &Prompt) {
   const std::vector<PromptPart> &Segments = Prompt.m_Parts;
   if (Segments.empty())
@@ -78,7 +80,7 @@
 
 using OptionList = std::vector<const EngineOption *>;
 
-/// Returns the engine that comes first by hash for this beginning.
+/// Returns the preferred engine for the prefix, by rendezvous hashing.
 const EngineOption *preferredEngine(const PlacementQuery &Query,
                                     const std::vector<EngineOption> &Options) {
   const std::uint64_t Key = preferredKey(Query.m_Prompt);
@@ -95,8 +97,8 @@
   return Result;
 }
 
-/// Returns the engines to compare: the home, some that need to read least, and
-/// some others.
+/// Returns the engines to compare: the preferred one, a sample of those with
+/// the fewest uncached tokens and a sample of the others.
 OptionList sampleOptions(const std::vector<EngineOption> &Options,
                          const EngineOption *Preferred,
                          std::mt19937_64 &Random) {
@@ -118,8 +120,8 @@
   return Result;
 }
 
-/// Returns how often a token that must be read counts, by the share of slots
-/// that are taken.
+/// Returns the weight of an uncached token, by the share of slots that are
+/// taken.
 double uncachedWeight(const std::vector<EngineOption> &Options) {
   double LoadSum = 0;
   for (const EngineOption &Option : Options)
--- a/src/balance/engine_choice.h
+++ b/src/balance/engine_choice.h
@@ -1,4 +1,4 @@
-/// Which engine takes which prompt.
+/// Choice of an engine for a prompt.
 #ifndef CROWSTEP_BALANCE_ENGINE_CHOICE_H
 #define CROWSTEP_BALANCE_ENGINE_CHOICE_H
 
@@ -8,31 +8,32 @@
 
 namespace crowstep::balance {
 
-/// An engine that could take a call, and what it would cost there.
+/// An engine that could take a call, and the state there that decides.
 struct EngineOption {
   UpstreamState *m_State = nullptr;  ///< Never null.
-  double m_Calls = 0;                ///< That all instances have there.
-  std::uint64_t m_UnreadTokens = 0;  ///< Of prompts waiting there to be read.
-  std::uint64_t m_UnreadAfter = 0;   ///< Of prompts that are read later.
-  std::uint32_t m_MoreUrgent = 0;    ///< Calls there that this one disturbs.
-  std::uint32_t m_Tight = 0;         ///< Calls there, see isTight().
+  double m_Calls = 0;                ///< Calls there, from all instances.
+  std::uint64_t m_UnreadTokens = 0;  ///< Prefill there before this call.
+  std::uint64_t m_UnreadAfter = 0;   ///< Prefill there after this call.
+  std::uint32_t m_MoreUrgent = 0;    ///< Calls there that this one delays.
+  std::uint32_t m_Tight = 0;         ///< See isLatencySensitive().
   std::uint32_t m_LessUrgent = 0;    ///< Calls there that yield to this one.
-  std::uint32_t m_MissingTokens = 0; ///< Of this prompt, not kept there.
-  std::uint64_t m_HeldTokens = 0;    ///< Memory that calls there need.
+  std::uint32_t m_MissingTokens = 0; ///< Of this prompt, not cached there.
+  std::uint64_t m_HeldTokens = 0;    ///< Memory that the calls there need.
   bool m_Full = false;               ///< It has no room for this call now.
-  double m_FullTokens = 0;           ///< Could be read until it has.
+  double m_FullTokens = 0;           ///< Wait for a slot, as prefill.
 };
 
-/// Returns the ids of \p Engines in the order in which they become engines for
-/// short prompts; the same on every instance.
+/// Returns the ids of \p Engines in the order in which they are given to
+/// latency-sensitive calls; the same on every instance.
 std::vector<UpstreamId> shortOrder(std::vector<UpstreamId> Engines);
 
-/// Returns whether a call is one that a long prompt, read between its events,
-/// would make late, and that itself makes no such pause. \p TightestPause is
-/// the shortest that any class of the service allows; zero: none is known.
+/// Returns whether a call would be late if a long prompt were prefilled between
+/// its events, while its own prompt is short enough not to delay others.
+/// \p MinPause is the shortest pause between events that a class of the service
+/// allows; zero: none is known.
 bool isTight(const PlacementQuery &Query, Duration MinPause);
 
-/// Returns the best of \p Options, which are not empty, or of some of them.
+/// Returns the best of a sample of \p Options, which must not be empty.
 const EngineOption &chooseEngine(const PlacementQuery &Query,
                                  bool LatencySensitive,
                                  const std::vector<EngineOption> &Options,
--- a/src/balance/peer_loads.cpp
+++ b/src/balance/peer_loads.cpp
@@ -17,7 +17,8 @@
 }
 
 void CallLoad::Part::end(const CallTokens &Tokens) {
-  // A call from before the upstream left the list and came back counts no more.
+  // Nothing is left of a call from before the upstream left the list and came
+  // back.
   m_Running -= std::min(m_Running, 1U);
   m_Held -= std::min(Tokens.m_Held, m_Held);
   m_Tight -= std::min(m_Tight, Tokens.m_Tight ? 1U : 0U);
@@ -37,8 +38,8 @@
   m_Tight -= Reported.m_Tight;
 }
 
-/// Adds to the sum what really changed: a part that has nothing left to take
-/// away from takes nothing away from the others.
+/// Adds to the total what really changed: the counters of an urgency stop at
+/// zero, and must then not reduce the total of the others.
 template <typename Function>
 void CallLoad::change(Urgency Level, Function Change) {
   Part &Changed = m_Parts.at(Level);
--- a/src/balance/quarantine.cpp
+++ b/src/balance/quarantine.cpp
@@ -1,4 +1,4 @@
-/// Counting of crashes and what follows from them.
+/// Counts of crashes, and the quarantine of requests.
 #include "balance/quarantine.h"
 
 #include <algorithm>
@@ -9,11 +9,13 @@
 
 namespace {
 
-/// Lapses differ between instances by up to this part.
+/// Hold times differ between instances by up to this share.
 constexpr double MaxHoldJitter = 0.5;
 
-/// A crash in the last part of a quarantine is one of another instance where it
-/// has lapsed; before that, of a call that was on its way when it began.
+/// Divisor of a hold time that gives its last part. A crash in that part comes
+/// from an instance where the hold has expired already, and starts a longer
+/// one; an earlier crash comes from a call that was under way when the hold
+/// began.
 constexpr int LastPartDivisor = 2;
 
 } // namespace
--- a/src/balance/quarantine.h
+++ b/src/balance/quarantine.h
@@ -1,10 +1,11 @@
-/// Requests that crash the upstreams that run them, and may run no more.
+/// Quarantine of requests that crash the upstreams that run them.
 ///
-/// A request is known by the hash of its content, whoever sends it where. What
-/// counts against it are the upstreams that went down while it ran there: a set
-/// of lifetimes, so that news which come late, twice or by several ways count
-/// once. All that ran at an upstream is suspected of its crash; a call that
-/// comes to its end clears its request.
+/// A request is identified by the hash of its content, whichever caller sends
+/// it and to whichever instance. What counts against it is the set of
+/// incarnations of upstreams that went down while it ran there: as a set,
+/// updates that arrive late, twice or by several paths count once. Every
+/// request that ran at an upstream is suspected of its crash; a call that
+/// completes clears its request.
 #ifndef CROWSTEP_BALANCE_QUARANTINE_H
 #define CROWSTEP_BALANCE_QUARANTINE_H
 
@@ -22,98 +23,106 @@
 
 namespace crowstep::balance {
 
-/// What instances broadcast about a request.
+/// Update on a request that instances broadcast.
 struct CrashNews {
-  ContentHash m_Request; ///< Which request.
+  ContentHash m_Request; ///< The request.
 
-  /// Went down while it ran there; none: the request came to its end, which
-  /// clears it.
+  /// The upstream that went down while the request ran there; none: a call
+  /// completed, which clears the request.
   std::optional<UpstreamId> m_Upstream;
 
   bool operator==(const CrashNews &) const = default;
 };
 
-/// Why a request is suspected no more.
+/// Why a request is no longer suspected.
 enum class ClearReason : std::uint8_t {
-  Served,          ///< A call of this instance came to its end.
-  ServedElsewhere, ///< A call of another instance did.
-  Unlisted,        ///< It was taken off the list, by an operator perhaps.
-  Forgotten,       ///< To make room.
+  Served,          ///< A call of this instance completed.
+  ServedElsewhere, ///< A call of another instance completed.
+  Unlisted,        ///< It was removed from the list, maybe by an operator.
+  Forgotten,       ///< Evicted to make room.
 };
 
 /// Returns the stable name in logs, such as "served_elsewhere".
 std::string_view nameOf(ClearReason Reason);
 
-/// Hears of what changes.
+/// Receives the changes of a Quarantine.
 class QuarantineListener {
 public:
   virtual ~QuarantineListener() = default;
 
-  /// \p Request may not run for \p Span.
+  /// \p Request must not run for \p Hold.
   virtual void quarantined(const ContentHash &Request, std::size_t Crashes,
                            Duration Hold) = 0;
 
-  /// A quarantine has ended.
+  /// The quarantine of \p Request has ended.
   virtual void cleared(const ContentHash &Request, ClearReason Reason) = 0;
 };
 
 class Quarantine {
 public:
-  /// A request is quarantined with so many crashes.
+  /// Number of crashes from which a request is quarantined.
   static constexpr std::size_t MostCrashes = 3;
 
-  /// A quarantined request may run again after this and up to half as much
-  /// more, another time on each instance: one crash then quarantines it
-  /// everywhere for LapseGrowth times as long.
+  /// Hold time of the first quarantine, to which each instance adds a
+  /// different share of up to a half, so that the request may run again on one
+  /// of them first.
+  /// One crash there then quarantines it everywhere for HoldGrowthFactor times
+  /// as long.
   static constexpr Duration FirstLapse = std::chrono::minutes(5);
   static constexpr int LapseGrowth = 12;
   static constexpr Duration LongestLapse = std::chrono::hours(24);
 
-  /// Crashes older than this don't count towards a quarantine.
+  /// The crashes of a request stop counting towards a quarantine when the last
+  /// one is older than this.
   static constexpr Duration SuspectLife = std::chrono::minutes(15);
 
-  /// An upstream's crash is known within this time after its connections broke.
+  /// An upstream's crash is detected within this time after its connections
+  /// broke.
   static constexpr Duration BrokenLife = std::chrono::seconds(6);
 
-  /// Requests that are remembered; suspects are dropped first, then the oldest.
+  /// Limit on the recorded requests, and on the broken calls. Requests that are
+  /// not quarantined are evicted first, and of these the oldest.
   static constexpr std::size_t MostRequests = 4096;
 
-  /// News in one message: calls at a large upstream, and some more.
+  /// Limit on the updates in one message: allows for the calls at a large
+  /// upstream, and some more.
   static constexpr std::size_t MostNews = 512;
 
   /// \p Seed differs between instances.
   explicit Quarantine(std::uint64_t Seed);
 
-  /// \p Listener outlives this object; null: none.
+  /// \p Listener must outlive this object; null: none.
   void setListener(QuarantineListener *Listener) { m_Listener = Listener; }
 
-  /// A call's connection broke at an upstream before its answer was whole.
+  /// The connection of a call to \p Upstream broke before the answer was
+  /// complete.
   void callBroken(const ContentHash &Request, UpstreamId Upstream,
                   TimePoint Now);
 
-  /// An upstream went down: what broke there lately was a crash. Returns how
-  /// many calls that were.
+  /// An upstream went down: the calls that broke there within
+  /// BrokenCallLifetime were part of a crash. Returns their number.
   std::size_t upstreamDown(UpstreamId Upstream, TimePoint Now);
 
-  /// A call came to its end.
+  /// A call of this instance completed.
   void served(const ContentHash &Request);
 
-  /// Takes another instance's news.
+  /// Applies another instance's updates.
   void take(const std::vector<CrashNews> &Updates, TimePoint Now);
 
-  /// Returns this instance's own news since the last time.
+  /// Returns this instance's own updates since the last call.
   std::vector<CrashNews> takeNews();
 
-  /// Returns all that is known, for an instance that may not know it.
+  /// Returns the crashes of all requests, quarantined ones first and MaxUpdates
+  /// at most, for an instance that may not know them.
   [[nodiscard]] std::vector<CrashNews> all() const;
 
-  /// Takes the whole list of quarantined requests that outlasts all instances.
-  /// Those that are new on it are quarantined; those that have gone from it are
-  /// cleared.
+  /// Sets the persistent list of quarantined requests, which outlives all
+  /// instances. Requests that are new on it are quarantined; those that were
+  /// removed from it are cleared.
   void setListed(const std::set<ContentHash> &Listed, TimePoint Now);
 
-  /// Returns the quarantined requests that this instance helped to find and
-  /// that are not listed yet.
+  /// Returns the quarantined requests that are not listed yet and of which this
+  /// instance observed a crash.
   [[nodiscard]] std::vector<ContentHash> unlisted() const;
 
   /// Returns the requests that are still listed although a call of this
@@ -122,35 +131,35 @@
     return m_WronglyListed;
   }
 
-  /// Returns how long \p Request may not run; zero: it may.
+  /// Returns how long \p Request must not run; zero: it may.
   [[nodiscard]] Duration heldFor(const ContentHash &Request,
                                  TimePoint Now) const;
 
   /// Returns how many crashes count against \p Request.
   [[nodiscard]] std::size_t crashesOf(const ContentHash &Request) const;
 
-  /// Returns how many requests are quarantined.
+  /// Returns the number of quarantined requests.
   [[nodiscard]] std::size_t size() const { return m_Size; }
 
 private:
-  /// What is known of one request.
+  /// State of one request.
   struct Record {
-    std::set<UpstreamId> m_Crashes; ///< Lifetimes that ended under it.
-    TimePoint m_LastAt{};           ///< Of the last crash.
-    TimePoint m_HeldUntil{};        ///< May not run before.
-    Duration m_Lapse{};             ///< Of the last quarantine; 0: none yet.
-    bool m_Own = false;             ///< One of the crashes was seen here.
+    std::set<UpstreamId> m_Crashes; ///< Incarnations, by id.
+    TimePoint m_LastAt{};           ///< Last crash or listing.
+    TimePoint m_HeldUntil{};        ///< Must not run before.
+    Duration m_Lapse{};             ///< Of the last quarantine; 0: none.
+    bool m_Own = false;             ///< One crash was observed here.
 
     [[nodiscard]] bool quarantined() const {
       return m_Lapse > Duration::zero();
     }
   };
 
-  /// A call that broke, and may have been at a crash.
+  /// A call whose connection broke, maybe by a crash of the upstream.
   struct Broken {
-    ContentHash m_Request; ///< Its request.
-    UpstreamId m_Upstream; ///< Where.
-    TimePoint m_At;        ///< When.
+    ContentHash m_Request; ///< The request of the call.
+    UpstreamId m_Upstream; ///< Where it ran.
+    TimePoint m_At;        ///< When the connection broke.
   };
 
   void crashed(const ContentHash &Request, UpstreamId Upstream,
@@ -161,9 +170,9 @@
   void makeRoom();
 
   QuarantineListener *m_Listener = nullptr;          ///< Null: none.
-  double m_Spread;                                   ///< Of lapses, 0 to 1.
+  double m_Spread;                                   ///< Of hold times, 0 to 1.
   std::unordered_map<ContentHash, Record> m_Records; ///< By request.
-  std::size_t m_Size = 0;                ///< Quarantined ones among m_Records.
+  std::size_t m_Size = 0;                ///< Quarantined among m_Records.
   std::deque<Broken> m_Broken;           ///< Oldest first.
   std::vector<CrashNews> m_News;         ///< Not broadcast yet.
   std::set<ContentHash> m_Listed;        ///< See setListed().
--- a/src/balance/rate_limits.cpp
+++ b/src/balance/rate_limits.cpp
@@ -1,4 +1,4 @@
-/// Senders, their parts of a limit, and trials.
+/// Senders, their shares of a limit, and trials.
 #include "balance/rate_limits.h"
 
 #include "core/pair_hash.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Returns the number of the TrialSpan that \p Now is in.
+/// Returns the number of the TrialInterval that contains \p Now.
 std::int64_t trialIntervalOf(TimePoint Now) {
   return Now.time_since_epoch() / RateLimits::TrialSpan;
 }
@@ -43,7 +43,7 @@
                                     std::max(1.0, std::min(Limit, 1e6))));
 }
 
-/// Rendezvous: a change of the list moves few senders.
+/// Uses rendezvous hashing, so that a change of the list replaces few senders.
 void RateLimits::elect(UpstreamId Upstream, State &Entry, TimePoint Now) const {
   const auto Score = [&](InstanceId Instance) {
     return pairHash(Upstream.value(), Instance.value());
@@ -68,7 +68,8 @@
   State &Entry = m_States[Upstream];
   fill(Entry, Now);
   if (Entry.m_Limit != Limit) {
-    // Tokens of a higher limit, or of none, are not spent on a lower one.
+    // Tokens that were earned under a higher limit, or under none, must not be
+    // spent under a lower one.
     if (Limit && (!Entry.m_Limit || *Limit < *Entry.m_Limit))
       Entry.m_Tokens = 0;
     Entry.m_FilledAt = std::max(Entry.m_FilledAt, Now);
@@ -117,7 +118,7 @@
   return Result;
 }
 
-/// A sender may save up what its part is in a second, and one call at least.
+/// The bucket holds the share of one second, but at least one call.
 void RateLimits::fill(State &Entry, TimePoint Now) const {
   if (!Entry.m_Limit || !Entry.m_Sender || Now <= Entry.m_FilledAt)
     return;
--- a/src/balance/rate_limits.h
+++ b/src/balance/rate_limits.h
@@ -1,14 +1,15 @@
-/// Limits that upstreams state: requests a second from all instances together.
+/// Rate limits that upstreams state, for all instances together.
 ///
 /// Instances can't ask one another for each call, and an equal share for each
-/// of hundreds exceeds a limit of one a second. So few instances, the senders,
-/// call such an upstream at all: those that come first by rendezvous hashing,
-/// no more of them than the limit has requests a second. Each has a token
-/// bucket with an equal part of the rate. A new sender waits until all
-/// instances have the same list, so that the one before has stopped.
+/// of hundreds of instances would exceed a limit of one request a second. So
+/// only a few instances, the senders, call such an upstream at all: the first
+/// ones by rendezvous hashing, no more of them than the limit has requests a
+/// second. Each has a token bucket with an equal share of the rate. A new
+/// sender waits until all instances have the same list, so that the previous
+/// one has stopped.
 ///
-/// The senders find out that a limit has ended and broadcast it. Where
-/// no statement arrives, any instance tries single calls.
+/// Senders detect the end of a limit and broadcast it. While no statement
+/// arrives, every instance makes occasional trial calls.
 #ifndef CROWSTEP_BALANCE_RATE_LIMITS_H
 #define CROWSTEP_BALANCE_RATE_LIMITS_H
 
@@ -23,30 +24,31 @@
 
 namespace crowstep::balance {
 
-/// Requests a second; nothing: as many as the upstream has room for.
+/// Requests a second; none: as many as the upstream has room for.
 using RateLimit = std::optional<double>;
 
-/// What instances broadcast about an upstream's limit.
+/// Update on an upstream's limit that instances broadcast.
 struct LimitNews {
-  UpstreamId m_Upstream; ///< Whose.
-  RateLimit m_Limit;     ///< As it stated it.
-  Duration m_Age{};      ///< Since then.
+  UpstreamId m_Upstream; ///< Upstream that stated it.
+  RateLimit m_Limit;     ///< Limit as stated.
+  Duration m_Age{};      ///< Time since the statement.
 };
 
 class RateLimits {
 public:
-  /// Lists of instances agree after this long without a change.
+  /// All instances have the same list of instances after this long without a
+  /// change.
   static constexpr Duration SettleSpan = std::chrono::seconds(4);
 
-  /// After this long without a statement instances try single calls: one of all
-  /// instances in each TrialSpan, on average.
+  /// After this long without a statement instances make trial calls: one call
+  /// by all instances together in each TrialInterval, on average.
   static constexpr Duration StaleAfter = std::chrono::seconds(8);
   static constexpr Duration TrialSpan = std::chrono::seconds(4);
 
   /// \p Seed differs between instances.
   explicit RateLimits(std::uint64_t Seed) : m_Seed(Seed) {}
 
-  /// Takes all instances, this one as \p Self.
+  /// Sets the list of all instances, this one as \p Self.
   void setInstances(InstanceId Self, std::vector<InstanceId> All,
                     TimePoint Now);
 
@@ -54,40 +56,40 @@
   void keepOnly(const std::vector<Upstream> &Listed);
 
   /// An upstream's answer to a call that was sent at \p Sent states \p Limit.
-  /// An answer without one ends the limit only if its call was sent after the
-  /// last statement.
+  /// An answer that states none ends a limit only if its call was sent after
+  /// the last statement of the limit.
   void stated(UpstreamId Upstream, RateLimit Limit, TimePoint Sent,
               TimePoint Now);
 
-  /// Takes another instance's news.
+  /// Applies another instance's updates.
   void take(const std::vector<LimitNews> &Updates, TimePoint Now);
 
-  /// Returns what was stated to this instance since the last time.
+  /// Returns what was stated to this instance since the last call.
   std::vector<LimitNews> takeNews(TimePoint Now);
 
-  /// Returns all that is known, for an instance that has just started.
+  /// Returns all limits, for an instance that has just started.
   [[nodiscard]] std::vector<LimitNews> all(TimePoint Now) const;
 
   /// Returns whether this instance may send a call to \p Upstream.
   [[nodiscard]] bool mayTake(UpstreamId Upstream, TimePoint Now);
 
-  /// A call is sent to \p Upstream.
+  /// A call is sent to \p Upstream: uses a token, or else the trial.
   void taken(UpstreamId Upstream, TimePoint Now);
 
-  /// Returns the limit that is known of \p Upstream.
+  /// Returns the limit of \p Upstream as last stated.
   [[nodiscard]] RateLimit limitOf(UpstreamId Upstream) const;
 
 private:
-  /// What is known of one upstream that has stated a limit.
+  /// State of one upstream that has stated a limit.
   struct State {
-    RateLimit m_Limit;     ///< Nothing: it has ended.
-    TimePoint m_StatedAt;  ///< The newest statement.
-    TimePoint m_LimitAt;   ///< The newest statement with a limit.
+    RateLimit m_Limit;     ///< None: it has ended.
+    TimePoint m_StatedAt;  ///< Time of the last statement.
+    TimePoint m_LimitAt;   ///< Of the last one with a limit.
     bool m_News = false;   ///< To be broadcast.
-    bool m_Sender = false; ///< This instance is one.
+    bool m_Sender = false; ///< Whether this instance is one.
     double m_Tokens = 0;   ///< Calls that it may send now.
-    TimePoint m_FilledAt; ///< When m_Tokens was right; a sender may begin then.
-    std::int64_t m_Trial = -1; ///< The TrialSpan of the last trial.
+    TimePoint m_FilledAt; ///< Time of m_Tokens; in the future for a new sender.
+    std::int64_t m_Trial = -1; ///< TrialInterval of the last trial.
   };
 
   void update(UpstreamId Upstream, RateLimit Limit, TimePoint StatedAt,
@@ -98,11 +100,12 @@
   [[nodiscard]] bool mayTry(UpstreamId Upstream, const State &Entry,
                             TimePoint Now) const;
 
-  std::uint64_t m_Seed;          ///< Of trials.
+  std::uint64_t m_Seed;          ///< For the choice of trials.
   InstanceId m_Self;             ///< This instance.
   std::vector<InstanceId> m_All; ///< Sorted; empty: not known yet.
-  TimePoint m_ChangedAt{};       ///< When m_All changed last.
-  std::unordered_map<UpstreamId, State> m_States; ///< That stated a limit.
+  TimePoint m_ChangedAt{};       ///< Last change of m_Instances.
+  std::unordered_map<UpstreamId, State>
+      m_States; ///< Those that stated a limit.
 };
 
 } // namespace crowstep::balance
--- a/src/balance/reading_speed.cpp
+++ b/src/balance/reading_speed.cpp
@@ -1,4 +1,4 @@
-/// How fast engines read prompts, learned from first events.
+/// Prefill speed of engines, estimated from times to first events.
 #include "balance/reading_speed.h"
 
 #include <algorithm>
@@ -7,15 +7,16 @@
 
 namespace {
 
-/// Prompts below this tell of the fixed time, prompts above it of the time a
+/// Samples with fewer tokens adjust the fixed time, the others the time per
 /// token.
 constexpr std::uint64_t PerTokenSampleMin = 4000;
 
-/// Weight of a new sample: some twenty of them count.
+/// Weight of a new sample: the average covers about the last twenty.
 constexpr double NewestWeight = 0.05;
 
-/// A sample beyond this factor is no matter of speed: a retry, a frozen
-/// machine, a prompt that was kept although nobody knew.
+/// Samples are clamped to this factor of the estimate. Beyond it they say
+/// nothing about the speed: a retry, a frozen machine, a prompt that was cached
+/// although the model had no record of it.
 constexpr double OutlierFactor = 3;
 
 void updateAverage(double &Value, double Sample) {
--- a/src/balance/reading_speed.h
+++ b/src/balance/reading_speed.h
@@ -1,4 +1,4 @@
-/// How fast engines read prompts, learned from first events.
+/// Prefill speed of engines, estimated from times to first events.
 #ifndef CROWSTEP_BALANCE_READING_SPEED_H
 #define CROWSTEP_BALANCE_READING_SPEED_H
 
@@ -10,24 +10,25 @@
 
 namespace crowstep::balance {
 
-/// A line through what was seen, by service: a fixed time and a time a token.
+/// A linear model for each service: a fixed time and a time per prompt token.
 class ReadingSpeed {
 public:
-  /// A call to an engine with nothing else to read had its first event after
-  /// \p Took, with \p Tokens to read.
+  /// A call with \p Tokens to prefill, to an engine with no other prefill, had
+  /// its first event after \p Elapsed.
   void seen(const std::string &Service, std::uint64_t Tokens, Duration Elapsed);
 
-  /// Returns the time to a first event behind and with \p Tokens.
+  /// Returns the time to a first event after the prefill of \p Tokens, those
+  /// of the call included.
   [[nodiscard]] Duration timeFor(const std::string &Service,
                                  std::uint64_t Tokens) const;
 
 private:
   struct Speed {
-    double m_BaseUs;     ///< To a first event with nothing to read.
-    double m_PerTokenUs; ///< For each token.
+    double m_BaseUs;     ///< Without tokens to prefill.
+    double m_PerTokenUs; ///< For each token to prefill.
   };
 
-  /// Before anything was seen: a mid-sized engine.
+  /// Of a mid-sized engine; used before the first sample.
   static constexpr Speed Unseen = {60000, 25};
 
   std::unordered_map<std::string, Speed> m_Speeds; ///< By service.
--- a/src/balance/retry_budget.cpp
+++ b/src/balance/retry_budget.cpp
@@ -1,4 +1,4 @@
-/// An instance's part of the shared retry budget.
+/// An instance's share of the retry budget.
 #include "balance/retry_budget.h"
 
 namespace crowstep::balance {
@@ -35,7 +35,7 @@
   m_Instances = Count;
 }
 
-/// Instances that have left may have repeated calls within the window.
+/// Instances that were removed may have retried calls within the window.
 std::size_t RetryBudget::mostInstances(TimePoint Now) {
   while (!m_Earlier.empty() &&
          m_Earlier.front().m_Until < Now - m_Bound.m_Window)
--- a/src/balance/retry_budget.h
+++ b/src/balance/retry_budget.h
@@ -1,4 +1,4 @@
-/// How often calls may be sent to a second upstream.
+/// Limit on retries of calls at other upstreams.
 #ifndef CROWSTEP_BALANCE_RETRY_BUDGET_H
 #define CROWSTEP_BALANCE_RETRY_BUDGET_H
 
@@ -11,64 +11,65 @@
 
 namespace crowstep::balance {
 
-/// The bound on repeats that all instances together must keep to.
+/// The bound on the retries of all instances together.
 struct RetryBudgetSettings {
-  double m_Ratio = 0.2;                         ///< Repeats to calls.
-  double m_Slack = 50;                          ///< Repeats beside these.
-  Duration m_Window = std::chrono::seconds(10); ///< Any span of it.
+  double m_Ratio = 0.2;                         ///< Retries for each call.
+  double m_Slack = 50;                          ///< Retries beside these.
+  Duration m_Window = std::chrono::seconds(10); ///< The bound holds in any.
 };
 
-/// One instance's part of a budget that all instances share without asking one
+/// One instance's share of a budget that all instances share without asking one
 /// another.
 ///
-/// Failure: when many engines fail at once every instance repeats its calls,
-/// and the repeats keep the engines down. Instances can't ask one another for
-/// each repeat, so each draws only on what its own calls earn, and on an equal
-/// part of the slack. The sum over all instances keeps the bound if what they
-/// know of their number differs by less than the unused part of the slack.
+/// When many engines fail at once, every instance retries its calls, and
+/// without a bound the retries would keep the engines down. Instances can't ask
+/// one another for each retry, so each uses only what its own calls earn and an
+/// equal share of the slack. All instances together keep the bound if the
+/// numbers of instances that they know differ by less than the unused part of
+/// the slack.
 class RetryBudget {
 public:
-  /// Part of the ratio that is used: the windows of the instances' own calls
-  /// and those of the bound do not begin together.
+  /// Share of the ratio that is used: the windows of the instances' own calls
+  /// do not begin together with those of the bound.
   static constexpr double RatioUsed = 0.75;
 
-  /// Part of the slack that is divided among the known instances. The rest is
+  /// Share of the slack that is divided among the known instances. The rest is
   /// for instances that are not known everywhere yet.
   static constexpr double SlackUsed = 0.75;
 
   /// Growth by more than this share of the known instances means that more are
-  /// starting, and that the number is not to be relied on yet.
+  /// starting, and that the number of instances is not reliable yet.
   static constexpr double SmallGrowth = 0.125;
 
-  /// The number is relied on again after so long without such growth. Lists of
-  /// instances lag behind by less.
+  /// The number of instances is reliable again after this long without such
+  /// growth. Lists of instances lag behind by less.
   static constexpr Duration GrowthSpan = std::chrono::seconds(4);
 
   explicit RetryBudget(const RetryBudgetSettings &Bound) : m_Bound(Bound) {}
 
   void setBound(const RetryBudgetSettings &Bound) { m_Bound = Bound; }
 
-  /// Takes the number of instances that are known, this one among them. Until
-  /// the first time there is no slack.
+  /// Sets the number of known instances, this one included. Until the first
+  /// call there is no slack.
   void setInstances(std::size_t Count, TimePoint Now);
 
   /// Counts a call to \p Service.
   void call(const std::string &Service, TimePoint Now);
 
-  /// Takes one repeat if there is one left; returns whether.
+  /// Uses up one retry if the budget allows it; returns whether it does.
   bool take(const std::string &Service, TimePoint Now);
 
 private:
-  /// Calls and repeats of one service within the window.
+  /// Calls and retries of one service within the window.
   struct Usage {
     std::deque<TimePoint> m_Calls;   ///< Oldest first.
     std::deque<TimePoint> m_Repeats; ///< Oldest first.
   };
 
-  /// A number of instances and when it was known last.
+  /// An earlier number of instances.
   struct KnownCount {
     std::size_t m_Count;
-    TimePoint m_Until; ///< The latest time for the number in force.
+    TimePoint m_Until; ///< When it was replaced.
   };
 
   Usage &recent(const std::string &Service, TimePoint Now);
@@ -77,9 +78,9 @@
 
   RetryBudgetSettings m_Bound;          ///< For all instances together.
   std::map<std::string, Usage> m_Usage; ///< By service.
-  std::size_t m_Instances = 0;          ///< Known now; 0: not known.
-  std::deque<KnownCount> m_Earlier;     ///< Higher numbers, highest first.
-  TimePoint m_GrewAt{};                 ///< See SmallGrowth.
+  std::size_t m_Instances = 0;          ///< Current number; 0: not known.
+  std::deque<KnownCount> m_Earlier;     ///< Higher ones, highest first.
+  TimePoint m_GrewAt{};                 ///< See GrowthThreshold.
 };
 
 } // namespace crowstep::balance
--- a/src/balance/role_split.cpp
+++ b/src/balance/role_split.cpp
@@ -1,4 +1,4 @@
-/// How many engines of a service take short prompts only.
+/// Division of a service's engines between latency-sensitive and other calls.
 #include "balance/role_split.h"
 
 #include <algorithm>
@@ -8,14 +8,14 @@
 
 namespace {
 
-/// A token of a short prompt counts this many times: its callers notice pauses
-/// that others don't, so their engines must be less busy.
+/// Weight of latency-sensitive work: its callers notice pauses that others
+/// don't, so their engines must be less busy.
 constexpr double LatencySensitiveWeight = 1.5;
 
-/// What is taken for granted before any work was seen: a fifth is tight.
+/// Assumed before any work was placed: a fifth is latency-sensitive.
 constexpr WorkTokens InitialWork = {1, 4};
 
-/// With less than this share of the work a kind has none, and gets no engines.
+/// A kind of calls with less than this share of the work gets no engines.
 constexpr double MinShare = 0.01;
 
 } // namespace
@@ -32,7 +32,7 @@
 std::size_t RoleSplit::shortEngines(std::size_t Engines) const {
   if (Engines < 2)
     return 0;
-  // After minutes without work nothing is left to divide by.
+  // Without work the sums decay to zero after some minutes.
   const bool HasWork = m_Recent.m_Short + m_Recent.m_Long > 0;
   const WorkTokens &Work = HasWork ? m_Recent : InitialWork;
   const double Weighted = LatencySensitiveWeight * Work.m_Short;
--- a/src/balance/role_split.h
+++ b/src/balance/role_split.h
@@ -1,9 +1,9 @@
-/// How many engines of a service take short prompts only.
+/// Division of a service's engines between latency-sensitive and other calls.
 ///
-/// Load: calls with short prompts, whose callers notice each pause, beside
-/// calls with long prompts, whose reading delays every token of the batch. The
-/// engines are divided as the tokens to be read are, so that both kinds find
-/// their engines equally busy; in a burst of one kind the line moves with it.
+/// Prefill of a long prompt delays every token of the batch, and the callers of
+/// latency-sensitive calls notice each pause, so the two kinds of calls get
+/// engines of their own. The engines are divided in proportion to the weighted
+/// work of each kind; in a burst of one kind the boundary follows.
 #ifndef CROWSTEP_BALANCE_ROLE_SPLIT_H
 #define CROWSTEP_BALANCE_ROLE_SPLIT_H
 
@@ -13,10 +13,10 @@
 
 namespace crowstep::balance {
 
-/// Tokens to read that were given to a service's engines.
+/// Work that was placed at a service's engines, as tokens of prefill.
 struct WorkTokens {
-  double m_Short = 0; ///< Of short prompts.
-  double m_Long = 0;  ///< Of long prompts.
+  double m_Short = 0; ///< Of latency-sensitive calls.
+  double m_Long = 0;  ///< Of the other calls.
 
   WorkTokens &operator+=(const WorkTokens &Other) {
     m_Short += Other.m_Short;
@@ -25,11 +25,11 @@
   }
 };
 
-/// The work of one service, by all instances, with recent work weighing most.
+/// The work of one service from all instances, weighted by its age.
 class RoleSplit {
 public:
-  /// Work is forgotten by this time constant: long enough that single prompts
-  /// don't move the line, short enough to follow a burst of some seconds.
+  /// Time constant of the decay of work: long enough that single prompts don't
+  /// move the boundary, short enough to follow a burst of some seconds.
   static constexpr Duration Memory = std::chrono::seconds(4);
 
   /// Adds work that was placed now, here or by another instance.
@@ -38,13 +38,14 @@
   /// Returns the recent work, for an instance that has just started.
   [[nodiscard]] const WorkTokens &recent() const { return m_Recent; }
 
-  /// Returns how many of \p Engines take short prompts only: at least one, at
-  /// most half; none of a single one.
+  /// Returns how many of \p Engines take latency-sensitive calls only: at least
+  /// one and at most all but one; none or all if nearly all work is of one
+  /// kind; none of a single one.
   [[nodiscard]] std::size_t shortEngines(std::size_t Engines) const;
 
 private:
-  WorkTokens m_Recent; ///< Decayed sums; their ratio stays without work.
-  TimePoint m_At{};    ///< When they were decayed last.
+  WorkTokens m_Recent; ///< Decayed sums; without work their ratio stays.
+  TimePoint m_At{};    ///< Time of the last decay.
 };
 
 } // namespace crowstep::balance
--- a/src/balance/upstream_state.cpp
+++ b/src/balance/upstream_state.cpp
@@ -1,4 +1,4 @@
-/// Health of an upstream by its answers.
+/// Health of an upstream, from the outcomes of its calls.
 #include "balance/upstream_state.h"
 
 #include <algorithm>
@@ -7,22 +7,23 @@
 
 namespace {
 
-/// Weight of the newest answer: about the last seven count.
+/// Weight of the newest outcome: the average covers about the last seven.
 constexpr double NewestWeight = 0.15;
 
-/// A share of failures over which an upstream is kept out. Services answer a
-/// seventh of some kinds of call with an error in good health; an upstream that
-/// fails has a third or more.
+/// Share of failures above which an upstream is ejected. Healthy services
+/// answer a seventh of the calls of some kinds with an error; a failing
+/// upstream has a share of a third or more.
 constexpr double MaxFailureShare = 0.45;
 
-/// A sick upstream is tried again after this; one call then finds out.
+/// Ejection of a failing upstream; a single call after it shows its state.
 constexpr Duration FailingEjection = std::chrono::milliseconds(1500);
 
-/// Failures in a row that say "gone", not "sick".
+/// Consecutive failures after which an upstream is ejected at any share.
 constexpr unsigned MaxConsecutiveFailures = 3;
 
-/// An upstream to which no connection can be made has crashed; it comes back
-/// under another id or after seconds.
+/// Ejection of an unreachable or silent upstream, for each consecutive failure:
+/// one to which no connection can be made has crashed, and returns under
+/// another id or after some seconds.
 constexpr Duration UnreachableEjection = std::chrono::milliseconds(700);
 constexpr Duration MaxEjection = std::chrono::seconds(5);
 
--- a/src/balance/upstream_state.h
+++ b/src/balance/upstream_state.h
@@ -1,4 +1,4 @@
-/// What a gateway knows of one upstream.
+/// State of one upstream as a gateway knows it.
 #ifndef CROWSTEP_BALANCE_UPSTREAM_STATE_H
 #define CROWSTEP_BALANCE_UPSTREAM_STATE_H
 
@@ -8,13 +8,13 @@
 
 namespace crowstep::balance {
 
-/// A running score of an upstream's answers that decides when it is kept out.
+/// Outcomes of an upstream's recent calls, which decide when it is ejected.
 class UpstreamHealth {
 public:
-  /// Takes the end of a call into account.
+  /// Records the end of a call.
   void ended(CallOutcome Outcome, TimePoint Now);
 
-  /// Returns whether the upstream should get nothing now.
+  /// Returns whether the upstream should get no calls now.
   [[nodiscard]] bool ejected(TimePoint Now) const {
     return Now < m_EjectedUntil;
   }
@@ -33,15 +33,15 @@
 /// One upstream, its load and its health.
 struct UpstreamState {
   Upstream m_Upstream;               ///< As the directory describes it.
-  std::size_t m_ShortRank = 0;       ///< See shortOrder(); of engines.
-  CallLoad m_Own;                    ///< Our calls there.
-  std::optional<LoadReport> m_Load;  ///< The last report.
-  std::uint32_t m_RunningAtLoad = 0; ///< Our calls when it came.
-  TimePoint m_LoadAt{};              ///< When it came.
-  TimePoint m_HeardAt{};             ///< Its last byte, on any of our calls.
+  std::size_t m_ShortRank = 0;       ///< See roleOrder().
+  CallLoad m_Own;                    ///< This instance's calls.
+  std::optional<LoadReport> m_Load;  ///< Last report.
+  std::uint32_t m_RunningAtLoad = 0; ///< Own calls at that time.
+  TimePoint m_LoadAt{};              ///< Receipt of the report.
+  TimePoint m_HeardAt{};             ///< Last byte, on any own call.
   UpstreamHealth m_Health;           ///< By its answers.
-  TimePoint m_FullUntil{};           ///< It said that it had no room.
-  TimePoint m_LeavingUntil{};        ///< It said that it closes.
+  TimePoint m_FullUntil{};           ///< After it had no room.
+  TimePoint m_LeavingUntil{};        ///< After it said so.
 };
 
 } // namespace crowstep::balance
--- a/src/content_hash.h
+++ b/src/content_hash.h
@@ -1,4 +1,4 @@
-/// What makes two attempts the same request, however often its caller sends it.
+/// Identity of a request by its content, however often its caller sends it.
 #ifndef CROWSTEP_CONTENT_HASH_H
 #define CROWSTEP_CONTENT_HASH_H
 
@@ -16,27 +16,28 @@
   std::uint64_t m_High = 0; ///< First half.
   std::uint64_t m_Low = 0;  ///< Second half.
 
-  // The check takes the generated comparison for ours.
+  // The checks are wrongly applied to the generated comparison.
   // NOLINTNEXTLINE(modernize-use-nullptr,readability-identifier-naming)
   auto operator<=>(const ContentHash &) const = default;
 };
 
-/// What a request consists of beside what differs between its attempts.
+/// The parts of a request that are the same for all of its attempts.
 struct RequestContent {
   std::string_view m_Method;    ///< HTTP method.
-  std::string_view m_Host;      ///< As the caller named it.
+  std::string_view m_Host;      ///< As the caller sent it.
   std::string_view m_Target;    ///< Path and query.
-  std::string_view m_Workspace; ///< Whose key it bears; empty: none.
-  std::string_view m_Body;      ///< Whole; may be empty.
+  std::string_view m_Workspace; ///< Workspace of its key; empty: none.
+  std::string_view m_Body;      ///< Complete; may be empty.
 };
 
-/// Returns the hash of \p Content. Fields don't run into one another.
+/// Returns the hash of \p Content. Contents that differ only in where one field
+/// ends and the next begins have different hashes.
 ContentHash contentHashOf(const RequestContent &Content);
 
 /// Returns 32 lower-case hexadecimal digits.
 std::string toString(const ContentHash &Hash);
 
-/// Returns what toString() was given, or nothing for any other text.
+/// Inverse of toString(); returns nothing for any other text.
 std::optional<ContentHash> parseContentHash(std::string_view Text);
 
 } // namespace crowstep
--- a/src/contract_type.h
+++ b/src/contract_type.h
@@ -1,6 +1,8 @@
-/// The operators' table as plain data: a row is a class of request.
+/// Plain types of the operators' table, in which each row is a class of
+/// request.
 ///
-/// A Contract is what one row promises to a workspace's requests of the class.
+/// A Contract holds the limits and targets of one row for a workspace's
+/// requests of the class.
 #ifndef CROWSTEP_CONTRACT_TYPE_H
 #define CROWSTEP_CONTRACT_TYPE_H
 
@@ -13,10 +15,10 @@
 
 namespace crowstep {
 
-/// Names a class of request; the number stands in the row and is never reused.
+/// Identifies a class of request; the number is in the row and never reused.
 using ClassId = StrongId<struct ClassTag, std::uint16_t>;
 
-/// Version of the operators' table; grows by one with each accepted change.
+/// Version of the operators' table; incremented by each accepted change.
 using TableVersion = StrongId<struct TableVersionTag, std::uint64_t>;
 
 /// One row. Limits of 0 mean "no limit".
@@ -39,7 +41,7 @@
   std::uint32_t m_WorkspaceRate = 0;       ///< As above, a workspace.
   std::uint32_t m_WorkspaceTokenRate = 0;  ///< As above, a workspace.
   bool m_Repeatable = true;          ///< False: at most once, key required.
-  bool m_Preemptible = false;        ///< Running work may be taken back.
+  bool m_Preemptible = false;        ///< Running work may be stopped.
   std::uint32_t m_RetryPercent = 10; ///< Retries per 100 first attempts.
 
   bool operator==(const Contract &) const = default;
--- a/src/instance_error.h
+++ b/src/instance_error.h
@@ -1,4 +1,4 @@
-/// Failures of instance names and addresses.
+/// Errors in addresses of instances.
 #ifndef CROWSTEP_INSTANCE_ERROR_H
 #define CROWSTEP_INSTANCE_ERROR_H
 
--- a/src/instance_type.h
+++ b/src/instance_type.h
@@ -1,4 +1,4 @@
-/// Plain types of the machines that crowstep runs on and the zones they are in.
+/// Plain types for the machines that crowstep runs on and their zones.
 #ifndef CROWSTEP_INSTANCE_TYPE_H
 #define CROWSTEP_INSTANCE_TYPE_H
 
@@ -8,12 +8,12 @@
 
 namespace crowstep {
 
-/// Names an instance (a machine that runs crowstep); a hash of its name, so
-/// that all processes agree on it without asking anyone.
+/// Identifies an instance (a machine that runs crowstep); a hash of its name,
+/// so that all processes derive the same id.
 using InstanceId = StrongId<struct InstanceTag, std::uint64_t>;
 
-/// One start of a process on an instance. A later start has a higher number,
-/// so that news of an earlier one can't be taken for news of the present one.
+/// One start of a process on an instance. A later start has a higher number, so
+/// that updates about an earlier one can't be taken for updates about it.
 using Incarnation = StrongId<struct IncarnationTag, std::uint64_t>;
 
 /// Returns the id of the instance called \p Name.
@@ -22,20 +22,20 @@
 /// Where a process listens: a literal IPv4 address and a port.
 struct Address {
   std::uint32_t m_Ip = 0;   ///< Host byte order.
-  std::uint16_t m_Port = 0; ///< 0 means none.
+  std::uint16_t m_Port = 0; ///< 0: none.
 
   // NOLINTNEXTLINE(modernize-use-nullptr,readability-identifier-naming)
   auto operator<=>(const Address &) const = default;
 };
 
 /// Returns \p Text ("127.0.0.1:8080") as an address.
-/// \throws AddressError when it is no literal IPv4 address with a port.
+/// \throws AddressError if it is not a literal IPv4 address with a port.
 Address parseAddress(const std::string &Text);
 
 /// Returns \p Value as "a.b.c.d:port".
 std::string toString(const Address &Value);
 
-/// An availability zone, by its name.
+/// An availability zone.
 struct AvailabilityZone {
   std::string m_Name; ///< As in the settings and the instance list.
 
--- a/src/knowledge_wire.cpp
+++ b/src/knowledge_wire.cpp
@@ -1,4 +1,4 @@
-/// Upstreams and workspaces in frames.
+/// Conversion of upstreams and workspaces to and from frames.
 #include "knowledge_wire.h"
 
 #include "wire/wire_text.h"
--- a/src/knowledge_wire.h
+++ b/src/knowledge_wire.h
@@ -1,4 +1,4 @@
-/// Upstreams and workspaces as they stand in frames.
+/// Conversion of upstreams and workspaces to and from frames.
 #ifndef CROWSTEP_KNOWLEDGE_WIRE_H
 #define CROWSTEP_KNOWLEDGE_WIRE_H
 
@@ -13,7 +13,7 @@
 std::unique_ptr<wire::UpstreamInfoT> toWire(const Upstream &Value);
 std::unique_ptr<wire::WorkspaceInfoT> toWire(const Workspace &Value);
 
-/// Returns what a peer sent; absent texts are empty.
+/// Returns what a peer sent; absent strings become empty.
 Upstream fromWire(const wire::UpstreamInfo &Value);
 Workspace fromWire(const wire::WorkspaceInfo &Value);
 
--- a/src/refusal.cpp
+++ b/src/refusal.cpp
@@ -1,4 +1,4 @@
-/// Names and HTTP statuses of the refusal and retry reasons.
+/// Names and HTTP statuses of refusal and retry reasons.
 #include "refusal_type.h"
 
 #include <array>
--- a/src/refusal_type.h
+++ b/src/refusal_type.h
@@ -1,7 +1,7 @@
-/// Why a request was refused or an attempt repeated, and what became of it.
+/// Reasons for refusals and retries, and the state of a refused request.
 ///
-/// Each reason is stable: it stands in answers, in counters of the same name
-/// and in docs/OPERATIONS.md. New reasons are added at the end.
+/// Each reason is stable: it is part of answers, of counters of the same name
+/// and of docs/OPERATIONS.md. New reasons are added at the end.
 #ifndef CROWSTEP_REFUSAL_TYPE_H
 #define CROWSTEP_REFUSAL_TYPE_H
 
@@ -17,15 +17,15 @@
   WrongContentType,     ///< Anything but application/json.
   BodyTooLarge,         ///< Over the entry's limit.
   HeaderTooLarge,       ///< A header over the entry's limit.
-  SlowCaller,           ///< The request did not arrive within its limit.
+  SlowCaller,           ///< The request did not arrive in time.
   UnknownClass,         ///< No such row in the table in force.
   MissingKey,           ///< No Authorization header.
   UnknownKey,           ///< The key belongs to no workspace.
   UnknownPath,          ///< No such resource.
   KeyRequired,          ///< The class needs an Idempotency-Key.
-  KeyReused,            ///< The idempotency key came with another body.
-  KeyInProgress,        ///< The key's first call still runs.
-  OutcomeUnknown,       ///< The key's first call has no known outcome.
+  KeyReused,            ///< The key was used with another body.
+  KeyInProgress,        ///< The key's first call is still running.
+  OutcomeUnknown,       ///< The outcome of the key's first call is unknown.
   ClassConcurrency,     ///< The class's limit on running requests.
   ClassRate,            ///< The class's limit on requests a second.
   ClassTokens,          ///< The class's limit on tokens a second.
@@ -34,41 +34,42 @@
   WorkspaceRate,        ///< The workspace's limit on requests a second.
   WorkspaceTokens,      ///< The workspace's limit on tokens a second.
   TargetUnreachable,    ///< The latency target can't be met any more.
-  Displaced,            ///< Gave its queue place to a more urgent tier.
+  Displaced,            ///< Displaced from the queue by a more urgent tier.
   NoUpstream,           ///< No upstream of the service can take it.
-  NoDispatcher,         ///< No process decides for the pool just now.
-  ClaimUnavailable,     ///< The claim can't be made: table service down.
-  RetryBudget,          ///< The class's retry budget is used up.
-  UpstreamFailed,       ///< The upstream failed; the answer is cut or absent.
-  GrantExpired,         ///< The grant was too old at the last step.
-  ShuttingDown,         ///< The instance is leaving.
+  NoDispatcher,         ///< No dispatcher decides for the pool now.
+  ClaimUnavailable,     ///< No claim possible: table service is down.
+  RetryBudget,          ///< The class's retry budget is exhausted.
+  UpstreamFailed,       ///< The upstream failed; the answer is cut or missing.
+  GrantExpired,         ///< The grant had expired at the last step.
+  ShuttingDown,         ///< The instance is draining.
   NotInForce,           ///< The instance has lost its right to serve.
   CallerGone,           ///< The caller closed its connection.
-  AmbiguousFraming,     ///< Two readers could disagree about the body's end.
-  MalformedHeader,      ///< A header that the router needs can't be read.
-  TimedOut,             ///< The row's or the caller's time is over.
-  UpstreamRefused,      ///< The upstream said that it did not run the call.
-  Quarantined,          ///< It crashes the upstreams that run it.
-  UpstreamLimited,      ///< The upstreams' own limits are used up.
+  AmbiguousFraming,     ///< Parsers could disagree on where the body ends.
+  MalformedHeader,      ///< A header that the router needs can't be parsed.
+  TimedOut,             ///< The row's or the caller's time limit is over.
+  UpstreamRefused,      ///< The upstream stated that it did not run the call.
+  Quarantined,          ///< The request crashes the upstreams that run it.
+  UpstreamLimited,      ///< The upstreams' own rate limits are used up.
   Count,                ///< Number of reasons; not a reason.
 };
 
-/// Why an attempt at an upstream was repeated.
+/// Why a request was sent again.
 enum class RetryReason : std::uint8_t {
-  ConnectFailed,    ///< No connection: nothing was sent.
-  UpstreamRefused,  ///< The upstream said that it did not run the call.
-  UpstreamLeaving,  ///< The upstream is leaving.
-  ClosedBeforeByte, ///< Closed before a byte of a repeatable call's answer.
-  ClosedMidStream,  ///< Resumed from the tokens that the caller has.
-  Preempted,        ///< Gave its slot to a more urgent tier.
-  GrantExpired,     ///< The grant lapsed before it was used.
+  ConnectFailed,    ///< No connection; nothing was sent.
+  UpstreamRefused,  ///< The upstream stated that it did not run the call.
+  UpstreamLeaving,  ///< The upstream is draining.
+  ClosedBeforeByte, ///< Closed before any byte of the answer to a
+                    ///< repeatable call.
+  ClosedMidStream,  ///< Resumed after the tokens that the caller has.
+  Preempted,        ///< Its slot was given to a more urgent tier.
+  GrantExpired,     ///< The grant expired before it was used.
   DispatcherLost,   ///< The bid was sent again to a new dispatcher.
   Count,            ///< Number of reasons; not a reason.
 };
 
-/// What the caller may believe of its request.
+/// Whether a request was run, as stated to its caller.
 enum class RunState : std::uint8_t {
-  NotRun,  ///< Provably never reached an upstream.
+  NotRun,  ///< Certainly never reached an upstream.
   Ran,     ///< Reached an upstream and was answered.
   Unknown, ///< May have run.
 };
--- a/src/workspace_type.h
+++ b/src/workspace_type.h
@@ -1,4 +1,4 @@
-/// Plain types of customers.
+/// Plain types for customers.
 #ifndef CROWSTEP_WORKSPACE_TYPE_H
 #define CROWSTEP_WORKSPACE_TYPE_H
 
@@ -8,7 +8,7 @@
 
 namespace crowstep {
 
-/// Names a workspace; the number stands in the platform's workspace rows.
+/// Identifies a workspace; the number is in the platform's workspace rows.
 using WorkspaceId = StrongId<struct WorkspaceTag, std::uint32_t>;
 
 /// A customer, or an operator.
