--- a/tests/unit/balance_test.cpp
+++ b/tests/unit/balance_test.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-constexpr std::uint32_t Shared = 12000;
-constexpr std::uint32_t Own = 3000;
+constexpr std::uint32_t SharedTokens = 12000;
+constexpr std::uint32_t UniqueTokens = 3000;
 
 Upstream engine(int Number, const std::string &Name = "") {
-  const std::string Called =
+  const std::string FullName =
       Name.empty() ? "engine-" + std::to_string(Number) : Name;
-  return {upstreamIdOf(Called),
-          Called,
+  return {upstreamIdOf(FullName),
+          FullName,
           "writer",
           {0x7f000001, static_cast<std::uint16_t>(9000 + Number)},
           {"a"},
@@ -39,7 +39,10 @@
 PlacementQuery longCall(std::uint64_t Prefix, std::uint64_t Unique) {
   PlacementQuery Result;
   Result.m_Service = "writer";
-  Result.m_Prompt = {{{Prefix, Shared}, {Unique, Own}}, Shared + Own, 200, 100};
+  Result.m_Prompt = {{{Prefix, SharedTokens}, {Unique, UniqueTokens}},
+                     SharedTokens + UniqueTokens,
+                     200,
+                     100};
   Result.m_Target = 2s;
   return Result;
 }
@@ -51,11 +54,11 @@
   return Result;
 }
 
-struct World {
+struct TestInstance {
   TimePoint m_Now{100s};
   Balancer m_Balancer{{"a"}};
 
-  explicit World(int Engines) {
+  explicit TestInstance(int Engines) {
     std::vector<Upstream> List;
     List.reserve(static_cast<std::size_t>(Engines));
     for (int I = 0; I < Engines; ++I)
@@ -63,14 +66,14 @@
     m_Balancer.setUpstreams(List);
     m_Balancer.setCacheTokens("writer", 1000000);
   }
-  Placed placed(const PlacementQuery &Query) {
+  Placed placeOrFail(const PlacementQuery &Query) {
     const PlacementResult Result = m_Balancer.place(Query, m_Now);
     BOOST_REQUIRE(std::holds_alternative<Placed>(Result));
     return std::get<Placed>(Result);
   }
   /// Places and serves a call at once.
-  Placed served(const PlacementQuery &Query) {
-    Placed Result = placed(Query);
+  Placed placeAndServe(const PlacementQuery &Query) {
+    Placed Result = placeOrFail(Query);
     m_Balancer.answered(Result.m_Ticket, m_Now);
     m_Balancer.ended(Result.m_Ticket, CallOutcome::Served, m_Now);
     return Result;
@@ -82,34 +85,40 @@
 /// Long prompts that begin alike read their beginning once: all go to the
 /// engine that keeps it, on every instance that hears the others' digests.
 BOOST_AUTO_TEST_CASE(PromptsThatBeginAlikeMeet) {
-  World Here(9);
-  World There(9);
+  TestInstance Instance(9);
+  TestInstance Other(9);
   for (std::uint64_t Prefix = 1; Prefix <= 20; ++Prefix) {
-    const Placed First = Here.served(longCall(Prefix, 1000 + Prefix));
+    const Placed First =
+        Instance.placeAndServe(longCall(Prefix, 1000 + Prefix));
     for (std::uint64_t I = 0; I < 5; ++I)
-      BOOST_TEST((Here.served(longCall(Prefix, 2000 + I)).m_Upstream ==
-                  First.m_Upstream));
-    There.m_Balancer.peerSaid(
-        InstanceId(1), Here.m_Balancer.takeDigest(Here.m_Now), There.m_Now);
-    BOOST_TEST(
-        (There.served(longCall(Prefix, 3000)).m_Upstream == First.m_Upstream));
-    Here.m_Balancer.peerSaid(
-        InstanceId(2), There.m_Balancer.takeDigest(There.m_Now), Here.m_Now);
+      BOOST_TEST(
+          (Instance.placeAndServe(longCall(Prefix, 2000 + I)).m_Upstream ==
+           First.m_Upstream));
+    Other.m_Balancer.peerSaid(InstanceId(1),
+                              Instance.m_Balancer.takeDigest(Instance.m_Now),
+                              Other.m_Now);
+    BOOST_TEST((Other.placeAndServe(longCall(Prefix, 3000)).m_Upstream ==
+                First.m_Upstream));
+    Instance.m_Balancer.peerSaid(InstanceId(2),
+                                 Other.m_Balancer.takeDigest(Other.m_Now),
+                                 Instance.m_Now);
   }
 }
 
 /// An instance starts again. From the first digest of another one it knows
 /// which engine keeps what, and reads nothing twice.
 BOOST_AUTO_TEST_CASE(ARestartedInstanceLearnsWhoKeepsWhat) {
-  World Here(9);
-  World Restarted(9);
+  TestInstance Instance(9);
+  TestInstance Restarted(9);
   for (std::uint64_t Prefix = 1; Prefix <= 30; ++Prefix)
-    Here.served(longCall(Prefix, 1000 + Prefix));
-  Restarted.m_Balancer.peerSaid(
-      InstanceId(1), Here.m_Balancer.wholeDigest(Here.m_Now), Restarted.m_Now);
+    Instance.placeAndServe(longCall(Prefix, 1000 + Prefix));
+  Restarted.m_Balancer.peerSaid(InstanceId(1),
+                                Instance.m_Balancer.wholeDigest(Instance.m_Now),
+                                Restarted.m_Now);
   for (std::uint64_t Prefix = 1; Prefix <= 30; ++Prefix)
-    BOOST_TEST(Restarted.served(longCall(Prefix, 2000)).m_Why.m_MissingTokens ==
-               Own);
+    BOOST_TEST(
+        Restarted.placeAndServe(longCall(Prefix, 2000)).m_Why.m_MissingTokens ==
+        UniqueTokens);
 }
 
 /// All instances have just started and engines have read nothing. Calls share a
@@ -121,41 +130,42 @@
 /// last shared part it is 44, and 20 calls.
 BOOST_AUTO_TEST_CASE(CallsThatShareOnlyTheirFirstPartSpread) {
   constexpr int Instances = 8;
-  constexpr std::uint64_t Beginnings = 60;
+  constexpr std::uint64_t Prefixes = 60;
   constexpr std::uint64_t CallsEach = 2;
   std::map<UpstreamId, int> ByEngine;
   std::map<std::uint64_t, std::set<UpstreamId>> Readers;
-  std::vector<World> All;
+  std::vector<TestInstance> All;
   All.reserve(Instances);
   for (int I = 0; I < Instances; ++I)
     All.emplace_back(8);
-  for (std::uint64_t I = 0; I < Beginnings * CallsEach; ++I) {
-    const std::uint64_t Beginning = 100 + I % Beginnings;
+  for (std::uint64_t I = 0; I < Prefixes * CallsEach; ++I) {
+    const std::uint64_t Prefix = 100 + I % Prefixes;
     PlacementQuery Query = longCall(1, 0);
-    Query.m_Prompt.m_Parts = {{1, 2520}, {Beginning, 3780}, {1000 + I, 2890}};
+    Query.m_Prompt.m_Parts = {{1, 2520}, {Prefix, 3780}, {1000 + I, 2890}};
     Query.m_Prompt.m_PromptTokens = 2520 + 3780 + 2890;
-    const Placed Where = All[I % Instances].placed(Query);
-    ++ByEngine[Where.m_Upstream];
-    Readers[Beginning].insert(Where.m_Upstream);
+    const Placed Placement = All[I % Instances].placeOrFail(Query);
+    ++ByEngine[Placement.m_Upstream];
+    Readers[Prefix].insert(Placement.m_Upstream);
   }
   constexpr int FairShare = 15;
   for (const auto &[Id, Calls] : ByEngine)
     BOOST_TEST(Calls <= 2 * FairShare);
   const auto ReadOnce =
       std::count_if(Readers.begin(), Readers.end(),
-                    [](const auto &Each) { return Each.second.size() == 1; });
-  BOOST_TEST(ReadOnce > static_cast<int>(Beginnings) / 2);
+                    [](const auto &Entry) { return Entry.second.size() == 1; });
+  BOOST_TEST(ReadOnce > static_cast<int>(Prefixes) / 2);
 }
 
 /// A burst of calls with one beginning must not pile up at its engine while
 /// others idle: beyond some seconds of reading the next engine takes part.
 BOOST_AUTO_TEST_CASE(ABurstOfOnePrefixIsShared) {
-  World It(9);
+  TestInstance Instance(9);
   std::set<UpstreamId> Used;
   for (std::uint64_t I = 0; I < 40; ++I) {
-    const auto Result = It.m_Balancer.place(longCall(1, 100 + I), It.m_Now);
-    if (const auto *Where = std::get_if<Placed>(&Result))
-      Used.insert(Where->m_Upstream);
+    const auto Result =
+        Instance.m_Balancer.place(longCall(1, 100 + I), Instance.m_Now);
+    if (const auto *Placement = std::get_if<Placed>(&Result))
+      Used.insert(Placement->m_Upstream);
   }
   BOOST_TEST(Used.size() > 1U);
 }
@@ -163,7 +173,7 @@
 /// Short prompts, whose callers notice each pause, never stand beside long
 /// ones while there are engines for both.
 BOOST_AUTO_TEST_CASE(ShortAndLongPromptsAreApart) {
-  World It(9);
+  TestInstance Instance(9);
   std::set<UpstreamId> Long;
   std::set<UpstreamId> Short;
   for (std::uint64_t I = 0; I < 400; ++I) {
@@ -171,13 +181,13 @@
       Long.clear();
       Short.clear();
     }
-    Long.insert(It.served(longCall(I % 30, 1000 + I)).m_Upstream);
+    Long.insert(Instance.placeAndServe(longCall(I % 30, 1000 + I)).m_Upstream);
     PlacementQuery Query = longCall(500 + I % 10, 5000 + I);
     Query.m_Prompt = {{{500 + I % 10, 300}, {5000 + I, 900}}, 1200, 200, 100};
-    Short.insert(It.served(Query).m_Upstream);
+    Short.insert(Instance.placeAndServe(Query).m_Upstream);
   }
-  for (const UpstreamId Each : Short)
-    BOOST_TEST(!Long.contains(Each));
+  for (const UpstreamId Id : Short)
+    BOOST_TEST(!Long.contains(Id));
   BOOST_TEST(Short.size() >= 1U);
 }
 
@@ -199,11 +209,11 @@
           {List[static_cast<std::size_t>(I)].m_Id, 0, 2, 40000, 500});
   std::map<UpstreamId, int> Chosen;
   for (int I = 0; I < Instances; ++I) {
-    Balancer Each({"a"}, static_cast<std::uint64_t>(I));
-    Each.setUpstreams(List);
-    Each.peerSaid(InstanceId(1), Known, TimePoint(1s));
+    Balancer Gateway({"a"}, static_cast<std::uint64_t>(I));
+    Gateway.setUpstreams(List);
+    Gateway.peerSaid(InstanceId(1), Known, TimePoint(1s));
     PlacementQuery Query = longCall(static_cast<std::uint64_t>(I) + 1, 5000);
-    const auto Result = Each.place(Query, TimePoint(1s));
+    const auto Result = Gateway.place(Query, TimePoint(1s));
     ++Chosen[std::get<Placed>(Result).m_Upstream];
   }
   for (const auto &[Id, Calls] : Chosen)
@@ -219,21 +229,22 @@
   for (int I = 0; I < 2; ++I)
     States[static_cast<std::size_t>(I)].m_Upstream = engine(I);
   std::mt19937_64 Random(1);
-  const auto Chosen = [&](const PlacementQuery &Query,
+  const auto choose = [&](const PlacementQuery &Query,
                           const EngineOption &First,
                           const EngineOption &Second) {
-    const bool Tight = isTight(Query, Duration::zero());
-    return chooseEngine(Query, Tight, {First, Second}, Random).m_State;
+    const bool LatencySensitive = isTight(Query, Duration::zero());
+    return chooseEngine(Query, LatencySensitive, {First, Second}, Random)
+        .m_State;
   };
   PlacementQuery Short = longCall(500, 5000);
   Short.m_Prompt = {{{500, 300}, {5000, 900}}, 1200, 200, 100};
   for (const bool Swapped : {false, true}) {
-    UpstreamState *Reads = &States[Swapped ? 1 : 0];
-    UpstreamState *Idles = &States[Swapped ? 0 : 1];
-    BOOST_TEST((Chosen(Short, {Reads, 1, 0, 20000, 0, 0, 0, 1200},
-                       {Idles, 8, 0, 0, 0, 0, 0, 1200}) == Idles));
-    BOOST_TEST((Chosen(longCall(1, 2), {Reads, 30, 0, 0, 30, 30, 0, 3000},
-                       {Idles, 30, 0, 0, 0, 0, 0, 3000}) == Idles));
+    UpstreamState *Prefilling = &States[Swapped ? 1 : 0];
+    UpstreamState *Idle = &States[Swapped ? 0 : 1];
+    BOOST_TEST((choose(Short, {Prefilling, 1, 0, 20000, 0, 0, 0, 1200},
+                       {Idle, 8, 0, 0, 0, 0, 0, 1200}) == Idle));
+    BOOST_TEST((choose(longCall(1, 2), {Prefilling, 30, 0, 0, 30, 30, 0, 3000},
+                       {Idle, 30, 0, 0, 0, 0, 0, 3000}) == Idle));
   }
 }
 
@@ -241,15 +252,15 @@
 /// slots an engine would stop one call amid its stream for another; those that
 /// come then go to the engines for long prompts, and at last nowhere.
 BOOST_AUTO_TEST_CASE(NoEngineGetsMoreCallsThanItsSlots) {
-  World It(4);
+  TestInstance Instance(4);
   std::map<UpstreamId, int> Calls;
   int Refused = 0;
   for (std::uint64_t I = 0; I < 400; ++I) {
     PlacementQuery Query = longCall(500, 5000 + I);
     Query.m_Prompt = {{{500, 300}, {5000 + I, 90}}, 390, 200, 100};
-    const auto Result = It.m_Balancer.place(Query, It.m_Now);
-    if (const auto *Where = std::get_if<Placed>(&Result))
-      ++Calls[Where->m_Upstream];
+    const auto Result = Instance.m_Balancer.place(Query, Instance.m_Now);
+    if (const auto *Placement = std::get_if<Placed>(&Result))
+      ++Calls[Placement->m_Upstream];
     else
       ++Refused;
   }
@@ -277,37 +288,38 @@
 /// What others have at an engine counts as our own does: without it nine
 /// instances that each see a ninth of a burst send it all to one engine.
 BOOST_AUTO_TEST_CASE(DigestsOfOthersMoveTheChoice) {
-  World It(2);
-  const Placed Alone = It.served(longCall(1, 2));
+  TestInstance Instance(2);
+  const Placed First = Instance.placeAndServe(longCall(1, 2));
   LoadDigest Digest;
-  Digest.m_Loads.push_back({Alone.m_Upstream, 0, 30, 400000, 0, 0});
-  It.m_Balancer.peerSaid(InstanceId(7), Digest, It.m_Now);
+  Digest.m_Loads.push_back({First.m_Upstream, 0, 30, 400000, 0, 0});
+  Instance.m_Balancer.peerSaid(InstanceId(7), Digest, Instance.m_Now);
   // The prompt is read again elsewhere rather than wait for ten seconds.
-  BOOST_TEST((It.served(longCall(1, 3)).m_Upstream != Alone.m_Upstream));
+  BOOST_TEST(
+      (Instance.placeAndServe(longCall(1, 3)).m_Upstream != First.m_Upstream));
   // With the other engine as busy, the call is refused for the wait.
   Digest.m_Loads.push_back(Digest.m_Loads.front());
   Digest.m_Loads.back().m_Upstream =
-      upstreamIdOf(Alone.m_Name == "engine-0" ? "engine-1" : "engine-0");
-  It.m_Balancer.peerSaid(InstanceId(7), Digest, It.m_Now);
+      upstreamIdOf(First.m_Name == "engine-0" ? "engine-1" : "engine-0");
+  Instance.m_Balancer.peerSaid(InstanceId(7), Digest, Instance.m_Now);
   BOOST_TEST(std::holds_alternative<NotPlaced>(
-      It.m_Balancer.place(longCall(1, 4), It.m_Now)));
+      Instance.m_Balancer.place(longCall(1, 4), Instance.m_Now)));
   // The other instance is gone; what it said lapses.
-  It.m_Now += PeerLoads::DigestLife + 1ms;
+  Instance.m_Now += PeerLoads::DigestLife + 1ms;
   BOOST_TEST(std::holds_alternative<Placed>(
-      It.m_Balancer.place(longCall(1, 5), It.m_Now)));
+      Instance.m_Balancer.place(longCall(1, 5), Instance.m_Now)));
 }
 
 /// Load: more long prompts than the engines can read. The caller is told at
 /// once that the call has not run, and when to come back; calls that are more
 /// urgent are still taken, since what waits is read after them.
 BOOST_AUTO_TEST_CASE(WhatWouldWaitTooLongIsRefusedAtOnce) {
-  World It(4);
+  TestInstance Instance(4);
   PlacementQuery Query = longCall(1, 1);
   Query.m_Urgency = 5;
   std::optional<NotPlaced> Refused;
   for (std::uint64_t I = 0; I < 200 && !Refused; ++I) {
-    Query.m_Prompt.m_Parts = {{I, Shared}, {1000 + I, Own}};
-    const auto Result = It.m_Balancer.place(Query, It.m_Now);
+    Query.m_Prompt.m_Parts = {{I, SharedTokens}, {1000 + I, UniqueTokens}};
+    const auto Result = Instance.m_Balancer.place(Query, Instance.m_Now);
     if (const auto *Why = std::get_if<NotPlaced>(&Result))
       Refused = *Why;
   }
@@ -315,21 +327,23 @@
   BOOST_TEST((Refused->m_Reason == RefusalReason::TargetUnreachable));
   BOOST_TEST((Refused->m_RetryAfter >= 300ms));
   Query.m_Urgency = 0;
-  BOOST_TEST(
-      std::holds_alternative<Placed>(It.m_Balancer.place(Query, It.m_Now)));
+  BOOST_TEST(std::holds_alternative<Placed>(
+      Instance.m_Balancer.place(Query, Instance.m_Now)));
 }
 
 /// An engine that runs out of memory stops a call amid its stream. The calls
 /// of all instances together stay under the share that is kept for calls.
 BOOST_AUTO_TEST_CASE(CallsFitIntoAnEnginesMemory) {
-  World It(2);
-  It.m_Balancer.setCacheTokens("writer", 100000);
+  TestInstance Instance(2);
+  Instance.m_Balancer.setCacheTokens("writer", 100000);
   std::map<UpstreamId, std::uint64_t> Held;
   for (std::uint64_t I = 0; I < 50; ++I) {
-    const auto Result = It.m_Balancer.place(longCall(I, 1000 + I), It.m_Now);
-    if (const auto *Where = std::get_if<Placed>(&Result)) {
-      It.m_Balancer.answered(Where->m_Ticket, It.m_Now); // Read, still runs.
-      Held[Where->m_Upstream] += Shared + Own + 100;
+    const auto Result =
+        Instance.m_Balancer.place(longCall(I, 1000 + I), Instance.m_Now);
+    if (const auto *Placement = std::get_if<Placed>(&Result)) {
+      Instance.m_Balancer.answered(Placement->m_Ticket,
+                                   Instance.m_Now); // Read, still runs.
+      Held[Placement->m_Upstream] += SharedTokens + UniqueTokens + 100;
     }
   }
   BOOST_TEST(!Held.empty());
@@ -340,109 +354,116 @@
 /// An upstream that is leaving, by the list or by its own word, gets nothing
 /// new, and a call that was placed there before is not begun.
 BOOST_AUTO_TEST_CASE(LeavingUpstreamsGetNothing) {
-  World It(0);
+  TestInstance Instance(0);
   std::vector<Upstream> List = {desk(1, "a"), desk(2, "a")};
-  It.m_Balancer.setUpstreams(List);
-  const Placed Waiting = It.placed(plainCall());
-  for (Upstream &Each : List)
-    Each.m_Leaving = Each.m_Id == Waiting.m_Upstream;
-  It.m_Balancer.setUpstreams(List);
-  BOOST_TEST(!It.m_Balancer.mayBegin(Waiting.m_Ticket, It.m_Now));
+  Instance.m_Balancer.setUpstreams(List);
+  const Placed Waiting = Instance.placeOrFail(plainCall());
+  for (Upstream &Desk : List)
+    Desk.m_Leaving = Desk.m_Id == Waiting.m_Upstream;
+  Instance.m_Balancer.setUpstreams(List);
+  BOOST_TEST(!Instance.m_Balancer.mayBegin(Waiting.m_Ticket, Instance.m_Now));
   for (int I = 0; I < 20; ++I)
-    BOOST_TEST((It.placed(plainCall()).m_Upstream != Waiting.m_Upstream));
+    BOOST_TEST(
+        (Instance.placeOrFail(plainCall()).m_Upstream != Waiting.m_Upstream));
   // The other one says that it is not what the list says.
-  const Placed Last = It.placed(plainCall());
-  It.m_Balancer.ended(Last.m_Ticket, CallOutcome::Leaving, It.m_Now);
+  const Placed Last = Instance.placeOrFail(plainCall());
+  Instance.m_Balancer.ended(Last.m_Ticket, CallOutcome::Leaving,
+                            Instance.m_Now);
   BOOST_TEST(std::holds_alternative<NotPlaced>(
-      It.m_Balancer.place(plainCall(), It.m_Now)));
+      Instance.m_Balancer.place(plainCall(), Instance.m_Now)));
 }
 
 /// An upstream that answers with errors while its probe is good is kept out for
 /// a while and then tried again; when all fail alike none is.
 BOOST_AUTO_TEST_CASE(SickUpstreamsAreKeptOutUpToACeiling) {
-  World It(0);
-  It.m_Balancer.setUpstreams(
+  TestInstance Instance(0);
+  Instance.m_Balancer.setUpstreams(
       {desk(1, "a"), desk(2, "a"), desk(3, "a"), desk(4, "a")});
-  const UpstreamId Sick = upstreamIdOf("desk-1");
-  const auto Round = [&](auto Fails) {
+  const UpstreamId Failing = upstreamIdOf("desk-1");
+  const auto runRound = [&](auto Fails) {
     std::map<UpstreamId, int> Count;
     std::vector<Placed> Open;
     Open.reserve(4);
     for (int I = 0; I < 4; ++I)
-      Open.push_back(It.placed(plainCall()));
-    for (const Placed &Each : Open) {
-      ++Count[Each.m_Upstream];
-      It.m_Balancer.ended(Each.m_Ticket,
-                          Fails(Each.m_Upstream) ? CallOutcome::Failed
-                                                 : CallOutcome::Served,
-                          It.m_Now);
+      Open.push_back(Instance.placeOrFail(plainCall()));
+    for (const Placed &Call : Open) {
+      ++Count[Call.m_Upstream];
+      Instance.m_Balancer.ended(Call.m_Ticket,
+                                Fails(Call.m_Upstream) ? CallOutcome::Failed
+                                                       : CallOutcome::Served,
+                                Instance.m_Now);
     }
     return Count;
   };
   for (int I = 0; I < 5; ++I)
-    Round([&](UpstreamId Id) { return Id == Sick; });
-  BOOST_TEST(Round([](UpstreamId) { return false; })[Sick] == 0);
-  It.m_Now += 2s;
-  BOOST_TEST(Round([](UpstreamId) { return false; })[Sick] > 0);
+    runRound([&](UpstreamId Id) { return Id == Failing; });
+  BOOST_TEST(runRound([](UpstreamId) { return false; })[Failing] == 0);
+  Instance.m_Now += 2s;
+  BOOST_TEST(runRound([](UpstreamId) { return false; })[Failing] > 0);
   for (int I = 0; I < 10; ++I)
-    Round([](UpstreamId) { return true; });
-  BOOST_TEST(Round([](UpstreamId) { return true; }).size() == 4U);
+    runRound([](UpstreamId) { return true; });
+  BOOST_TEST(runRound([](UpstreamId) { return true; }).size() == 4U);
 }
 
 /// A restart under the same name is another upstream: nothing of the earlier
 /// one's load or memory counts for it, and a late end does no harm.
 BOOST_AUTO_TEST_CASE(ARestartStartsAnew) {
-  World It(2);
-  const Placed Before = It.placed(longCall(1, 2));
-  Upstream Reborn = engine(0, Before.m_Name);
-  Reborn.m_Id = upstreamIdOf(Before.m_Name + "@2");
-  It.m_Balancer.setUpstreams({Reborn});
-  const Placed After = It.placed(longCall(1, 3));
+  TestInstance Instance(2);
+  const Placed Before = Instance.placeOrFail(longCall(1, 2));
+  Upstream Restarted = engine(0, Before.m_Name);
+  Restarted.m_Id = upstreamIdOf(Before.m_Name + "@2");
+  Instance.m_Balancer.setUpstreams({Restarted});
+  const Placed After = Instance.placeOrFail(longCall(1, 3));
   BOOST_TEST(After.m_Why.m_Calls == 0);
-  BOOST_TEST(After.m_Why.m_MissingTokens == Shared + Own);
-  It.m_Balancer.ended(Before.m_Ticket, CallOutcome::Failed, It.m_Now);
-  It.m_Balancer.ended(After.m_Ticket, CallOutcome::Served, It.m_Now);
-  BOOST_TEST(It.placed(longCall(1, 4)).m_Why.m_Calls == 0);
+  BOOST_TEST(After.m_Why.m_MissingTokens == SharedTokens + UniqueTokens);
+  Instance.m_Balancer.ended(Before.m_Ticket, CallOutcome::Failed,
+                            Instance.m_Now);
+  Instance.m_Balancer.ended(After.m_Ticket, CallOutcome::Served,
+                            Instance.m_Now);
+  BOOST_TEST(Instance.placeOrFail(longCall(1, 4)).m_Why.m_Calls == 0);
 }
 
 /// Plain calls stay in their zone unless another one is clearly less loaded.
 BOOST_AUTO_TEST_CASE(PlainCallsPreferTheirZone) {
-  World It(0);
-  It.m_Balancer.setUpstreams({desk(1, "a"), desk(2, "b")});
-  BOOST_TEST(It.placed(plainCall()).m_Name == "desk-1");
-  BOOST_TEST(It.placed(plainCall()).m_Name == "desk-1");
-  bool SawOther = false;
+  TestInstance Instance(0);
+  Instance.m_Balancer.setUpstreams({desk(1, "a"), desk(2, "b")});
+  BOOST_TEST(Instance.placeOrFail(plainCall()).m_Name == "desk-1");
+  BOOST_TEST(Instance.placeOrFail(plainCall()).m_Name == "desk-1");
+  bool UsedOtherZone = false;
   for (int I = 0; I < 4; ++I)
-    SawOther = SawOther || It.placed(plainCall()).m_Name == "desk-2";
-  BOOST_TEST(SawOther);
+    UsedOtherZone =
+        UsedOtherZone || Instance.placeOrFail(plainCall()).m_Name == "desk-2";
+  BOOST_TEST(UsedOtherZone);
 }
 
 // Guards against calls to an upstream over the limit that it has stated, and a
 // refusal that doesn't say so or when to come back.
 BOOST_AUTO_TEST_CASE(UpstreamsOverTheirLimitGetNothing) {
-  World It(0);
-  It.m_Balancer.setUpstreams({desk(1, "a"), desk(2, "a")});
-  It.m_Balancer.setInstances(InstanceId(1), {InstanceId(1)}, It.m_Now - 10s);
-  const auto State = [&](const Placed &At, RateLimit Limit) {
-    It.m_Balancer.stated(At.m_Ticket, Limit, It.m_Now);
-    It.m_Balancer.ended(At.m_Ticket, CallOutcome::Served, It.m_Now);
+  TestInstance Instance(0);
+  Instance.m_Balancer.setUpstreams({desk(1, "a"), desk(2, "a")});
+  Instance.m_Balancer.setInstances(InstanceId(1), {InstanceId(1)},
+                                   Instance.m_Now - 10s);
+  const auto stateLimit = [&](const Placed &Call, RateLimit Limit) {
+    Instance.m_Balancer.stated(Call.m_Ticket, Limit, Instance.m_Now);
+    Instance.m_Balancer.ended(Call.m_Ticket, CallOutcome::Served,
+                              Instance.m_Now);
   };
-  const Placed First = It.placed(plainCall());
-  const Placed Second = It.placed(plainCall());
+  const Placed First = Instance.placeOrFail(plainCall());
+  const Placed Second = Instance.placeOrFail(plainCall());
   BOOST_TEST(First.m_Name != Second.m_Name);
-  State(First, 0.5);
+  stateLimit(First, 0.5);
   for (int I = 0; I < 5; ++I)
-    BOOST_TEST(It.placed(plainCall()).m_Name == Second.m_Name);
-  State(Second, 0.5);
-  const auto Result = It.m_Balancer.place(plainCall(), It.m_Now);
+    BOOST_TEST(Instance.placeOrFail(plainCall()).m_Name == Second.m_Name);
+  stateLimit(Second, 0.5);
+  const auto Result = Instance.m_Balancer.place(plainCall(), Instance.m_Now);
   BOOST_REQUIRE(std::holds_alternative<NotPlaced>(Result));
   const auto &None = std::get<NotPlaced>(Result);
   BOOST_TEST((None.m_Reason == RefusalReason::UpstreamLimited));
   BOOST_TEST((None.m_RetryAfter == 1s));
-  It.m_Now += 2100ms;
-  State(It.placed(plainCall()), std::nullopt);
-  It.placed(plainCall());
-  BOOST_TEST(It.placed(plainCall()).m_Name != "");
+  Instance.m_Now += 2100ms;
+  stateLimit(Instance.placeOrFail(plainCall()), std::nullopt);
+  Instance.placeOrFail(plainCall());
+  BOOST_TEST(Instance.placeOrFail(plainCall()).m_Name != "");
 }
 
 /// Engines are divided as the work is. Both kinds keep some while there is work
--- a/tests/unit/rate_limits_test.cpp
+++ b/tests/unit/rate_limits_test.cpp
@@ -20,7 +20,7 @@
 
 /// A limit is kept this long after it was stated first, in any span of Window,
 /// by instances that had no trouble of their own for as long.
-constexpr Duration Contact = 3s;
+constexpr Duration SpreadTime = 3s;
 constexpr Duration Window = 4s;
 constexpr double RateFactor = 1.5;
 constexpr double RateSlack = 5;
@@ -34,26 +34,26 @@
   Fleet(std::size_t Count, std::uint64_t Seed) : m_Random(Seed) {
     for (std::size_t I = 0; I < Count; ++I)
       add();
-    for (Instance &Each : m_All)
-      Each.m_Limits.setInstances(Each.m_Id, list(), Begin - 20s);
+    for (Instance &Member : m_All)
+      Member.m_Limits.setInstances(Member.m_Id, list(), Begin - 20s);
   }
 
   std::size_t below(std::size_t Limit) { return m_Random() % Limit; }
 
   /// Plays \p Span, in which \p CallsPerSecond callers choose this upstream and
   /// there is a trouble each \p TroubleEvery on average; 0: none.
-  void play(Duration Span, std::size_t CallsPerSecond,
-            Duration TroubleEvery = Duration::zero()) {
-    const TimePoint End = m_Now + Span;
+  void run(Duration Time, std::size_t CallsPerSecond,
+           Duration FaultInterval = Duration::zero()) {
+    const TimePoint End = m_Now + Time;
     const auto StepsPerSecond = static_cast<std::size_t>(1s / Step);
     for (; m_Now < End; m_Now += Step) {
-      answer();
-      deliver();
+      deliverAnswers();
+      deliverUpdates();
       if (m_Steps++ % 10 == 0)
-        exchange();
-      if (TroubleEvery > Duration::zero() &&
-          below(static_cast<std::size_t>(TroubleEvery / Step)) == 0)
-        trouble();
+        sendUpdates();
+      if (FaultInterval > Duration::zero() &&
+          below(static_cast<std::size_t>(FaultInterval / Step)) == 0)
+        injectFault();
       for (std::size_t I = 0; I < 1 + CallsPerSecond / StepsPerSecond; ++I)
         if (below(StepsPerSecond) < CallsPerSecond)
           call(m_All[below(m_All.size())]);
@@ -61,15 +61,15 @@
   }
 
   /// Returns whether each window since \p From had no more than is allowed.
-  [[nodiscard]] bool keeps(double Limit, TimePoint From) const {
+  [[nodiscard]] bool observesLimit(double Limit, TimePoint From) const {
     const double Allowed =
         RateFactor * Limit * std::chrono::duration<double>(Window).count() +
         RateSlack;
-    for (auto Each = m_Arrivals.begin(); Each != m_Arrivals.end(); ++Each)
-      if (*Each >= From &&
+    for (auto First = m_Arrivals.begin(); First != m_Arrivals.end(); ++First)
+      if (*First >= From &&
           static_cast<double>(
-              std::upper_bound(Each, m_Arrivals.end(), *Each + Window) - Each) >
-              Allowed)
+              std::upper_bound(First, m_Arrivals.end(), *First + Window) -
+              First) > Allowed)
         return false;
     return true;
   }
@@ -77,7 +77,7 @@
   [[nodiscard]] std::size_t arrivedSince(TimePoint From) const {
     return static_cast<std::size_t>(
         std::count_if(m_Arrivals.begin(), m_Arrivals.end(),
-                      [&](TimePoint Each) { return Each >= From; }));
+                      [&](TimePoint Arrival) { return Arrival >= From; }));
   }
 
   RateLimit m_Limit; ///< The upstream states it.
@@ -88,7 +88,7 @@
     InstanceId m_Id;
     RateLimits m_Limits;
     TimePoint m_ExcusedUntil{}; ///< After its own troubles.
-    TimePoint m_AwayUntil{};    ///< It stands still.
+    TimePoint m_FrozenUntil{};  ///< It stands still.
   };
 
   struct Answer {
@@ -101,25 +101,25 @@
   void add() {
     const InstanceId Id(++m_LastId * 0x9E3779B97F4A7C15U);
     m_All.push_back({Id, RateLimits(m_Random())});
-    m_All.back().m_ExcusedUntil = m_Now + Contact;
+    m_All.back().m_ExcusedUntil = m_Now + SpreadTime;
   }
 
   [[nodiscard]] std::vector<InstanceId> list() const {
     std::vector<InstanceId> Result;
-    for (const Instance &Each : m_All)
-      Result.push_back(Each.m_Id);
+    for (const Instance &Member : m_All)
+      Result.push_back(Member.m_Id);
     return Result;
   }
 
   Instance *find(InstanceId Id) {
     const auto Found =
         std::find_if(m_All.begin(), m_All.end(),
-                     [&](const Instance &Each) { return Each.m_Id == Id; });
+                     [&](const Instance &Member) { return Member.m_Id == Id; });
     return Found == m_All.end() ? nullptr : &*Found;
   }
 
   void call(Instance &From) {
-    if (m_Now < From.m_AwayUntil || !From.m_Limits.mayTake(Limited, m_Now))
+    if (m_Now < From.m_FrozenUntil || !From.m_Limits.mayTake(Limited, m_Now))
       return;
     From.m_Limits.taken(Limited, m_Now);
     if (m_Now >= From.m_ExcusedUntil)
@@ -127,7 +127,7 @@
     m_Answers.push_back({m_Now + AnswerTime, From.m_Id, m_Now, m_Limit});
   }
 
-  void answer() {
+  void deliverAnswers() {
     for (; !m_Answers.empty() && m_Answers.front().m_At <= m_Now;
          m_Answers.pop_front()) {
       const Answer &Next = m_Answers.front();
@@ -136,56 +136,56 @@
     }
   }
 
-  void exchange() {
-    for (Instance &Each : m_All) {
-      if (m_Now < Each.m_AwayUntil)
+  void sendUpdates() {
+    for (Instance &Member : m_All) {
+      if (m_Now < Member.m_FrozenUntil)
         continue;
-      const auto News = Each.m_Limits.takeNews(m_Now);
-      if (News.empty() || below(10) == 0) // Lost.
+      const auto Updates = Member.m_Limits.takeNews(m_Now);
+      if (Updates.empty() || below(10) == 0) // Lost.
         continue;
       for (std::size_t I = 0; I < 1 + below(2); ++I)
-        m_OnTheWay.emplace(m_Now + std::chrono::milliseconds(below(700)),
-                           std::pair(m_Now, News));
+        m_InFlight.emplace(m_Now + std::chrono::milliseconds(below(700)),
+                           std::pair(m_Now, Updates));
     }
   }
 
-  void deliver() {
-    for (auto Each = m_OnTheWay.begin();
-         Each != m_OnTheWay.end() && Each->first <= m_Now;
-         Each = m_OnTheWay.erase(Each))
+  void deliverUpdates() {
+    for (auto Next = m_InFlight.begin();
+         Next != m_InFlight.end() && Next->first <= m_Now;
+         Next = m_InFlight.erase(Next))
       for (Instance &To : m_All)
-        if (m_Now >= To.m_AwayUntil)
-          To.m_Limits.take(Each->second.second, m_Now);
-    for (auto Each = m_Lists.begin();
-         Each != m_Lists.end() && Each->first <= m_Now;
-         Each = m_Lists.erase(Each))
-      if (Instance *To = find(Each->second))
+        if (m_Now >= To.m_FrozenUntil)
+          To.m_Limits.take(Next->second.second, m_Now);
+    for (auto Next = m_ListsInFlight.begin();
+         Next != m_ListsInFlight.end() && Next->first <= m_Now;
+         Next = m_ListsInFlight.erase(Next))
+      if (Instance *To = find(Next->second))
         To->m_Limits.setInstances(To->m_Id, list(), m_Now);
   }
 
   /// One instance restarts, stands still, goes for good or comes.
-  void trouble() {
-    Instance &Which = m_All[below(m_All.size())];
+  void injectFault() {
+    Instance &Target = m_All[below(m_All.size())];
     switch (below(4)) {
     case 0:
-      Which.m_Limits = RateLimits(m_Random());
-      Which.m_ExcusedUntil = m_Now + Contact;
-      m_Lists.emplace(m_Now + 100ms, Which.m_Id);
+      Target.m_Limits = RateLimits(m_Random());
+      Target.m_ExcusedUntil = m_Now + SpreadTime;
+      m_ListsInFlight.emplace(m_Now + 100ms, Target.m_Id);
       return;
     case 1:
-      Which.m_AwayUntil = m_Now + 2s;
-      Which.m_ExcusedUntil = m_Now + 2s + Contact;
+      Target.m_FrozenUntil = m_Now + 2s;
+      Target.m_ExcusedUntil = m_Now + 2s + SpreadTime;
       return;
     case 2:
       if (m_All.size() > 3)
-        m_All.erase(m_All.begin() + (&Which - m_All.data()));
+        m_All.erase(m_All.begin() + (&Target - m_All.data()));
       break;
     default:
       add();
     }
-    for (const Instance &Each : m_All)
-      m_Lists.emplace(m_Now + std::chrono::milliseconds(below(3500)),
-                      Each.m_Id);
+    for (const Instance &Member : m_All)
+      m_ListsInFlight.emplace(m_Now + std::chrono::milliseconds(below(3500)),
+                              Member.m_Id);
   }
 
   std::mt19937_64 m_Random;          ///< Seeded.
@@ -195,8 +195,8 @@
   std::deque<Answer> m_Answers;      ///< In the order of m_At.
   std::vector<TimePoint> m_Arrivals; ///< Of instances that count.
   std::multimap<TimePoint, std::pair<TimePoint, std::vector<LimitNews>>>
-      m_OnTheWay;                               ///< News by arrival.
-  std::multimap<TimePoint, InstanceId> m_Lists; ///< By arrival.
+      m_InFlight;                                       ///< News by arrival.
+  std::multimap<TimePoint, InstanceId> m_ListsInFlight; ///< By arrival.
 };
 
 } // namespace
@@ -206,17 +206,17 @@
 BOOST_AUTO_TEST_CASE(AFleetKeepsALimit) {
   for (const std::size_t Count : {4, 9, 30, 300, 1000})
     for (const double Limit : {0.0, 0.3, 1.0, 1.8, 5.0, 20.0})
-      for (const Duration TroubleEvery :
+      for (const Duration FaultInterval :
            {Duration(0s), Duration(300ms), Duration(12s)})
         BOOST_TEST_CONTEXT(Count << " instances, limit " << Limit
-                                 << ", a trouble each " << TroubleEvery.count()
+                                 << ", one fault each " << FaultInterval.count()
                                  << " us") {
-          Fleet It(Count, Count);
-          It.play(1s, 500);
-          It.m_Limit = Limit;
-          const TimePoint Stated = It.m_Now;
-          It.play(40s, 500, TroubleEvery);
-          BOOST_TEST(It.keeps(Limit, Stated + Contact));
+          Fleet Instances(Count, Count);
+          Instances.run(1s, 500);
+          Instances.m_Limit = Limit;
+          const TimePoint Stated = Instances.m_Now;
+          Instances.run(40s, 500, FaultInterval);
+          BOOST_TEST(Instances.observesLimit(Limit, Stated + SpreadTime));
         }
 }
 
@@ -224,12 +224,13 @@
 BOOST_AUTO_TEST_CASE(AFleetUsesALimit) {
   for (const std::size_t Count : {4, 9, 30, 300})
     for (const double Limit : {1.0, 5.0, 20.0}) {
-      Fleet It(Count, Count);
-      It.m_Limit = Limit;
-      It.play(6s, 2000);
-      const TimePoint Since = It.m_Now;
-      It.play(10s, 2000);
-      BOOST_TEST(static_cast<double>(It.arrivedSince(Since)) >= 5 * Limit);
+      Fleet Instances(Count, Count);
+      Instances.m_Limit = Limit;
+      Instances.run(6s, 2000);
+      const TimePoint Since = Instances.m_Now;
+      Instances.run(10s, 2000);
+      BOOST_TEST(static_cast<double>(Instances.arrivedSince(Since)) >=
+                 5 * Limit);
     }
 }
 
@@ -238,59 +239,59 @@
   for (const std::size_t Count : {4, 30, 300})
     for (const double Limit : {0.0, 0.3, 1.0, 5.0})
       BOOST_TEST_CONTEXT(Count << " instances, limit " << Limit) {
-        Fleet It(Count, Count);
-        It.m_Limit = Limit;
-        It.play(8s, 80);
-        It.m_Limit = std::nullopt;
-        It.play(40s, 80);
-        const TimePoint Since = It.m_Now;
-        It.play(5s, 80);
-        BOOST_TEST(It.arrivedSince(Since) > 200U);
+        Fleet Instances(Count, Count);
+        Instances.m_Limit = Limit;
+        Instances.run(8s, 80);
+        Instances.m_Limit = std::nullopt;
+        Instances.run(40s, 80);
+        const TimePoint Since = Instances.m_Now;
+        Instances.run(5s, 80);
+        BOOST_TEST(Instances.arrivedSince(Since) > 200U);
       }
 }
 
 // Guards against tokens that are kept from a higher limit, or from none.
 BOOST_AUTO_TEST_CASE(ALowerLimitBeginsWithoutTokens) {
-  RateLimits It(1);
-  It.setInstances(InstanceId(1), {InstanceId(1)}, Begin - 10s);
-  It.stated(Limited, 50, Begin, Begin);
-  BOOST_TEST(It.mayTake(Limited, Begin + 1s));
-  It.stated(Limited, 1, Begin + 1s, Begin + 1s);
-  BOOST_TEST(!It.mayTake(Limited, Begin + 1s));
-  BOOST_TEST(!It.mayTake(Limited, Begin + 1900ms));
-  BOOST_TEST(It.mayTake(Limited, Begin + 2100ms));
+  RateLimits Limits(1);
+  Limits.setInstances(InstanceId(1), {InstanceId(1)}, Begin - 10s);
+  Limits.stated(Limited, 50, Begin, Begin);
+  BOOST_TEST(Limits.mayTake(Limited, Begin + 1s));
+  Limits.stated(Limited, 1, Begin + 1s, Begin + 1s);
+  BOOST_TEST(!Limits.mayTake(Limited, Begin + 1s));
+  BOOST_TEST(!Limits.mayTake(Limited, Begin + 1900ms));
+  BOOST_TEST(Limits.mayTake(Limited, Begin + 2100ms));
 }
 
 // Guards against a new sender beside one that doesn't know yet that it is none.
 BOOST_AUTO_TEST_CASE(ANewSenderWaitsUntilListsAgree) {
-  RateLimits It(1);
-  It.setInstances(InstanceId(1), {InstanceId(2)}, Begin - 10s);
-  It.stated(Limited, 100, Begin - 5s, Begin - 5s);
-  It.setInstances(InstanceId(1), {InstanceId(1), InstanceId(2)}, Begin);
-  BOOST_TEST(!It.mayTake(Limited, Begin + RateLimits::SettleSpan));
-  BOOST_TEST(It.mayTake(Limited, Begin + RateLimits::SettleSpan + 100ms));
-  It.setInstances(InstanceId(1), {InstanceId(2)}, Begin + 10s);
-  BOOST_TEST(!It.mayTake(Limited, Begin + 10s));
+  RateLimits Limits(1);
+  Limits.setInstances(InstanceId(1), {InstanceId(2)}, Begin - 10s);
+  Limits.stated(Limited, 100, Begin - 5s, Begin - 5s);
+  Limits.setInstances(InstanceId(1), {InstanceId(1), InstanceId(2)}, Begin);
+  BOOST_TEST(!Limits.mayTake(Limited, Begin + RateLimits::SettleSpan));
+  BOOST_TEST(Limits.mayTake(Limited, Begin + RateLimits::SettleSpan + 100ms));
+  Limits.setInstances(InstanceId(1), {InstanceId(2)}, Begin + 10s);
+  BOOST_TEST(!Limits.mayTake(Limited, Begin + 10s));
 }
 
 // Guards against an old answer that ends a limit stated after its call.
 BOOST_AUTO_TEST_CASE(AnAnswerToAnOlderCallEndsNoLimit) {
-  RateLimits It(1);
-  It.setInstances(InstanceId(1), {InstanceId(1)}, Begin - 10s);
-  It.stated(Limited, 1, Begin, Begin + 100ms);
-  It.stated(Limited, std::nullopt, Begin + 50ms, Begin + 200ms);
-  BOOST_TEST(It.limitOf(Limited).has_value());
-  It.take({{Limited, std::nullopt, 500ms}}, Begin + 300ms);
-  BOOST_TEST(It.limitOf(Limited).has_value());
-  It.stated(Limited, std::nullopt, Begin + 150ms, Begin + 400ms);
-  BOOST_TEST(!It.limitOf(Limited).has_value());
+  RateLimits Limits(1);
+  Limits.setInstances(InstanceId(1), {InstanceId(1)}, Begin - 10s);
+  Limits.stated(Limited, 1, Begin, Begin + 100ms);
+  Limits.stated(Limited, std::nullopt, Begin + 50ms, Begin + 200ms);
+  BOOST_TEST(Limits.limitOf(Limited).has_value());
+  Limits.take({{Limited, std::nullopt, 500ms}}, Begin + 300ms);
+  BOOST_TEST(Limits.limitOf(Limited).has_value());
+  Limits.stated(Limited, std::nullopt, Begin + 150ms, Begin + 400ms);
+  BOOST_TEST(!Limits.limitOf(Limited).has_value());
 }
 
 // Guards against upstreams that went and are remembered.
 BOOST_AUTO_TEST_CASE(UnlistedUpstreamsAreForgotten) {
-  RateLimits It(1);
-  It.stated(Limited, 1, Begin, Begin);
-  It.keepOnly({});
-  BOOST_TEST(!It.limitOf(Limited).has_value());
-  BOOST_TEST(It.mayTake(Limited, Begin));
+  RateLimits Limits(1);
+  Limits.stated(Limited, 1, Begin, Begin);
+  Limits.keepOnly({});
+  BOOST_TEST(!Limits.limitOf(Limited).has_value());
+  BOOST_TEST(Limits.mayTake(Limited, Begin));
 }
--- a/tests/unit/retry_budget_test.cpp
+++ b/tests/unit/retry_budget_test.cpp
@@ -20,41 +20,42 @@
   RetryBudgetSettings m_Bound;
   std::vector<RetryBudget> m_Budgets;
   std::vector<TimePoint> m_Calls;
-  std::vector<TimePoint> m_Repeats;
+  std::vector<TimePoint> m_Retries;
 
   Fleet(std::size_t Count, const RetryBudgetSettings &Bound)
       : m_Bound(Bound), m_Budgets(Count, RetryBudget(Bound)) {}
 
-  void call(std::size_t Which, TimePoint Now) {
-    m_Budgets[Which].call(Service, Now);
+  void call(std::size_t Index, TimePoint Now) {
+    m_Budgets[Index].call(Service, Now);
     m_Calls.push_back(Now);
   }
 
-  bool repeat(std::size_t Which, TimePoint Now) {
-    if (!m_Budgets[Which].take(Service, Now))
+  bool retry(std::size_t Index, TimePoint Now) {
+    if (!m_Budgets[Index].take(Service, Now))
       return false;
-    m_Repeats.push_back(Now);
+    m_Retries.push_back(Now);
     return true;
   }
 
   /// Every instance repeats as often as it may.
-  void repeatAll(TimePoint Now) {
+  void retryAll(TimePoint Now) {
     for (std::size_t I = 0; I < m_Budgets.size(); ++I)
-      while (repeat(I, Now))
+      while (retry(I, Now))
         continue;
   }
 
   /// Returns whether every window keeps the bound.
-  [[nodiscard]] bool keepsBound() const {
-    return std::all_of(m_Repeats.begin(), m_Repeats.end(), [&](TimePoint End) {
-      return static_cast<double>(within(m_Repeats, End)) <=
-             m_Bound.m_Ratio * static_cast<double>(within(m_Calls, End)) +
+  [[nodiscard]] bool holdsBound() const {
+    return std::all_of(m_Retries.begin(), m_Retries.end(), [&](TimePoint End) {
+      return static_cast<double>(countInWindow(m_Retries, End)) <=
+             m_Bound.m_Ratio *
+                     static_cast<double>(countInWindow(m_Calls, End)) +
                  m_Bound.m_Slack;
     });
   }
 
-  [[nodiscard]] std::ptrdiff_t within(const std::vector<TimePoint> &Sorted,
-                                      TimePoint End) const {
+  [[nodiscard]] std::ptrdiff_t
+  countInWindow(const std::vector<TimePoint> &Sorted, TimePoint End) const {
     const auto First =
         std::upper_bound(Sorted.begin(), Sorted.end(), End - m_Bound.m_Window);
     return std::upper_bound(First, Sorted.end(), End) - First;
@@ -68,23 +69,23 @@
 BOOST_AUTO_TEST_CASE(RetriesOfAllInstancesKeepTheBound) {
   rc::check("bound on retries", [] {
     const auto Count = *rc::gen::inRange<std::size_t>(1, 1001);
-    Fleet It(Count,
-             {0.2, static_cast<double>(*rc::gen::inRange(20, 1000)), 10s});
+    Fleet Instances(
+        Count, {0.2, static_cast<double>(*rc::gen::inRange(20, 1000)), 10s});
     TimePoint Now{100s};
-    for (RetryBudget &Each : It.m_Budgets)
-      Each.setInstances(
+    for (RetryBudget &Budget : Instances.m_Budgets)
+      Budget.setInstances(
           *rc::gen::inRange<std::size_t>(Count - Count / 8, 2 * Count + 1),
           Now - 20s);
     for (int Step = 0; Step < 300; ++Step) {
       Now += std::chrono::milliseconds(*rc::gen::inRange(0, 100));
-      const auto Which = *rc::gen::inRange<std::size_t>(0, Count);
+      const auto Index = *rc::gen::inRange<std::size_t>(0, Count);
       if (*rc::gen::inRange(0, 3) > 0)
-        It.call(Which, Now);
-      while (It.repeat(Which, Now))
+        Instances.call(Index, Now);
+      while (Instances.retry(Index, Now))
         continue;
     }
-    It.repeatAll(Now);
-    RC_ASSERT(It.keepsBound());
+    Instances.retryAll(Now);
+    RC_ASSERT(Instances.holdsBound());
   });
 }
 
@@ -93,24 +94,24 @@
 BOOST_AUTO_TEST_CASE(AStartOfAllKeepsTheBound) {
   rc::check("bound on retries during a start", [] {
     const auto Count = *rc::gen::inRange<std::size_t>(1, 501);
-    Fleet It(Count, {0.2, 600, 10s});
+    Fleet Instances(Count, {0.2, 600, 10s});
     const TimePoint Begin{100s};
-    std::vector<TimePoint> Listed;
+    std::vector<TimePoint> ListedAt;
     for (std::size_t I = 0; I < Count; ++I)
-      Listed.push_back(Begin +
-                       std::chrono::milliseconds(*rc::gen::inRange(0, 300)));
+      ListedAt.push_back(Begin +
+                         std::chrono::milliseconds(*rc::gen::inRange(0, 300)));
     for (TimePoint Now = Begin; Now < Begin + 12s; Now += 250ms) {
       for (std::size_t I = 0; I < Count; ++I)
         // Each reads the list when it starts and again every three seconds.
-        if (Now >= Listed[I] && (Now - Listed[I]) % 3s < 250ms)
-          It.m_Budgets[I].setInstances(
-              static_cast<std::size_t>(
-                  std::count_if(Listed.begin(), Listed.end(),
-                                [&](TimePoint At) { return At <= Now; })),
+        if (Now >= ListedAt[I] && (Now - ListedAt[I]) % 3s < 250ms)
+          Instances.m_Budgets[I].setInstances(
+              static_cast<std::size_t>(std::count_if(
+                  ListedAt.begin(), ListedAt.end(),
+                  [&](TimePoint StartedAt) { return StartedAt <= Now; })),
               Now);
-      It.repeatAll(Now);
+      Instances.retryAll(Now);
     }
-    RC_ASSERT(It.keepsBound());
+    RC_ASSERT(Instances.holdsBound());
   });
 }
 
@@ -118,29 +119,29 @@
 // and have used it themselves.
 BOOST_AUTO_TEST_CASE(SlackOfThoseThatLeftIsNotUsedTwice) {
   const TimePoint Begin{100s};
-  Fleet It(300, {0.2, 630, 10s});
-  for (RetryBudget &Each : It.m_Budgets)
-    Each.setInstances(300, Begin - 20s);
-  It.repeatAll(Begin);
+  Fleet Instances(300, {0.2, 630, 10s});
+  for (RetryBudget &Budget : Instances.m_Budgets)
+    Budget.setInstances(300, Begin - 20s);
+  Instances.retryAll(Begin);
   for (std::size_t I = 0; I < 150; ++I)
-    It.m_Budgets[I].setInstances(150, Begin + 1s);
-  It.repeatAll(Begin + 2s);
-  It.repeatAll(Begin + 9s);
-  BOOST_TEST(It.keepsBound());
+    Instances.m_Budgets[I].setInstances(150, Begin + 1s);
+  Instances.retryAll(Begin + 2s);
+  Instances.retryAll(Begin + 9s);
+  BOOST_TEST(Instances.holdsBound());
   // A window later the survivors have all of it.
-  const std::size_t Before = It.m_Repeats.size();
+  const std::size_t Before = Instances.m_Retries.size();
   for (std::size_t I = 0; I < 150; ++I)
-    while (It.repeat(I, Begin + 30s))
+    while (Instances.retry(I, Begin + 30s))
       continue;
-  BOOST_TEST(It.m_Repeats.size() - Before == 150 * 3U);
+  BOOST_TEST(Instances.m_Retries.size() - Before == 150 * 3U);
 }
 
 // Guards against a budget that a lone instance can't use.
 BOOST_AUTO_TEST_CASE(AFewInstancesHaveMostOfTheSlack) {
   const TimePoint Begin{100s};
-  Fleet It(9, {0.2, 58, 10s});
-  for (RetryBudget &Each : It.m_Budgets)
-    Each.setInstances(9, Begin - 20s);
-  It.repeatAll(Begin);
-  BOOST_TEST(It.m_Repeats.size() == 9 * 4U);
+  Fleet Instances(9, {0.2, 58, 10s});
+  for (RetryBudget &Budget : Instances.m_Budgets)
+    Budget.setInstances(9, Begin - 20s);
+  Instances.retryAll(Begin);
+  BOOST_TEST(Instances.m_Retries.size() == 9 * 4U);
 }
