--- a/src/balance/balance_type.h
+++ b/src/balance/balance_type.h
@@ -30,7 +30,7 @@
 /// Urgency of a call at an engine; 0 goes first.
 using Urgency = std::uint8_t;
 
-/// Number of urgencies that engines distinguish.
+/// Number of urgency levels that engines distinguish.
 inline constexpr std::size_t UrgencyCount = 10;
 
 /// A call for which an upstream is to be chosen.
--- a/src/balance/balancer.h
+++ b/src/balance/balancer.h
@@ -89,8 +89,8 @@
   /// Forgets the loads of an instance that was removed.
   void peerGone(InstanceId Peer) { m_Peers.drop(Peer); }
 
-  /// Returns the digest for the other instances. What it holds as changes since
-  /// the last digest is returned once.
+  /// Returns the digest for the other instances: this instance's loads, and all
+  /// changes since the last digest.
   LoadDigest takeDigest(TimePoint Now);
 
   /// Returns the digest for an instance that has just started, with the whole
@@ -104,7 +104,7 @@
   /// A call that counts at an upstream.
   struct Ticket {
     UpstreamId m_Upstream;                ///< May be removed from the list.
-    Urgency m_Urgency = 0;                ///< Urgency of the call.
+    Urgency m_Urgency = 0;                ///< Of the call.
     CallTokens m_Tokens;                  ///< Load that it adds there.
     TimePoint m_Begin;                    ///< Time of the placement.
     bool m_Undisturbed = false;           ///< No prefill queued before it.
--- a/src/balance/peer_loads.h
+++ b/src/balance/peer_loads.h
@@ -1,4 +1,4 @@
-/// Loads of the upstreams by other instances, from their digests.
+/// Load that other instances put on the upstreams, from their digests.
 #ifndef CROWSTEP_BALANCE_PEER_LOADS_H
 #define CROWSTEP_BALANCE_PEER_LOADS_H
 
@@ -20,7 +20,7 @@
   UpstreamId m_Upstream;            ///< Upstream with the calls.
   Urgency m_Urgency = 0;            ///< Below UrgencyCount.
   std::uint32_t m_Running = 0;      ///< Calls that have not ended.
-  std::uint32_t m_UnreadTokens = 0; ///< Prompts without a first event.
+  std::uint32_t m_UnreadTokens = 0; ///< Of prompts without a first event.
   std::uint32_t m_HeldTokens = 0;   ///< Memory beside cached segments.
   std::uint32_t m_Tight = 0; ///< Among m_Running, see isLatencySensitive().
 };
@@ -74,7 +74,7 @@
 private:
   struct Part {
     std::uint32_t m_Running = 0; ///< Calls that have not ended.
-    std::uint64_t m_Unread = 0;  ///< Prompts without a first event.
+    std::uint64_t m_Unread = 0;  ///< Of prompts without a first event.
     std::uint64_t m_Held = 0;    ///< Engine memory until the end.
     std::uint32_t m_Tight = 0;   ///< Among m_Running.
 
--- a/tests/benchmark/placing_benchmark.cpp
+++ b/tests/benchmark/placing_benchmark.cpp
@@ -1,5 +1,5 @@
-/// Time of placing a long prompt, against the number of engines, where others
-/// have calls at all of them. docs/CAPACITY.md has the figures.
+/// Time to place a long prompt by the number of engines, with calls of other
+/// instances at all of them. docs/CAPACITY.md has the figures.
 #include "balance/balancer.h"
 
 #include <benchmark/benchmark.h>
--- a/tests/unit/balance_test.cpp
+++ b/tests/unit/balance_test.cpp
@@ -1,4 +1,5 @@
-/// Decisions of an instance that decides alone: no network, a clock by hand.
+/// Placement decisions of single instances, without network and with a virtual
+/// clock.
 #define BOOST_TEST_MODULE balance
 #include "balance/balancer.h"
 
@@ -82,8 +83,9 @@
 
 } // namespace
 
-/// Long prompts that begin alike read their beginning once: all go to the
-/// engine that keeps it, on every instance that hears the others' digests.
+/// Guards against a prefix that is prefilled at several engines: long prompts
+/// with one prefix go to the engine that has cached it, on every instance that
+/// receives the others' digests.
 BOOST_AUTO_TEST_CASE(PromptsThatBeginAlikeMeet) {
   TestInstance Instance(9);
   TestInstance Other(9);
@@ -105,8 +107,8 @@
   }
 }
 
-/// An instance starts again. From the first digest of another one it knows
-/// which engine keeps what, and reads nothing twice.
+/// Guards against prefixes that are prefilled again after a restart of an
+/// instance: the full digest of another one says which engine has cached what.
 BOOST_AUTO_TEST_CASE(ARestartedInstanceLearnsWhoKeepsWhat) {
   TestInstance Instance(9);
   TestInstance Restarted(9);
@@ -121,13 +123,14 @@
         UniqueTokens);
 }
 
-/// All instances have just started and engines have read nothing. Calls share a
-/// first part with all others of their class and a second one with a few; in
-/// the first tenth of a second no instance knows of another's calls. With homes
-/// by the first part one engine fills up, each instance goes elsewhere by
-/// itself and the same beginning is read at two engines: of 60 beginnings 4
-/// were read once and the busiest engine had 32 calls of 120; with homes by the
-/// last shared part it is 44, and 20 calls.
+/// Guards against one busy engine, and prefixes that are prefilled twice, while
+/// all instances have just started and the engines' caches are empty. Calls
+/// share a first segment with all others of their class and a second one with a
+/// few; in the first tenth of a second no instance knows of another's calls.
+/// With preferred engines by the first segment one engine fills up, and each
+/// instance chooses another one by itself: of 60 prefixes 4 are prefilled once,
+/// and the busiest engine has 32 of 120 calls. With preferred engines by the
+/// last shared segment these figures are 44 and 20.
 BOOST_AUTO_TEST_CASE(CallsThatShareOnlyTheirFirstPartSpread) {
   constexpr int Instances = 8;
   constexpr std::uint64_t Prefixes = 60;
@@ -156,8 +159,8 @@
   BOOST_TEST(ReadOnce > static_cast<int>(Prefixes) / 2);
 }
 
-/// A burst of calls with one beginning must not pile up at its engine while
-/// others idle: beyond some seconds of reading the next engine takes part.
+/// Guards against a burst of calls with one prefix that all queue at its engine
+/// while others idle: beyond some seconds of prefill another engine is used.
 BOOST_AUTO_TEST_CASE(ABurstOfOnePrefixIsShared) {
   TestInstance Instance(9);
   std::set<UpstreamId> Used;
@@ -170,14 +173,14 @@
   BOOST_TEST(Used.size() > 1U);
 }
 
-/// Short prompts, whose callers notice each pause, never stand beside long
-/// ones while there are engines for both.
+/// Guards against latency-sensitive calls with short prompts at the engines of
+/// calls with long prompts while there are engines for both.
 BOOST_AUTO_TEST_CASE(ShortAndLongPromptsAreApart) {
   TestInstance Instance(9);
   std::set<UpstreamId> Long;
   std::set<UpstreamId> Short;
   for (std::uint64_t I = 0; I < 400; ++I) {
-    if (I == 200) { // The line between the roles has found its place.
+    if (I == 200) { // The boundary between the roles is stable.
       Long.clear();
       Short.clear();
     }
@@ -191,9 +194,10 @@
   BOOST_TEST(Short.size() >= 1U);
 }
 
-/// Many instances know the same of forty engines and place a call each before
-/// they hear of one another. Choosing the same best engine they would make all
-/// those calls wait in one queue while the others idle.
+/// Guards against instances that all choose the same best engine, so that their
+/// calls wait in one queue while the other engines idle. Many instances have
+/// the same state of forty engines, and each places a call before it receives
+/// the others' digests.
 BOOST_AUTO_TEST_CASE(InstancesThatKnowTheSameChooseDifferently) {
   constexpr int Engines = 40;
   constexpr int Instances = 600;
@@ -201,7 +205,7 @@
   List.reserve(Engines);
   for (int I = 0; I < Engines; ++I)
     List.push_back(engine(I));
-  // All but an eighth of the engines have much to read.
+  // All but an eighth of the engines have much prefill queued.
   LoadDigest Known;
   for (int I = 0; I < Engines; ++I)
     if (I % 8 != 0)
@@ -220,10 +224,11 @@
     BOOST_TEST(Calls <= Instances / 6);
 }
 
-/// The line between the roles moves, and an engine that takes short prompts now
-/// still reads a long one. A short call goes to one that doesn't: between the
-/// chunks of a long prompt its tokens would come in jerks. A long call likewise
-/// keeps away from short ones that run on.
+/// Guards against pauses after the boundary between the roles has moved. While
+/// an engine for latency-sensitive calls still prefills a long prompt, a short
+/// call goes to another engine, as its tokens would be delayed by each chunk of
+/// the long prompt. Likewise a long call avoids engines with latency-sensitive
+/// calls that still run.
 BOOST_AUTO_TEST_CASE(CallsKeepAwayFromThoseTheyWouldDisturb) {
   std::vector<UpstreamState> States(2);
   for (int I = 0; I < 2; ++I)
@@ -248,9 +253,9 @@
   }
 }
 
-/// A burst of short calls takes all slots of the engines for them. Beyond its
-/// slots an engine would stop one call amid its stream for another; those that
-/// come then go to the engines for long prompts, and at last nowhere.
+/// Guards against preemption by engines with more calls than slots. When a
+/// burst of short calls has taken all slots of the engines for them, further
+/// calls go to the engines for long prompts, and are then refused.
 BOOST_AUTO_TEST_CASE(NoEngineGetsMoreCallsThanItsSlots) {
   TestInstance Instance(4);
   std::map<UpstreamId, int> Calls;
@@ -270,9 +275,10 @@
   BOOST_TEST(Refused > 0);
 }
 
-/// A call runs at an engine that leaves the list and comes back; what is known
-/// of it begins anew there. When the call ends at last, the calls of other
-/// urgencies that have begun since must all still count.
+/// Guards against load counters that lose running calls. A call runs at an
+/// engine that is removed from the list and listed again, with new counters.
+/// When the call ends, all calls of other urgencies that have begun since must
+/// still count.
 BOOST_AUTO_TEST_CASE(AnEndFromBeforeTakesNothingFromOthers) {
   CallLoad Load;
   Load.begin(1, {100, 200, true});
@@ -285,33 +291,33 @@
   BOOST_TEST(Load.unreadBefore(1) == 100U);
 }
 
-/// What others have at an engine counts as our own does: without it nine
-/// instances that each see a ninth of a burst send it all to one engine.
+/// Guards against choices by own calls alone: nine instances that each receive
+/// a ninth of a burst would send all of it to one engine.
 BOOST_AUTO_TEST_CASE(DigestsOfOthersMoveTheChoice) {
   TestInstance Instance(2);
   const Placed First = Instance.placeAndServe(longCall(1, 2));
   LoadDigest Digest;
   Digest.m_Loads.push_back({First.m_Upstream, 0, 30, 400000, 0, 0});
   Instance.m_Balancer.peerSaid(InstanceId(7), Digest, Instance.m_Now);
-  // The prompt is read again elsewhere rather than wait for ten seconds.
+  // The prefix is prefilled elsewhere, as the wait would be ten seconds.
   BOOST_TEST(
       (Instance.placeAndServe(longCall(1, 3)).m_Upstream != First.m_Upstream));
-  // With the other engine as busy, the call is refused for the wait.
+  // With the other engine equally busy, the call is refused for the wait.
   Digest.m_Loads.push_back(Digest.m_Loads.front());
   Digest.m_Loads.back().m_Upstream =
       upstreamIdOf(First.m_Name == "engine-0" ? "engine-1" : "engine-0");
   Instance.m_Balancer.peerSaid(InstanceId(7), Digest, Instance.m_Now);
   BOOST_TEST(std::holds_alternative<NotPlaced>(
       Instance.m_Balancer.place(longCall(1, 4), Instance.m_Now)));
-  // The other instance is gone; what it said lapses.
+  // The digest of the other instance expires.
   Instance.m_Now += PeerLoads::DigestLife + 1ms;
   BOOST_TEST(std::holds_alternative<Placed>(
       Instance.m_Balancer.place(longCall(1, 5), Instance.m_Now)));
 }
 
-/// Load: more long prompts than the engines can read. The caller is told at
-/// once that the call has not run, and when to come back; calls that are more
-/// urgent are still taken, since what waits is read after them.
+/// Guards against calls that wait in vain under overload by long prompts: such
+/// a call is refused at once, with a time to retry. More urgent calls are still
+/// accepted, as their prompts are prefilled before the queued ones.
 BOOST_AUTO_TEST_CASE(WhatWouldWaitTooLongIsRefusedAtOnce) {
   TestInstance Instance(4);
   PlacementQuery Query = longCall(1, 1);
@@ -331,8 +337,8 @@
       Instance.m_Balancer.place(Query, Instance.m_Now)));
 }
 
-/// An engine that runs out of memory stops a call amid its stream. The calls
-/// of all instances together stay under the share that is kept for calls.
+/// Guards against an engine that runs out of memory and preempts a call amid
+/// its stream: the calls at it stay below the share of its memory for calls.
 BOOST_AUTO_TEST_CASE(CallsFitIntoAnEnginesMemory) {
   TestInstance Instance(2);
   Instance.m_Balancer.setCacheTokens("writer", 100000);
@@ -342,7 +348,7 @@
         Instance.m_Balancer.place(longCall(I, 1000 + I), Instance.m_Now);
     if (const auto *Placement = std::get_if<Placed>(&Result)) {
       Instance.m_Balancer.answered(Placement->m_Ticket,
-                                   Instance.m_Now); // Read, still runs.
+                                   Instance.m_Now); // Prefilled, still runs.
       Held[Placement->m_Upstream] += SharedTokens + UniqueTokens + 100;
     }
   }
@@ -351,8 +357,9 @@
     BOOST_TEST(Tokens <= 55000U);
 }
 
-/// An upstream that is leaving, by the list or by its own word, gets nothing
-/// new, and a call that was placed there before is not begun.
+/// Guards against new calls to an upstream that is draining, by the list or by
+/// its own answer, and against the start of a call that was placed there
+/// before.
 BOOST_AUTO_TEST_CASE(LeavingUpstreamsGetNothing) {
   TestInstance Instance(0);
   std::vector<Upstream> List = {desk(1, "a"), desk(2, "a")};
@@ -365,7 +372,7 @@
   for (int I = 0; I < 20; ++I)
     BOOST_TEST(
         (Instance.placeOrFail(plainCall()).m_Upstream != Waiting.m_Upstream));
-  // The other one says that it is not what the list says.
+  // The other one answers that it is draining.
   const Placed Last = Instance.placeOrFail(plainCall());
   Instance.m_Balancer.ended(Last.m_Ticket, CallOutcome::Leaving,
                             Instance.m_Now);
@@ -373,8 +380,8 @@
       Instance.m_Balancer.place(plainCall(), Instance.m_Now)));
 }
 
-/// An upstream that answers with errors while its probe is good is kept out for
-/// a while and then tried again; when all fail alike none is.
+/// An upstream that answers with errors although its probe succeeds is ejected
+/// for some time and then tried again; when all fail alike none is ejected.
 BOOST_AUTO_TEST_CASE(SickUpstreamsAreKeptOutUpToACeiling) {
   TestInstance Instance(0);
   Instance.m_Balancer.setUpstreams(
@@ -405,8 +412,9 @@
   BOOST_TEST(runRound([](UpstreamId) { return true; }).size() == 4U);
 }
 
-/// A restart under the same name is another upstream: nothing of the earlier
-/// one's load or memory counts for it, and a late end does no harm.
+/// Guards against state that survives a restart of an upstream: its new
+/// incarnation has another id, none of the earlier load or cache counts for it,
+/// and a late end of an earlier call has no effect.
 BOOST_AUTO_TEST_CASE(ARestartStartsAnew) {
   TestInstance Instance(2);
   const Placed Before = Instance.placeOrFail(longCall(1, 2));
@@ -423,7 +431,8 @@
   BOOST_TEST(Instance.placeOrFail(longCall(1, 4)).m_Why.m_Calls == 0);
 }
 
-/// Plain calls stay in their zone unless another one is clearly less loaded.
+/// Guards against plain calls that leave their zone although an upstream in
+/// another one is not clearly less loaded.
 BOOST_AUTO_TEST_CASE(PlainCallsPreferTheirZone) {
   TestInstance Instance(0);
   Instance.m_Balancer.setUpstreams({desk(1, "a"), desk(2, "b")});
@@ -436,8 +445,8 @@
   BOOST_TEST(UsedOtherZone);
 }
 
-// Guards against calls to an upstream over the limit that it has stated, and a
-// refusal that doesn't say so or when to come back.
+// Guards against calls to an upstream beyond the limit that it has stated, and
+// a refusal without that reason or without a time to retry.
 BOOST_AUTO_TEST_CASE(UpstreamsOverTheirLimitGetNothing) {
   TestInstance Instance(0);
   Instance.m_Balancer.setUpstreams({desk(1, "a"), desk(2, "a")});
@@ -466,8 +475,9 @@
   BOOST_TEST(Instance.placeOrFail(plainCall()).m_Name != "");
 }
 
-/// Engines are divided as the work is. Both kinds keep some while there is work
-/// of both; a kind without work needs none, and kept ones would idle.
+/// The engines are divided in proportion to the work. Each kind has at least
+/// one engine while there is work of both; a kind without work has none, as
+/// they would idle.
 BOOST_AUTO_TEST_CASE(TheSplitFollowsTheWork) {
   RoleSplit Split;
   TimePoint Now{100s};
@@ -492,19 +502,19 @@
     Split.add({0, 100000}, Now);
   }
   BOOST_TEST(Split.shortEngines(9) == 0U);
-  // An hour without work leaves nothing to divide by.
+  // After an hour without work the sums are zero.
   Now += 1h;
   Split.add({}, Now);
   BOOST_TEST(Split.shortEngines(10) == 3U);
 }
 
-/// The memory model forgets what was used longest ago, and a part counts only
-/// with all that come before it.
+/// The cache model evicts the least recently used segments, and a segment
+/// counts only together with all segments before it.
 BOOST_AUTO_TEST_CASE(TheCacheModelForgetsOldParts) {
   CacheModel Model;
   const UpstreamId Engine = upstreamIdOf("e");
   for (std::uint64_t I = 0; I < 10; ++I)
-    Model.placed(Engine, {I, 1000}, 10000); // Keeps six.
+    Model.placed(Engine, {I, 1000}, 10000); // Room for six.
   BOOST_TEST(Model.kept(Engine, {{9, 1000}}) == 1000U);
   BOOST_TEST(Model.kept(Engine, {{0, 1000}}) == 0U);
   BOOST_TEST(Model.kept(Engine, {{0, 1000}, {9, 1000}}) == 0U);
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -1,5 +1,5 @@
-/// Requests that crash upstreams: what counts against them, in one instance and
-/// in fleets in virtual time.
+/// Requests that crash upstreams, and their quarantine in one instance and in
+/// fleets, in virtual time.
 #define BOOST_TEST_MODULE quarantine
 #include "balance/quarantine.h"
 
@@ -20,15 +20,14 @@
 ContentHash request(std::uint64_t Number) { return {Number, Number}; }
 UpstreamId upstream(std::uint64_t Number) { return UpstreamId(Number); }
 
-/// An upstream crashes under a request at \p At.
+/// Records at \p Observer that an upstream crashed while it ran a request.
 void crash(Quarantine &Observer, const ContentHash &Request,
            std::uint64_t Upstream, TimePoint Now) {
   Observer.callBroken(Request, upstream(Upstream), Now);
   Observer.upstreamDown(upstream(Upstream), Now);
 }
 
-/// Instances that tell one another with delays. Each is reached at another
-/// time, and not at all while it is away.
+/// Instances that exchange updates with delays.
 class Fleet {
 public:
   Fleet(std::size_t Count, std::uint64_t Seed) : m_Random(Seed) {
@@ -41,7 +40,7 @@
   std::size_t randomIndex() { return m_Random() % m_Instances.size(); }
   std::uint64_t below(std::uint64_t Limit) { return m_Random() % Limit; }
 
-  /// Delivers what is due and sends what is new.
+  /// Delivers the updates that are due and sends new ones.
   void exchange(TimePoint Now) {
     for (auto Next = m_InFlight.begin();
          Next != m_InFlight.end() && Next->first <= Now;
@@ -52,7 +51,7 @@
         send(Updates, Now);
   }
 
-  /// The instance starts anew and knows what the list has.
+  /// Restarts an instance, which then knows only the list.
   void restart(std::size_t Index, const std::set<ContentHash> &Listed,
                TimePoint Now) {
     m_Instances[Index] = Quarantine(m_Random());
@@ -61,7 +60,7 @@
 
 private:
   void send(const std::vector<CrashNews> &Updates, TimePoint Now) {
-    // Two groups hear at other times, as zones behind hubs do.
+    // Two groups receive it at different times, as zones behind hubs do.
     for (int Group = 0; Group < 2; ++Group)
       m_InFlight.emplace(Now + std::chrono::milliseconds(below(700)),
                          std::pair(Group, Updates));
@@ -75,26 +74,27 @@
   }
 
   std::mt19937_64 m_Random;            ///< Seeded.
-  std::vector<Quarantine> m_Instances; ///< Instances.
+  std::vector<Quarantine> m_Instances; ///< By index.
   std::multimap<TimePoint, std::pair<int, std::vector<CrashNews>>>
       m_InFlight; ///< By arrival.
 };
 
 } // namespace
 
-// Guards against a connection that is reset and taken for a crash.
+// Guards against a reset connection that is counted as a crash.
 BOOST_AUTO_TEST_CASE(ABrokenConnectionAloneIsNoCrash) {
   Quarantine Local(1);
   for (std::uint64_t I = 0; I < 10; ++I)
     Local.callBroken(request(1), upstream(I), Begin);
   BOOST_TEST((Local.heldFor(request(1), Begin) == 0s));
-  // An upstream that ends long after has not crashed under these calls.
+  // An upstream that goes down long after did not crash under these calls.
   for (std::uint64_t I = 0; I < 10; ++I)
     Local.upstreamDown(upstream(I), Begin + Quarantine::BrokenLife + 1s);
   BOOST_TEST(Local.crashesOf(request(1)) == 0U);
 }
 
-// Guards against news that count twice, in another order or by several ways.
+// Guards against updates that are counted twice when they arrive in another
+// order or by several paths.
 BOOST_AUTO_TEST_CASE(NewsMergeTheSameInAnyOrder) {
   rc::check("news merge", [] {
     std::vector<CrashNews> Updates;
@@ -120,7 +120,7 @@
   });
 }
 
-// Guards against a request that is served and still counted among crashes.
+// Guards against crashes that still count after the request was served.
 BOOST_AUTO_TEST_CASE(ACallThatEndsClearsItsRequest) {
   Quarantine Local(1);
   Quarantine Other(2);
@@ -135,8 +135,8 @@
   BOOST_TEST((Local.heldFor(request(1), Begin) == 0s));
 }
 
-// Guards against a fleet of any size that lets a request go on crashing
-// upstreams, while instances restart and news are late.
+// Guards against a request that continues to crash upstreams in a fleet of any
+// size, while instances restart and updates are late.
 BOOST_AUTO_TEST_CASE(ARequestThatCrashesUpstreamsStopsInAFleet) {
   constexpr Duration SpreadTime = 3s;
   for (const std::size_t Count : {4, 9, 30, 300, 1000})
@@ -149,7 +149,7 @@
       for (TimePoint Now = Begin; Now < Begin + 30s; Now += 20ms) {
         Instances.exchange(Now);
         const std::size_t Index = Instances.randomIndex();
-        // The list is written a second after an instance knows.
+        // The list is written about a second after an instance quarantines it.
         if (ThirdCrashAt != TimePoint() && Now > ThirdCrashAt + 1200ms)
           Listed.insert(request(1));
         if (Instances.below(50) == 0)
@@ -170,8 +170,8 @@
     }
 }
 
-// Guards against proper requests that are held for crashes of others: a tenth
-// of the upstreams goes down each second, whatever their number.
+// Guards against a hold of harmless requests because of unrelated crashes: a
+// tenth of the upstreams goes down each second, whatever their number.
 BOOST_AUTO_TEST_CASE(ProperRequestsRunWhileUpstreamsCrash) {
   constexpr Duration CallTime = 30ms;
   constexpr std::uint64_t CrashesInThousandCalls = 3;
@@ -190,7 +190,7 @@
   }
 }
 
-// Guards against long requests that are held because they ran beside one that
+// Guards against a hold of long requests because they ran beside one that
 // crashes upstreams.
 BOOST_AUTO_TEST_CASE(FewRequestsAreHeldForTheirNeighbour) {
   std::uint64_t NeighbourCount = 0;
@@ -199,8 +199,8 @@
     std::mt19937_64 Random(Seed);
     Quarantine Local(Seed);
     constexpr std::uint64_t UpstreamCount = 12;
-    // Long requests, spread over the upstreams; a broken one goes elsewhere
-    // once, and its caller sends it once more.
+    // Long requests, spread over the upstreams; a broken one is retried
+    // elsewhere once, and its caller sends it once more.
     std::vector<std::uint64_t> Upstreams(200);
     std::vector<unsigned> Runs(Upstreams.size(), 1);
     for (std::uint64_t &Target : Upstreams)
@@ -226,7 +226,7 @@
   BOOST_TEST(HeldCount * 500 < NeighbourCount);
 }
 
-// Guards against a lapse that each of many instances tries out by itself.
+// Guards against one more crash on each of many instances when a hold expires.
 BOOST_AUTO_TEST_CASE(AfterALapseOneCrashHoldsEverywhere) {
   for (const std::size_t Count : {4, 30, 300}) {
     Fleet Instances(Count, Count);
@@ -245,8 +245,9 @@
   }
 }
 
-// Guards against a list that brings back a request which has been cleared, or
-// misses one that an operator took off.
+// Guards against a list that quarantines a cleared request again, and against a
+// request that stays quarantined after an operator has removed it from the
+// list.
 BOOST_AUTO_TEST_CASE(TheListHoldsAndClears) {
   Quarantine Local(1);
   Local.setListed({request(1)}, Begin);
@@ -270,7 +271,7 @@
   BOOST_TEST(Local.wronglyListed().empty());
 }
 
-// Guards against memory that grows with the requests that were ever suspected.
+// Guards against memory use that grows with the number of suspected requests.
 BOOST_AUTO_TEST_CASE(SuspectsGoBeforeQuarantinedRequests) {
   Quarantine Local(1);
   for (std::uint64_t I = 1; I <= 3; ++I)
@@ -283,8 +284,8 @@
   BOOST_TEST(Local.takeNews().size() <= Quarantine::MostNews);
 }
 
-// Guards against content that differs and counts as one request, or is the same
-// and counts as two.
+// Guards against different contents with one hash, and against equal contents
+// with different hashes.
 BOOST_AUTO_TEST_CASE(ContentIsMethodHostTargetWorkspaceAndBody) {
   const RequestContent One = {"POST", "h", "/p?q=1", "w", "body"};
   const ContentHash Hash = contentHashOf(One);
--- a/tests/unit/rate_limits_test.cpp
+++ b/tests/unit/rate_limits_test.cpp
@@ -1,4 +1,4 @@
-/// Limits that upstreams state, kept by fleets in virtual time.
+/// Rate limits that upstreams state, observed by fleets in virtual time.
 #define BOOST_TEST_MODULE rate_limits
 #include "balance/rate_limits.h"
 
@@ -18,8 +18,8 @@
 constexpr Duration Step = 10ms;
 constexpr Duration AnswerTime = 60ms;
 
-/// A limit is kept this long after it was stated first, in any span of Window,
-/// by instances that had no trouble of their own for as long.
+/// A limit must be observed from this time after it was first stated, in any
+/// window, by instances that had no fault of their own for as long.
 constexpr Duration SpreadTime = 3s;
 constexpr Duration Window = 4s;
 constexpr double RateFactor = 1.5;
@@ -27,8 +27,8 @@
 
 const UpstreamId Limited(7);
 
-/// Instances around one upstream; lists of instances and news come late, some
-/// twice, some never.
+/// Instances that call one upstream. Lists of instances and updates arrive
+/// late, and some updates twice or never.
 class Fleet {
 public:
   Fleet(std::size_t Count, std::uint64_t Seed) : m_Random(Seed) {
@@ -40,8 +40,8 @@
 
   std::size_t below(std::size_t Limit) { return m_Random() % Limit; }
 
-  /// Plays \p Span, in which \p CallsPerSecond callers choose this upstream and
-  /// there is a trouble each \p TroubleEvery on average; 0: none.
+  /// Simulates \p Time with \p CallsPerSecond calls for this upstream, and one
+  /// fault in each \p FaultInterval on average; 0: none.
   void run(Duration Time, std::size_t CallsPerSecond,
            Duration FaultInterval = Duration::zero()) {
     const TimePoint End = m_Now + Time;
@@ -60,7 +60,7 @@
     }
   }
 
-  /// Returns whether each window since \p From had no more than is allowed.
+  /// Returns whether no window since \p From had more arrivals than allowed.
   [[nodiscard]] bool observesLimit(double Limit, TimePoint From) const {
     const double Allowed =
         RateFactor * Limit * std::chrono::duration<double>(Window).count() +
@@ -80,21 +80,21 @@
                       [&](TimePoint Arrival) { return Arrival >= From; }));
   }
 
-  RateLimit m_Limit; ///< The upstream states it.
+  RateLimit m_Limit; ///< Stated by the upstream.
   TimePoint m_Now = Begin;
 
 private:
   struct Instance {
     InstanceId m_Id;
     RateLimits m_Limits;
-    TimePoint m_ExcusedUntil{}; ///< After its own troubles.
-    TimePoint m_FrozenUntil{};  ///< It stands still.
+    TimePoint m_ExcusedUntil{}; ///< Time allowed after its own faults.
+    TimePoint m_FrozenUntil{};  ///< It is frozen until then.
   };
 
   struct Answer {
-    TimePoint m_At;    ///< When it comes.
-    InstanceId m_To;   ///< To whom.
-    TimePoint m_Sent;  ///< Its call.
+    TimePoint m_At;    ///< Time of receipt.
+    InstanceId m_To;   ///< Its receiver.
+    TimePoint m_Sent;  ///< When the call was sent.
     RateLimit m_Limit; ///< As stated.
   };
 
@@ -163,7 +163,7 @@
         To->m_Limits.setInstances(To->m_Id, list(), m_Now);
   }
 
-  /// One instance restarts, stands still, goes for good or comes.
+  /// One instance restarts, freezes, is removed or is added.
   void injectFault() {
     Instance &Target = m_All[below(m_All.size())];
     switch (below(4)) {
@@ -190,19 +190,19 @@
 
   std::mt19937_64 m_Random;          ///< Seeded.
   std::uint64_t m_LastId = 0;        ///< Of instances.
-  std::size_t m_Steps = 0;           ///< So far.
-  std::vector<Instance> m_All;       ///< Now.
+  std::size_t m_Steps = 0;           ///< Steps so far.
+  std::vector<Instance> m_All;       ///< Current ones.
   std::deque<Answer> m_Answers;      ///< In the order of m_At.
-  std::vector<TimePoint> m_Arrivals; ///< Of instances that count.
+  std::vector<TimePoint> m_Arrivals; ///< From instances not excused.
   std::multimap<TimePoint, std::pair<TimePoint, std::vector<LimitNews>>>
-      m_InFlight;                                       ///< News by arrival.
+      m_InFlight;                                       ///< Updates by arrival.
   std::multimap<TimePoint, InstanceId> m_ListsInFlight; ///< By arrival.
 };
 
 } // namespace
 
-// Guards against instances that together send an upstream more than it takes,
-// in fleets of any size that start, freeze and lose what they tell.
+// Guards against instances that together send an upstream more calls than its
+// limit, in fleets of any size with restarts, freezes and lost updates.
 BOOST_AUTO_TEST_CASE(AFleetKeepsALimit) {
   for (const std::size_t Count : {4, 9, 30, 300, 1000})
     for (const double Limit : {0.0, 0.3, 1.0, 1.8, 5.0, 20.0})
@@ -220,7 +220,7 @@
         }
 }
 
-// Guards against a limit that is not used, or hardly.
+// Guards against a limit that is hardly used.
 BOOST_AUTO_TEST_CASE(AFleetUsesALimit) {
   for (const std::size_t Count : {4, 9, 30, 300})
     for (const double Limit : {1.0, 5.0, 20.0}) {
@@ -234,7 +234,7 @@
     }
 }
 
-// Guards against a limit that outlasts the need of its upstream.
+// Guards against a limit that persists after its upstream has ended it.
 BOOST_AUTO_TEST_CASE(AnEndedLimitIsForgotten) {
   for (const std::size_t Count : {4, 30, 300})
     for (const double Limit : {0.0, 0.3, 1.0, 5.0})
@@ -250,7 +250,7 @@
       }
 }
 
-// Guards against tokens that are kept from a higher limit, or from none.
+// Guards against the use of tokens from a higher limit, or from none.
 BOOST_AUTO_TEST_CASE(ALowerLimitBeginsWithoutTokens) {
   RateLimits Limits(1);
   Limits.setInstances(InstanceId(1), {InstanceId(1)}, Begin - 10s);
@@ -262,7 +262,7 @@
   BOOST_TEST(Limits.mayTake(Limited, Begin + 2100ms));
 }
 
-// Guards against a new sender beside one that doesn't know yet that it is none.
+// Guards against a new sender beside an earlier one that has not stopped yet.
 BOOST_AUTO_TEST_CASE(ANewSenderWaitsUntilListsAgree) {
   RateLimits Limits(1);
   Limits.setInstances(InstanceId(1), {InstanceId(2)}, Begin - 10s);
@@ -274,7 +274,7 @@
   BOOST_TEST(!Limits.mayTake(Limited, Begin + 10s));
 }
 
-// Guards against an old answer that ends a limit stated after its call.
+// Guards against an answer that ends a limit which was stated after its call.
 BOOST_AUTO_TEST_CASE(AnAnswerToAnOlderCallEndsNoLimit) {
   RateLimits Limits(1);
   Limits.setInstances(InstanceId(1), {InstanceId(1)}, Begin - 10s);
@@ -287,7 +287,7 @@
   BOOST_TEST(!Limits.limitOf(Limited).has_value());
 }
 
-// Guards against upstreams that went and are remembered.
+// Guards against state of upstreams that are no longer listed.
 BOOST_AUTO_TEST_CASE(UnlistedUpstreamsAreForgotten) {
   RateLimits Limits(1);
   Limits.stated(Limited, 1, Begin, Begin);
--- a/tests/unit/retry_budget_test.cpp
+++ b/tests/unit/retry_budget_test.cpp
@@ -1,4 +1,4 @@
-/// The retry budget that instances share without asking one another.
+/// Retry budget that instances share without asking one another.
 #define BOOST_TEST_MODULE retry_budget
 #include "balance/retry_budget.h"
 
@@ -15,7 +15,7 @@
 
 const std::string Service = "s";
 
-/// Instances of a fleet, and what all of them sent.
+/// The budgets of a fleet of instances, and what all of them sent.
 struct Fleet {
   RetryBudgetSettings m_Bound;
   std::vector<RetryBudget> m_Budgets;
@@ -37,14 +37,14 @@
     return true;
   }
 
-  /// Every instance repeats as often as it may.
+  /// Every instance retries as often as its budget allows.
   void retryAll(TimePoint Now) {
     for (std::size_t I = 0; I < m_Budgets.size(); ++I)
       while (retry(I, Now))
         continue;
   }
 
-  /// Returns whether every window keeps the bound.
+  /// Returns whether the bound holds in every window.
   [[nodiscard]] bool holdsBound() const {
     return std::all_of(m_Retries.begin(), m_Retries.end(), [&](TimePoint End) {
       return static_cast<double>(countInWindow(m_Retries, End)) <=
@@ -64,8 +64,8 @@
 
 } // namespace
 
-// Guards against repeats over the bound in a fleet of any size whose instances
-// know different numbers of one another.
+// Guards against retries beyond the bound in a fleet of any size whose
+// instances know different numbers of instances.
 BOOST_AUTO_TEST_CASE(RetriesOfAllInstancesKeepTheBound) {
   rc::check("bound on retries", [] {
     const auto Count = *rc::gen::inRange<std::size_t>(1, 1001);
@@ -89,8 +89,8 @@
   });
 }
 
-// Guards against a slack that is divided among the few that are listed while a
-// whole fleet starts.
+// Guards against slack that is divided among the few instances that are listed
+// while a whole fleet starts.
 BOOST_AUTO_TEST_CASE(AStartOfAllKeepsTheBound) {
   rc::check("bound on retries during a start", [] {
     const auto Count = *rc::gen::inRange<std::size_t>(1, 501);
@@ -102,7 +102,7 @@
                          std::chrono::milliseconds(*rc::gen::inRange(0, 300)));
     for (TimePoint Now = Begin; Now < Begin + 12s; Now += 250ms) {
       for (std::size_t I = 0; I < Count; ++I)
-        // Each reads the list when it starts and again every three seconds.
+        // An instance reads the list when it starts and then every 3 s.
         if (Now >= ListedAt[I] && (Now - ListedAt[I]) % 3s < 250ms)
           Instances.m_Budgets[I].setInstances(
               static_cast<std::size_t>(std::count_if(
@@ -115,7 +115,7 @@
   });
 }
 
-// Guards against survivors that use the slack of instances which have just left
+// Guards against instances that use the slack of others which have just left
 // and have used it themselves.
 BOOST_AUTO_TEST_CASE(SlackOfThoseThatLeftIsNotUsedTwice) {
   const TimePoint Begin{100s};
@@ -128,7 +128,7 @@
   Instances.retryAll(Begin + 2s);
   Instances.retryAll(Begin + 9s);
   BOOST_TEST(Instances.holdsBound());
-  // A window later the survivors have all of it.
+  // After a window the remaining instances share the whole slack.
   const std::size_t Before = Instances.m_Retries.size();
   for (std::size_t I = 0; I < 150; ++I)
     while (Instances.retry(I, Begin + 30s))
@@ -136,7 +136,7 @@
   BOOST_TEST(Instances.m_Retries.size() - Before == 150 * 3U);
 }
 
-// Guards against a budget that a lone instance can't use.
+// Guards against a small fleet that can use little of its budget.
 BOOST_AUTO_TEST_CASE(AFewInstancesHaveMostOfTheSlack) {
   const TimePoint Begin{100s};
   Fleet Instances(9, {0.2, 58, 10s});
