--- a/src/balance/balancer.cpp
+++ b/src/balance/balancer.cpp
@@ -26,8 +26,8 @@
 /// limits: the limits may have ended by then.
 constexpr Duration LimitedRetryAfter = std::chrono::seconds(4);
 
-/// Number of calls that an upstream in another zone must have fewer to be
-/// chosen, for the longer way to it.
+/// Cost of an upstream in another zone: for the longer way to it, it must have
+/// this many calls fewer to be chosen.
 constexpr double OtherZonePenalty = 2;
 
 /// Age from which a load report is not used any more.
--- a/src/balance/quarantine.h
+++ b/src/balance/quarantine.h
@@ -65,15 +65,14 @@
 
   /// Hold time of the first quarantine, to which each instance adds a
   /// different share of up to a half, so that the request may run again on one
-  /// of them first.
-  /// One crash there then quarantines it everywhere for HoldGrowthFactor times
-  /// as long.
+  /// of them first. One crash there then quarantines it everywhere for
+  /// HoldGrowthFactor times as long.
   static constexpr Duration FirstLapse = std::chrono::minutes(5);
   static constexpr int LapseGrowth = 12;
   static constexpr Duration LongestLapse = std::chrono::hours(24);
 
-  /// The crashes of a request stop counting towards a quarantine when the last
-  /// one is older than this.
+  /// The crashes of a request no longer count towards a quarantine when the
+  /// last one is older than this.
   static constexpr Duration SuspectLife = std::chrono::minutes(15);
 
   /// An upstream's crash is detected within this time after its connections
--- a/tests/unit/balance_test.cpp
+++ b/tests/unit/balance_test.cpp
@@ -326,8 +326,8 @@
   for (std::uint64_t I = 0; I < 200 && !Refused; ++I) {
     Query.m_Prompt.m_Parts = {{I, SharedTokens}, {1000 + I, UniqueTokens}};
     const auto Result = Instance.m_Balancer.place(Query, Instance.m_Now);
-    if (const auto *Why = std::get_if<NotPlaced>(&Result))
-      Refused = *Why;
+    if (const auto *Refusal = std::get_if<NotPlaced>(&Result))
+      Refused = *Refusal;
   }
   BOOST_REQUIRE(Refused.has_value());
   BOOST_TEST((Refused->m_Reason == RefusalReason::TargetUnreachable));
