--- a/src/balance/retry_budget.h
+++ b/src/balance/retry_budget.h
@@ -15,7 +15,7 @@
 struct RetryBudgetSettings {
   double m_Ratio = 0.2;                         ///< Retries for each call.
   double m_Slack = 50;                          ///< Retries beside these.
-  Duration m_Window = std::chrono::seconds(10); ///< The bound holds in any.
+  Duration m_Window = std::chrono::seconds(10); ///< In any span of it.
 };
 
 /// One instance's share of a budget that all instances share without asking one
--- a/src/balance/upstream_state.h
+++ b/src/balance/upstream_state.h
@@ -36,12 +36,12 @@
   std::size_t m_ShortRank = 0;       ///< See roleOrder().
   CallLoad m_Own;                    ///< This instance's calls.
   std::optional<LoadReport> m_Load;  ///< Last report.
-  std::uint32_t m_RunningAtLoad = 0; ///< Own calls at that time.
+  std::uint32_t m_RunningAtLoad = 0; ///< Own calls at its receipt.
   TimePoint m_LoadAt{};              ///< Receipt of the report.
   TimePoint m_HeardAt{};             ///< Last byte, on any own call.
   UpstreamHealth m_Health;           ///< By its answers.
-  TimePoint m_FullUntil{};           ///< After it had no room.
-  TimePoint m_LeavingUntil{};        ///< After it said so.
+  TimePoint m_FullUntil{};           ///< Had no room.
+  TimePoint m_LeavingUntil{};        ///< Reported draining.
 };
 
 } // namespace crowstep::balance
--- a/src/contract_type.h
+++ b/src/contract_type.h
@@ -41,7 +41,7 @@
   std::uint32_t m_WorkspaceRate = 0;       ///< As above, a workspace.
   std::uint32_t m_WorkspaceTokenRate = 0;  ///< As above, a workspace.
   bool m_Repeatable = true;          ///< False: at most once, key required.
-  bool m_Preemptible = false;        ///< Running work may be stopped.
+  bool m_Preemptible = false;        ///< Running work may be preempted.
   std::uint32_t m_RetryPercent = 10; ///< Retries per 100 first attempts.
 
   bool operator==(const Contract &) const = default;
--- a/tests/unit/rate_limits_test.cpp
+++ b/tests/unit/rate_limits_test.cpp
@@ -209,7 +209,7 @@
       for (const Duration FaultInterval :
            {Duration(0s), Duration(300ms), Duration(12s)})
         BOOST_TEST_CONTEXT(Count << " instances, limit " << Limit
-                                 << ", one fault each " << FaultInterval.count()
+                                 << ", a fault each " << FaultInterval.count()
                                  << " us") {
           Fleet Instances(Count, Count);
           Instances.run(1s, 500);
