--- a/tests/unit/balance_test.cpp
+++ b/tests/unit/balance_test.cpp
@@ -234,7 +234,7 @@
   for (int I = 0; I < 2; ++I)
     States[static_cast<std::size_t>(I)].m_Upstream = engine(I);
   std::mt19937_64 Random(1);
-  const auto choose = [&](const PlacementQuery &Query,
+  const auto Choose = [&](const PlacementQuery &Query,
                           const EngineOption &First,
                           const EngineOption &Second) {
     const bool LatencySensitive = isTight(Query, Duration::zero());
@@ -246,9 +246,9 @@
   for (const bool Swapped : {false, true}) {
     UpstreamState *Prefilling = &States[Swapped ? 1 : 0];
     UpstreamState *Idle = &States[Swapped ? 0 : 1];
-    BOOST_TEST((choose(Short, {Prefilling, 1, 0, 20000, 0, 0, 0, 1200},
+    BOOST_TEST((Choose(Short, {Prefilling, 1, 0, 20000, 0, 0, 0, 1200},
                        {Idle, 8, 0, 0, 0, 0, 0, 1200}) == Idle));
-    BOOST_TEST((choose(longCall(1, 2), {Prefilling, 30, 0, 0, 30, 30, 0, 3000},
+    BOOST_TEST((Choose(longCall(1, 2), {Prefilling, 30, 0, 0, 30, 30, 0, 3000},
                        {Idle, 30, 0, 0, 0, 0, 0, 3000}) == Idle));
   }
 }
@@ -387,7 +387,7 @@
   Instance.m_Balancer.setUpstreams(
       {desk(1, "a"), desk(2, "a"), desk(3, "a"), desk(4, "a")});
   const UpstreamId Failing = upstreamIdOf("desk-1");
-  const auto runRound = [&](auto Fails) {
+  const auto RunRound = [&](auto Fails) {
     std::map<UpstreamId, int> Count;
     std::vector<Placed> Open;
     Open.reserve(4);
@@ -403,13 +403,13 @@
     return Count;
   };
   for (int I = 0; I < 5; ++I)
-    runRound([&](UpstreamId Id) { return Id == Failing; });
-  BOOST_TEST(runRound([](UpstreamId) { return false; })[Failing] == 0);
+    RunRound([&](UpstreamId Id) { return Id == Failing; });
+  BOOST_TEST(RunRound([](UpstreamId) { return false; })[Failing] == 0);
   Instance.m_Now += 2s;
-  BOOST_TEST(runRound([](UpstreamId) { return false; })[Failing] > 0);
+  BOOST_TEST(RunRound([](UpstreamId) { return false; })[Failing] > 0);
   for (int I = 0; I < 10; ++I)
-    runRound([](UpstreamId) { return true; });
-  BOOST_TEST(runRound([](UpstreamId) { return true; }).size() == 4U);
+    RunRound([](UpstreamId) { return true; });
+  BOOST_TEST(RunRound([](UpstreamId) { return true; }).size() == 4U);
 }
 
 /// Guards against state that survives a restart of an upstream: its new
@@ -452,7 +452,7 @@
   Instance.m_Balancer.setUpstreams({desk(1, "a"), desk(2, "a")});
   Instance.m_Balancer.setInstances(InstanceId(1), {InstanceId(1)},
                                    Instance.m_Now - 10s);
-  const auto stateLimit = [&](const Placed &Call, RateLimit Limit) {
+  const auto StateLimit = [&](const Placed &Call, RateLimit Limit) {
     Instance.m_Balancer.stated(Call.m_Ticket, Limit, Instance.m_Now);
     Instance.m_Balancer.ended(Call.m_Ticket, CallOutcome::Served,
                               Instance.m_Now);
@@ -460,17 +460,17 @@
   const Placed First = Instance.placeOrFail(plainCall());
   const Placed Second = Instance.placeOrFail(plainCall());
   BOOST_TEST(First.m_Name != Second.m_Name);
-  stateLimit(First, 0.5);
+  StateLimit(First, 0.5);
   for (int I = 0; I < 5; ++I)
     BOOST_TEST(Instance.placeOrFail(plainCall()).m_Name == Second.m_Name);
-  stateLimit(Second, 0.5);
+  StateLimit(Second, 0.5);
   const auto Result = Instance.m_Balancer.place(plainCall(), Instance.m_Now);
   BOOST_REQUIRE(std::holds_alternative<NotPlaced>(Result));
   const auto &None = std::get<NotPlaced>(Result);
   BOOST_TEST((None.m_Reason == RefusalReason::UpstreamLimited));
   BOOST_TEST((None.m_RetryAfter == 1s));
   Instance.m_Now += 2100ms;
-  stateLimit(Instance.placeOrFail(plainCall()), std::nullopt);
+  StateLimit(Instance.placeOrFail(plainCall()), std::nullopt);
   Instance.placeOrFail(plainCall());
   BOOST_TEST(Instance.placeOrFail(plainCall()).m_Name != "");
 }
