--- a/src/entry/caller_request.cpp
+++ b/src/entry/caller_request.cpp
@@ -1,4 +1,4 @@
-/// Reading and checking what a caller sent.
+/// Parsing and validation of callers' requests.
 #include "entry/caller_request.h"
 
 #include <algorithm>
@@ -32,10 +32,10 @@
   return Type == "application/json" || Type == "application/json ";
 }
 
-/// Tells whether brackets nest deeper than MaxNesting outside of strings. The
-/// JSON library writes a document by recursion: a body of brackets would end
-/// the process by its stack. A scan before the parse is enough, as nothing
-/// that passes it can nest deeper.
+/// Returns whether brackets outside of strings nest deeper than MaxNesting. The
+/// JSON library serialises by recursion, so a body of brackets would overflow
+/// the stack. A scan before the parse is enough, as no document that passes it
+/// nests deeper.
 bool nestsTooDeep(const std::string &Text) {
   std::size_t Depth = 0;
   bool InString = false;
@@ -53,7 +53,8 @@
   return false;
 }
 
-/// Appends the text of one message's content, a string or typed parts.
+/// Appends the text of a message's content, which is a string or an array of
+/// typed parts.
 void appendContent(const Json &Content, std::string &Out) {
   if (Content.is_string())
     Out += Content.get_ref<const std::string &>();
@@ -63,7 +64,7 @@
         Out += Part["text"].get_ref<const std::string &>();
 }
 
-/// Returns the prompt's text, or nothing where the body has none.
+/// Returns the text of the prompt, or nothing if the body has no valid one.
 std::optional<std::string> promptOf(const Json &Body, bool Chat) {
   std::string Result;
   if (!Chat) {
@@ -83,7 +84,9 @@
   return Result;
 }
 
-/// Reads an optional whole number; nothing where it is of another kind.
+/// Returns the limit on the output: the caller's, but at most \p Max, or \p Max
+/// if the caller sets none. 0 for \p Max means no limit. Returns nothing if the
+/// caller's value is not a positive integer.
 std::optional<std::uint32_t> maxTokensOf(const Json &Body, std::uint32_t Most) {
   for (const char *Name : {"max_completion_tokens", "max_tokens"}) {
     const auto Field = Body.find(Name);
@@ -136,7 +139,8 @@
   return RefusalReason::None;
 }
 
-/// Hashes workspace and key together: a workspace can't name another's claim.
+/// Returns a hash of workspace and key, so that a workspace can't address the
+/// claim of another one.
 claim::ClaimKey claimKeyOf(WorkspaceId Workspace, const std::string &Key) {
   const std::string Text = std::to_string(Workspace.value()) + "/" + Key;
   const XXH128_hash_t Hash = XXH3_128bits(Text.data(), Text.size());
--- a/src/entry/directory.cpp
+++ b/src/entry/directory.cpp
@@ -1,4 +1,4 @@
-/// Table, upstreams and workspaces in force.
+/// Updates and look-ups of table, upstreams and workspaces.
 #include "entry/directory.h"
 
 #include "core/digest.h"
--- a/src/entry/directory.h
+++ b/src/entry/directory.h
@@ -1,4 +1,4 @@
-/// What an entry knows of the deployment: table, upstreams, workspaces.
+/// Table, upstreams and workspaces that an entry uses.
 #ifndef CROWSTEP_ENTRY_DIRECTORY_H
 #define CROWSTEP_ENTRY_DIRECTORY_H
 
@@ -13,17 +13,19 @@
 
 namespace crowstep::entry {
 
-/// A customer and the proof of its key.
+/// A workspace and the hash of its key.
 struct WorkspaceRow {
-  WorkspaceId m_Id;      ///< Stable number.
-  std::string m_KeyHash; ///< SHA-256 of its key, in hex.
+  WorkspaceId m_Id;      ///< Stable id.
+  std::string m_KeyHash; ///< SHA-256 of the key, in hex.
 };
 
-/// As the home dispatcher last told.
+/// The table in force, and the upstreams and workspaces that the home
+/// dispatcher last sent.
 class Directory {
 public:
-  /// Puts \p Table in force unless a higher version is. A version never goes
-  /// back: a dispatcher that lags must not undo an accepted change.
+  /// Puts \p Table in force if its version is higher than the present one, and
+  /// returns whether it did. The version never decreases, so that a dispatcher
+  /// that lags behind can't undo an accepted change.
   bool setTable(ContractTable Table);
   void setUpstreams(std::vector<Upstream> Upstreams);
   void setWorkspaces(const std::vector<WorkspaceRow> &Workspaces);
@@ -36,19 +38,20 @@
   /// Returns the row of the class, or null.
   [[nodiscard]] const Contract *contract(const std::string &Class) const;
 
-  /// Returns whether any workspace is known. Before that no caller's key can be
-  /// told from a wrong one.
+  /// Returns whether any workspace is known. Until then a valid key can't be
+  /// told from an unknown one.
   [[nodiscard]] bool knowsWorkspaces() const { return !m_ByKeyHash.empty(); }
 
-  /// Returns the workspace whose key is \p Key. Keys are looked up by their
-  /// hash: the entry keeps none, and the time taken tells nothing of one.
+  /// Returns the workspace with the key \p Key, if any. Keys are looked up by
+  /// hash: the entry stores no keys, and the time of a look-up reveals nothing
+  /// about one.
   [[nodiscard]] std::optional<WorkspaceId>
   workspaceOf(const std::string &Key) const;
 
 private:
   ContractTable m_Table;             ///< In force; the version only grows.
-  std::vector<Upstream> m_Upstreams; ///< All services'.
-  std::unordered_map<std::string, WorkspaceId> m_ByKeyHash; ///< Workspaces.
+  std::vector<Upstream> m_Upstreams; ///< Of all services.
+  std::unordered_map<std::string, WorkspaceId> m_ByKeyHash; ///< Ids.
 };
 
 } // namespace crowstep::entry
--- a/src/entry/dispatcher_placement.cpp
+++ b/src/entry/dispatcher_placement.cpp
@@ -1,4 +1,4 @@
-/// Bids and grants over links.
+/// Bids, grants and releases over the links to dispatchers.
 #include "entry/dispatcher_placement.h"
 
 #include <algorithm>
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// A bid that an owner sent back, or that no owner takes, is tried again after
-/// about this long; spread, so that all entries' bids don't come at once.
+/// Delay before a bid that an owner has returned, or that has no owner, is
+/// routed again. It is random so that the entries' bids don't arrive together.
 constexpr Duration MinReroute = std::chrono::milliseconds(50);
 constexpr Duration MaxReroute = std::chrono::milliseconds(150);
 
@@ -97,7 +97,7 @@
   m_Held.erase(Found);
 }
 
-// ---- Routes -----------------------------------------------------------------
+// ---- Routing ----------------------------------------------------------------
 
 void DispatcherPlacement::reroute() {
   for (auto &[Number, Each] : m_Held)
@@ -105,7 +105,7 @@
 }
 
 void DispatcherPlacement::route(std::uint64_t Number, Held &Each) {
-  if (m_Guard.suspect()) { // Bids go out again once the sockets are read.
+  if (m_Guard.suspect()) { // Bids are sent again once the sockets are read.
     rerouteSoon(PauseGuard::Settling);
     return;
   }
@@ -152,7 +152,7 @@
 }
 
 bool DispatcherPlacement::backToOwner(Held &Each) {
-  // What runs on a slot of our own share ends there; the share bounds it.
+  // A call on a local slot ends there; the local share limits their number.
   if (!m_Alone.waits(*Each.m_Alone))
     return false;
   m_Alone.withdraw(*Each.m_Alone);
@@ -194,7 +194,7 @@
   Out.running.push_back(std::move(Running));
 }
 
-// ---- Answers ----------------------------------------------------------------
+// ---- Frames -----------------------------------------------------------------
 
 void DispatcherPlacement::frame(link::LinkId Link, const wire::Frame &Frame) {
   if (Frame.grants() != nullptr)
@@ -214,7 +214,7 @@
       const auto Found = m_Held.find(Each->request());
       if (Found == m_Held.end() || Found->second.m_Link != Link)
         continue;
-      // Its view of the owners and ours differ for a moment.
+      // The views of the owners differ until both have the same members.
       Found->second.m_Link = link::LinkId();
       Found->second.m_Homeless = m_Clock.now();
       rerouteSoon(jitter());
@@ -231,13 +231,13 @@
 void DispatcherPlacement::granted(link::LinkId Link, const wire::Grant &What) {
   const auto Found = m_Held.find(What.request());
   if (Found == m_Held.end() || Found->second.m_Link != Link)
-    return; // Withdrawn, ended or moved: the other side was told then.
+    return; // Withdrawn, ended or moved: the dispatcher was notified then.
   Held &Each = Found->second;
   if (Each.m_Slot)
-    return; // Granted again after the link came back.
+    return; // Granted again after the link was restored.
   if (m_Guard.suspect()) {
-    // Its validity counts from the receipt, which a freeze makes late: an old
-    // grant could go to an upstream that has left since.
+    // The validity counts from the receipt, which a pause delays: an old grant
+    // could be used at an upstream that has been removed since.
     unused(Link, What, Each.m_Pool);
     Each.m_Link = link::LinkId();
     rerouteSoon(PauseGuard::Settling);
--- a/src/entry/dispatcher_placement.h
+++ b/src/entry/dispatcher_placement.h
@@ -11,13 +11,14 @@
 
 namespace crowstep::entry {
 
-/// Longest wait for an owner that is linked; then the bid is decided here.
+/// Longest wait for a linked owner; then the bid is placed locally.
 inline constexpr Duration OwnerPatience = std::chrono::seconds(1);
 
 class DispatcherPlacement final : public Placement {
 public:
-  /// \p FirstNumber must differ between two starts of the same entry.
-  /// Bids that no dispatcher takes within OwnerPatience go to \p Alone.
+  /// Bids that no dispatcher accepts within OwnerTimeout go to \p Local. Bid
+  /// numbers start above \p FirstNumber, which must differ between two starts
+  /// of the same entry.
   DispatcherPlacement(Fleet &Dispatchers, LocalPlacement &Alone,
                       PauseGuard &Guard, const Clock &Time, Scheduler &Timers,
                       std::uint64_t FirstNumber);
@@ -27,19 +28,20 @@
   void firstToken(BidNumber Bid, Duration Latency) override;
   void release(BidNumber Bid, const ReleaseSlot &How) override;
 
-  /// Takes what \p Frame says of bids.
+  /// Handles the grants, refusals and preemptions in \p Frame.
   void frame(link::LinkId Link, const wire::Frame &Frame);
 
 private:
+  /// A bid that waits, or the call on its slot.
   struct Held {
-    BidTerms m_Terms;                 ///< As bid.
-    PoolId m_Pool;                    ///< Of the service.
-    PlacementListener *m_Listener;    ///< Outlives the bid.
-    link::LinkId m_Link;              ///< Where it was sent; none: nowhere.
-    TimePoint m_BidAt;                ///< For what is left of its times.
-    TimePoint m_Homeless;             ///< Since when no owner is linked.
-    std::optional<UpstreamId> m_Slot; ///< Once granted.
-    std::optional<BidNumber> m_Alone; ///< While it is decided here.
+    BidTerms m_Terms;              ///< As placed at m_BidAt.
+    PoolId m_Pool;                 ///< Pool of the service.
+    PlacementListener *m_Listener; ///< Outlives the bid.
+    link::LinkId m_Link;  ///< Link to the owner that has it; may be none.
+    TimePoint m_BidAt;    ///< To compute the time left.
+    TimePoint m_Homeless; ///< Start of the wait for an owner.
+    std::optional<UpstreamId> m_Slot; ///< Set once granted.
+    std::optional<BidNumber> m_Alone; ///< Set while placed locally.
   };
   using HeldMap = std::unordered_map<std::uint64_t, Held>;
 
@@ -60,9 +62,9 @@
   Fleet &m_Fleet;             ///< Outlives this object.
   PauseGuard &m_Guard;        ///< Outlives this object.
   const Clock &m_Clock;       ///< Outlives this object.
-  Timer m_Reroute;            ///< For bids that no owner holds.
-  std::uint64_t m_LastNumber; ///< Numbers only grow.
-  HeldMap m_Held;             ///< Bids and running work, by number.
+  Timer m_Reroute;            ///< For bids that no owner has.
+  std::uint64_t m_LastNumber; ///< Of the last bid; only grows.
+  HeldMap m_Held;             ///< By bid number.
 };
 
 } // namespace crowstep::entry
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -19,7 +19,7 @@
       m_Fleet(m_Settings.m_Homes, m_Clock, m_Timers, m_Directory),
       m_Links(m_Settings.m_Link, m_Timers, m_Metrics, m_Fleet),
       m_Alone(aloneConfig(), m_Directory, m_Clock, m_Timers),
-      // Bids of an earlier start of this entry have lower numbers.
+      // The time, so that numbers are higher than those of an earlier start.
       m_Dispatched(m_Fleet, m_Alone, m_Guard, m_Clock, m_Timers,
                    static_cast<std::uint64_t>(g_get_real_time())),
       m_Claims(m_Clock, m_Timers, m_Links,
@@ -51,7 +51,8 @@
   Result.m_Zone = m_Settings.m_Link.m_Zone;
   switch (m_Settings.m_Placement) {
   case PlacementKind::Dispatcher:
-    // Every entry may be cut off at once; together they must not overcommit.
+    // All entries may lose their dispatchers at once, and together must not use
+    // more slots than there are.
     Result.m_Divisor = [this] {
       return static_cast<std::uint32_t>(m_Fleet.members().size());
     };
@@ -85,8 +86,8 @@
 }
 
 void Entry::waitForRecords(const std::function<void()> &Done) {
-  // A call that ran and is not recorded would leave its key "in progress" for
-  // a day; [daemon] stop_limit_ms ends the wait in an outage.
+  // If a call that ran is not recorded, its key stays "in progress" for a day.
+  // During an outage, stop_limit_ms in [daemon] limits the wait.
   if (m_Claims.pending() == 0) {
     Done();
     return;
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -1,4 +1,4 @@
-/// The entry daemon: callers' and upstreams' connections of one instance.
+/// The entry daemon: relays callers' requests to upstreams.
 #ifndef CROWSTEP_ENTRY_ENTRY_H
 #define CROWSTEP_ENTRY_ENTRY_H
 
@@ -22,22 +22,22 @@
   void watchRight();
   void waitForRecords(const std::function<void()> &Done);
 
-  EntrySettings m_Settings;         ///< As read.
-  LoopClock m_Clock;                ///< Of this process.
-  LoopScheduler m_Timers;           ///< Of this process.
-  Metrics m_Metrics;                ///< Of this process.
+  EntrySettings m_Settings;         ///< As read at start.
+  LoopClock m_Clock;                ///< Clock of the event loop.
+  LoopScheduler m_Timers;           ///< Timers of the event loop.
+  Metrics m_Metrics;                ///< Served at /metrics.
   Directory m_Directory;            ///< Table, upstreams, workspaces.
-  PauseGuard m_Guard;               ///< Notices a freeze.
-  Fleet m_Fleet;                    ///< Links to dispatchers.
-  link::TcpLinks m_Links;           ///< Under m_Fleet.
-  LocalPlacement m_Alone;           ///< Baselines; no dispatcher reachable.
-  DispatcherPlacement m_Dispatched; ///< Bids to the pools' owners.
-  claim::ClaimClient m_Claims;      ///< Through the claim homes.
-  HttpUpstreamCaller m_Upstream;    ///< Streamed calls.
-  HttpClient m_Http;                ///< Orders to engines.
-  RequestService m_Service;         ///< Callers.
-  Timer m_RightCheck;               ///< Logs changes of the right.
-  Timer m_RecordCheck;              ///< Runs while a stop waits for records.
+  PauseGuard m_Guard;               ///< Detects pauses.
+  Fleet m_Fleet;                    ///< State of the dispatchers.
+  link::TcpLinks m_Links;           ///< Connections to dispatchers.
+  LocalPlacement m_Alone;           ///< For baselines and without dispatchers.
+  DispatcherPlacement m_Dispatched; ///< Bids to the owners of pools.
+  claim::ClaimClient m_Claims;      ///< Claims through the claim homes.
+  HttpUpstreamCaller m_Upstream;    ///< Calls to upstreams.
+  HttpClient m_Http;                ///< Orders to cancel calls.
+  RequestService m_Service;         ///< Serves callers.
+  Timer m_RightCheck;               ///< Checks the right to serve.
+  Timer m_RecordCheck;              ///< Runs while stop() waits for records.
   bool m_HeldRight = false;         ///< As last logged.
 };
 
--- a/src/entry/entry_main.cpp
+++ b/src/entry/entry_main.cpp
@@ -1,4 +1,4 @@
-/// Main program of crowstep-entry.
+/// Main function of crowstep-entry.
 #include "core/program.h"
 #include "entry/entry.h"
 
--- a/src/entry/entry_settings.cpp
+++ b/src/entry/entry_settings.cpp
@@ -1,4 +1,4 @@
-/// Reading of the entry's settings.
+/// Reading of the settings of an entry.
 #include "entry/entry_settings.h"
 
 #include "core/error.h"
--- a/src/entry/entry_settings.h
+++ b/src/entry/entry_settings.h
@@ -1,4 +1,4 @@
-/// The entry's settings, read and checked once at start.
+/// Settings of an entry, read and checked once at start.
 #ifndef CROWSTEP_ENTRY_ENTRY_SETTINGS_H
 #define CROWSTEP_ENTRY_ENTRY_SETTINGS_H
 
@@ -11,30 +11,30 @@
 
 /// Who decides which upstream serves a request.
 enum class PlacementKind : std::uint8_t {
-  Dispatcher,    ///< The pool's owner: crowstep's own way.
-  RoundRobin,    ///< This entry alone, in turn; a baseline.
-  LeastInFlight, ///< This entry alone, by its own calls; a baseline.
+  Dispatcher,    ///< The owner of the pool.
+  RoundRobin,    ///< This entry, in turn; a baseline.
+  LeastInFlight, ///< This entry, by its own calls; a baseline.
 };
 
 /// Limits on one request.
 struct RequestLimits {
-  std::size_t m_MaxBody = 0;       ///< Bytes.
-  std::size_t m_MaxHeader = 0;     ///< Bytes of one header's value.
-  Duration m_ReceiveLimit{};       ///< From the first byte to the last.
-  Duration m_UpstreamSilence{};    ///< Longest wait for the next byte.
-  std::size_t m_CallerBacklog = 0; ///< Bytes; then reading stops.
-  unsigned m_MaxAttempts = 0;      ///< Calls to upstreams.
+  std::size_t m_MaxBody = 0;    ///< Of the body, in bytes.
+  std::size_t m_MaxHeader = 0;  ///< Of one header's value, in bytes.
+  Duration m_ReceiveLimit{};    ///< From the first byte to the last.
+  Duration m_UpstreamSilence{}; ///< Longest wait for the upstream's next byte.
+  std::size_t m_CallerBacklog = 0; ///< Unsent bytes at which reading pauses.
+  unsigned m_MaxAttempts = 0;      ///< Limit on calls to upstreams.
 };
 
 struct EntrySettings {
-  link::LinkConfig m_Link;      ///< Own name and zone; dials only.
+  link::LinkConfig m_Link;      ///< Own name and zone; only dials.
   Address m_Listen;             ///< For callers.
-  std::vector<Address> m_Homes; ///< First: the own instance's dispatcher.
-  PlacementKind m_Placement = PlacementKind::Dispatcher; ///< See above.
-  RequestLimits m_Limits;                                ///< See above.
+  std::vector<Address> m_Homes; ///< First: the dispatcher of this instance.
+  PlacementKind m_Placement = PlacementKind::Dispatcher;
+  RequestLimits m_Limits;
 };
 
-/// Reads the settings of an entry. \throws SettingError.
+/// Reads the settings of an entry. \throws SettingError if one is not valid.
 EntrySettings readEntrySettings(Settings &File);
 
 } // namespace crowstep::entry
--- a/src/entry/entry_stats.cpp
+++ b/src/entry/entry_stats.cpp
@@ -1,4 +1,4 @@
-/// Series of each class.
+/// Creation and look-up of the metrics of each class.
 #include "entry/entry_stats.h"
 
 namespace crowstep::entry {
--- a/src/entry/entry_stats.h
+++ b/src/entry/entry_stats.h
@@ -1,4 +1,4 @@
-/// Counters and latencies of an entry, by class.
+/// Counters and latency histograms of an entry, by class.
 #ifndef CROWSTEP_ENTRY_ENTRY_STATS_H
 #define CROWSTEP_ENTRY_ENTRY_STATS_H
 
@@ -12,12 +12,12 @@
 
 namespace crowstep::entry {
 
-/// Handles of one class, looked up once.
+/// Metrics of one class, looked up once.
 struct ClassStats {
-  Counter *m_Requests; ///< Read and admitted.
-  Counter *m_Finished; ///< Answered whole.
-  Counter *m_Replayed; ///< Answered from a kept answer.
-  Counter *m_Tokens;   ///< Passed on or assembled.
+  Counter *m_Requests; ///< Validated and started.
+  Counter *m_Finished; ///< Answered completely.
+  Counter *m_Replayed; ///< Answered from a recorded answer.
+  Counter *m_Tokens;   ///< Received from engines.
   Counter *m_Calls;    ///< Sent to upstreams.
   std::array<Counter *, static_cast<std::size_t>(RefusalReason::Count)>
       m_Refusals; ///< By reason.
@@ -32,11 +32,12 @@
 public:
   explicit EntryStats(Metrics &Stats) : m_Metrics(Stats) {}
 
-  /// Makes the series of every class, so that each stands in /metrics with 0
-  /// before it first grows.
+  /// Creates the series of every class, so that each is shown in /metrics as 0
+  /// before it is first incremented.
   void prepare(const ContractTable &Table);
 
-  /// Returns the handles of a class; "none" counts requests without one.
+  /// Returns the metrics of a class; an empty \p Class stands for requests
+  /// without one, which are counted as "none".
   ClassStats &of(const std::string &Class);
 
 private:
--- a/src/entry/event_stream.cpp
+++ b/src/entry/event_stream.cpp
@@ -1,4 +1,4 @@
-/// Server-sent events of engines.
+/// Splitting and parsing of engines' server-sent events.
 #include "entry/event_stream.h"
 
 namespace crowstep::entry {
@@ -22,9 +22,9 @@
   return Event;
 }
 
-/// Tells whether \p Payload has a non-empty text under \p Name. A scan instead
-/// of a parse: it runs for each token, and a quote within a JSON string is
-/// escaped, so that text can't look like the name.
+/// Returns whether \p Payload has a non-empty string under \p Name, a quoted
+/// key. It scans instead of parsing because it runs for each token. Quotes in a
+/// JSON string are escaped, so the text of an answer can't look like the key.
 bool hasText(std::string_view Payload, std::string_view Name) {
   const std::size_t At = Payload.find(Name);
   if (At == std::string_view::npos)
@@ -65,7 +65,7 @@
     const std::size_t Next = End + EventEnd.size();
     const std::string_view Event(m_Rest.data() + Begin, Next - Begin);
     classify(payloadOf(Event), Result);
-    if (!Result.m_Failed) // Our own error event ends a stream that is cut.
+    if (!Result.m_Failed) // The entry sends an error event of its own.
       Result.m_Events.append(Event);
     Begin = Next;
   }
@@ -129,7 +129,7 @@
   Result["usage"] = m_Usage.is_object() ? m_Usage
                                         : Json{{"prompt_tokens", PromptTokens},
                                                {"completion_tokens", Tokens}};
-  // A resumed answer's last engine counts only its own part.
+  // The last engine of a resumed answer counts only its own tokens.
   Result["usage"]["completion_tokens"] = Tokens;
   if (const Json &Usage = Result["usage"]; Usage.contains("prompt_tokens"))
     Result["usage"]["total_tokens"] =
--- a/src/entry/event_stream.h
+++ b/src/entry/event_stream.h
@@ -1,4 +1,4 @@
-/// An engine's server-sent events, split and understood.
+/// Splitting and parsing of engines' server-sent events.
 #ifndef CROWSTEP_ENTRY_EVENT_STREAM_H
 #define CROWSTEP_ENTRY_EVENT_STREAM_H
 
@@ -9,49 +9,49 @@
 
 namespace crowstep::entry {
 
-/// What a run of bytes from an engine held.
+/// Events in bytes received from an engine.
 struct EventBatch {
-  std::string m_Events;       ///< Whole events, as they came, [DONE] included.
-  std::uint32_t m_Tokens = 0; ///< Events with text.
-  bool m_Done = false;        ///< The stream says that it is whole.
+  std::string m_Events;       ///< Complete events, unchanged, with [DONE].
+  std::uint32_t m_Tokens = 0; ///< Number of events with text.
+  bool m_Done = false;        ///< [DONE] was received.
   bool m_Failed = false;      ///< The engine reports an error.
 };
 
-/// Splits a byte stream into whole events. Only whole ones are passed on: a
-/// stream that breaks off within an event can then be resumed by another
-/// engine without half an event before its first one.
+/// Splits a byte stream into events. Only complete events are passed on, so
+/// that a stream that breaks off within an event can be resumed by another
+/// engine without a partial event before the first one of that engine.
 class EventSplitter {
 public:
-  /// Takes bytes and returns the events that they complete.
+  /// Adds \p Bytes and returns the events that they complete.
   EventBatch feed(std::string_view Bytes);
 
 private:
-  std::string m_Rest; ///< Begin of an event that is not yet whole.
+  std::string m_Rest; ///< Start of an incomplete event.
 };
 
-/// Collects the chunks of a stream into one plain answer.
+/// Assembles the chunks of a stream into an answer without streaming.
 class AnswerAssembler {
 public:
   explicit AnswerAssembler(bool Chat) : m_Chat(Chat) {}
 
-  /// Takes whole events. Returns false where one is not understood.
+  /// Adds complete events. Returns false if one can't be parsed.
   bool feed(const std::string &Events);
 
-  /// Forgets everything: another engine begins again.
+  /// Discards all chunks, as another engine starts from the beginning.
   void clear();
 
-  /// Returns the plain answer's JSON.
+  /// Returns the answer as JSON.
   [[nodiscard]] std::string answer(std::uint32_t PromptTokens,
                                    std::uint32_t Tokens) const;
 
 private:
   bool feedChunk(const nlohmann::json &Chunk);
 
-  bool m_Chat;                   ///< Form of the answer.
-  nlohmann::json m_First;        ///< First chunk: id, model and the like.
-  std::string m_Text;            ///< Joined.
-  std::string m_Finish = "stop"; ///< Why the engine ended.
-  nlohmann::json m_Usage;        ///< As the engine says; may be null.
+  bool m_Chat;                   ///< Format of the answer.
+  nlohmann::json m_First;        ///< Source of id, model and created.
+  std::string m_Text;            ///< Text so far.
+  std::string m_Finish = "stop"; ///< As the engine reports it.
+  nlohmann::json m_Usage;        ///< As the engine reports it; may be null.
 };
 
 } // namespace crowstep::entry
--- a/src/entry/fleet.cpp
+++ b/src/entry/fleet.cpp
@@ -1,4 +1,4 @@
-/// The entry's links to the fleet's dispatchers.
+/// Links of an entry to dispatchers.
 #include "entry/fleet.h"
 
 #include "claim/claim_client.h"
@@ -17,15 +17,16 @@
 
 using membership::Member;
 
-/// Acknowledgements remembered for their echo; far more than come in the time
-/// that the right lasts.
+/// Limit on the acknowledgements that are kept until they are echoed; far more
+/// than are sent while the right to serve lasts.
 constexpr std::size_t MaxUnechoed = 64;
 
 WorkspaceRow workspaceOf(const wire::WorkspaceInfo &In) {
   return {WorkspaceId(In.id()), wire::textOf(In.key_hash())};
 }
 
-/// Replaces \p To by the rows of \p From unless there are none.
+/// Replaces \p Target by the rows of \p Source, and returns true, unless there
+/// are none.
 template <typename Rows, typename To, typename Make>
 bool replaceRows(const Rows *From, std::vector<To> &Into, Make Convert) {
   if (From == nullptr || From->size() == 0)
@@ -51,7 +52,8 @@
 
 bool Fleet::rightToServe() const {
   const TimePoint Now = m_Clock.fresh();
-  // Without workspaces every caller would be refused for good as unknown.
+  // Without workspaces every request would be refused for an unknown key, which
+  // callers don't retry.
   return m_Directory.table().m_Version != TableVersion() &&
          m_Directory.knowsWorkspaces() &&
          std::any_of(m_Up.begin(), m_Up.end(), [&](const auto &Each) {
@@ -129,7 +131,8 @@
 
 void Fleet::redial() {
   std::set<Address> Wanted = {m_Homes[m_Home]};
-  // A link to each owner of a pool; owners are few, and the links stay cheap.
+  // A link to each owner of a pool. There are few owners, so the number of
+  // links stays low.
   std::set<std::string> Services;
   for (const Contract &Row : m_Directory.table().m_Contracts)
     Services.insert(Row.m_Service);
@@ -169,7 +172,7 @@
   const auto Found = m_Up.find(Link);
   if (Found == m_Up.end())
     return;
-  // The table first: the acknowledgement tells the version now in force.
+  // The table first, as the acknowledgement names the version in force.
   if (Frame.table_update() != nullptr) {
     tableUpdate(*Frame.table_update());
     acknowledge(Link, Found->second);
@@ -206,9 +209,9 @@
                        const wire::Attachment &What) {
   From.m_Sequence = std::max(From.m_Sequence, What.sequence());
   From.m_Right = What.right_to_serve();
-  // The echo names an acknowledgement of ours whose sending time we know. The
-  // receipt of an attachment proves nothing: a process that was frozen reads
-  // old ones from its socket as if they were new.
+  // The echo names an acknowledgement whose time of sending is known. The time
+  // of receipt proves nothing: after a pause the process reads old attachments
+  // from its socket as if they were new.
   const auto Echoed = From.m_Sent.find(What.acked());
   if (Echoed != From.m_Sent.end()) {
     From.m_ServesUntil =
@@ -233,11 +236,11 @@
 }
 
 void Fleet::acknowledge(link::LinkId Link, Neighbour &To) {
-  // Sequence 0 stands for "none" in an echo: were it acknowledged, the first
-  // attachment of a link would bring a right that nobody confirmed.
+  // Sequence 0 means "none" in an echo. If it were recorded as sent, the first
+  // attachment of a link would grant a right that nobody confirmed.
   if (To.m_Sequence == 0)
     return;
-  // The first sending of a sequence counts: the echo may answer that one.
+  // The first acknowledgement of a sequence counts, as the echo may be of it.
   To.m_Sent.try_emplace(To.m_Sequence, m_Clock.fresh());
   if (To.m_Sent.size() > MaxUnechoed)
     To.m_Sent.erase(To.m_Sent.begin());
--- a/src/entry/fleet.h
+++ b/src/entry/fleet.h
@@ -1,8 +1,8 @@
-/// The entry's links to the fleet's dispatchers.
+/// Links of an entry to dispatchers.
 ///
-/// One of them is the home: its word on members, upstreams and workspaces
-/// counts. Every dispatcher that is linked counts this entry among those whose
-/// table version it waits for, so all attachments are acknowledged.
+/// The entry takes members, upstreams and workspaces from one of them, its home
+/// dispatcher. Every linked dispatcher waits for this entry before it considers
+/// a table version in force, so the attachments of all are acknowledged.
 #ifndef CROWSTEP_ENTRY_FLEET_H
 #define CROWSTEP_ENTRY_FLEET_H
 
@@ -21,7 +21,7 @@
 
 namespace crowstep::entry {
 
-/// A home whose link is down for longer is left for the next one.
+/// If the link to the home is down for longer, the next home is used.
 inline constexpr Duration HomePatience = std::chrono::milliseconds(500);
 
 class Fleet final : public link::LinkListener {
@@ -32,10 +32,10 @@
   /// Begins to dial over \p Wire, which outlives this object's use.
   void start(link::Links &Wire);
 
-  /// Returns whether new work may be taken, by Clock::fresh().
+  /// Returns whether new work may be accepted, by Clock::fresh().
   [[nodiscard]] bool rightToServe() const;
 
-  /// Returns whether the home wants the balancer to look elsewhere.
+  /// Returns whether the home reports that this instance is draining.
   [[nodiscard]] bool draining() const { return m_Draining; }
 
   /// Returns the link to the owner of \p Pool, or none.
@@ -45,7 +45,7 @@
   [[nodiscard]] std::optional<link::LinkId>
   linkToClaimHome(std::uint64_t Index) const;
 
-  /// Returns the members as the home sees them.
+  /// Returns the members in the view of the home.
   [[nodiscard]] const std::vector<membership::Member> &members() const {
     return m_Members;
   }
@@ -55,7 +55,8 @@
 
   [[nodiscard]] link::Links &links() { return *m_Links; }
 
-  /// Sets what runs when owners or links have changed, and for each frame.
+  /// Set the callbacks for changes of owners or links, of upstreams and of the
+  /// table, and for each received frame.
   void onRoutes(std::function<void()> Job) { m_Routes = std::move(Job); }
   void onUpstreams(std::function<void()> Job) { m_Upstreams = std::move(Job); }
   void onTable(std::function<void()> Job) { m_Table = std::move(Job); }
@@ -70,15 +71,16 @@
   void dialFailed(const Address &Where, link::CloseReason Why) override;
 
 private:
-  /// What one dispatcher has told, kept for the time when it is the home.
+  /// State received from one dispatcher. It is kept for every linked
+  /// dispatcher, because each may become the home.
   struct Neighbour {
-    link::Peer m_Peer;                         ///< Who.
-    std::uint64_t m_Sequence = 0;              ///< Last one seen.
-    std::map<std::uint64_t, TimePoint> m_Sent; ///< Acknowledgements sent.
-    TimePoint m_ServesUntil;                   ///< By the last echo.
-    bool m_Right = false;                      ///< As last told.
-    bool m_Attached = false;                   ///< Was asked for attachments.
-    std::vector<membership::Member> m_Members; ///< As last told whole.
+    link::Peer m_Peer;
+    std::uint64_t m_Sequence = 0;              ///< Of the last attachment.
+    std::map<std::uint64_t, TimePoint> m_Sent; ///< By sequence.
+    TimePoint m_ServesUntil;                   ///< From the last echo.
+    bool m_Right = false;                      ///< As last received.
+    bool m_Attached = false;                   ///< Attachments were requested.
+    std::vector<membership::Member> m_Members; ///< Last full list.
     std::vector<Upstream> m_Upstreams;         ///< As above.
     std::vector<WorkspaceRow> m_Workspaces;    ///< As above.
   };
@@ -94,20 +96,21 @@
   void redial();
   void watchHome();
 
-  std::vector<Address> m_Homes;              ///< At least one.
-  std::size_t m_Home = 0;                    ///< Index of the present one.
-  const Clock &m_Clock;                      ///< Outlives this object.
-  Directory &m_Directory;                    ///< Outlives this object.
-  link::Links *m_Links = nullptr;            ///< Null before start().
-  Timer m_Patience;                          ///< Runs while home is down.
-  std::map<link::LinkId, Neighbour> m_Up;    ///< Links that are up.
-  std::set<Address> m_Dialled;               ///< Wanted links.
-  std::vector<membership::Member> m_Members; ///< Of the home.
-  bool m_Draining = false;                   ///< Of the home.
+  std::vector<Address> m_Homes;   ///< In order of preference; not empty.
+  std::size_t m_Home = 0;         ///< Of the current home.
+  const Clock &m_Clock;           ///< Outlives this object.
+  Directory &m_Directory;         ///< Outlives this object.
+  link::Links *m_Links = nullptr; ///< Null before start().
+  Timer m_Patience;               ///< Runs while the home is down.
+  std::map<link::LinkId, Neighbour> m_Up;    ///< By link.
+  std::set<Address> m_Dialled;               ///< Of the links in use.
+  std::vector<membership::Member> m_Members; ///< From the home.
+  bool m_Draining = false;                   ///< From the home.
   std::function<void()> m_Routes;            ///< May be empty.
   std::function<void()> m_Upstreams;         ///< May be empty.
   std::function<void()> m_Table;             ///< May be empty.
-  std::function<void(link::LinkId, const wire::Frame &)> m_Frame; ///< As set.
+  std::function<void(link::LinkId, const wire::Frame &)>
+      m_Frame; ///< May be empty.
 };
 
 } // namespace crowstep::entry
--- a/src/entry/local_placement.cpp
+++ b/src/entry/local_placement.cpp
@@ -1,4 +1,4 @@
-/// A Decider of the entry's own.
+/// Deciders that run in the entry.
 #include "entry/local_placement.h"
 
 #include <algorithm>
@@ -135,7 +135,7 @@
 void LocalPlacement::carryOut(const decision::Grant &What) {
   const auto Found = m_Held.find(What.m_Request.m_Number);
   const Upstream *Target = upstream(What.m_Upstream);
-  // Withdrawn, or the upstream left meanwhile: the Decider was told then.
+  // Withdrawn, or the upstream was removed: the decider was notified then.
   if (Found == m_Held.end() || Found->second.m_Granted || Target == nullptr)
     return;
   Found->second.m_Granted = true;
--- a/src/entry/local_placement.h
+++ b/src/entry/local_placement.h
@@ -1,7 +1,7 @@
-/// Placement that this entry decides alone.
+/// Placement that this entry decides locally.
 ///
-/// It serves two ends: the baselines that crowstep is measured against, and
-/// the time in which no dispatcher can be reached.
+/// Used for the baselines that crowstep is measured against, and while no
+/// dispatcher can be reached.
 #ifndef CROWSTEP_ENTRY_LOCAL_PLACEMENT_H
 #define CROWSTEP_ENTRY_LOCAL_PLACEMENT_H
 
@@ -17,13 +17,13 @@
 
 namespace crowstep::entry {
 
-/// Who decides, and over which part of the upstreams' slots.
+/// Configuration of the local decider, and its share of the slots.
 struct LocalPlacementConfig {
-  decision::DeciderConfig m_Policy; ///< How it orders and places.
-  InstanceId m_Self;                ///< This entry.
-  AvailabilityZone m_Zone;          ///< Of this entry.
-  /// Returns by how much each upstream's slots are divided, >= 1: as other
-  /// entries may decide alone too, each takes only its own part.
+  decision::DeciderConfig m_Policy; ///< For the decider of each pool.
+  InstanceId m_Self;                ///< Id of this entry.
+  AvailabilityZone m_Zone;          ///< Zone of this entry.
+  /// Returns the number by which the slots of each upstream are divided. Other
+  /// entries may place locally at the same time, so each uses only a share.
   std::function<std::uint32_t()> m_Divisor;
 };
 
@@ -37,23 +37,24 @@
   void firstToken(BidNumber Bid, Duration Latency) override;
   void release(BidNumber Bid, const ReleaseSlot &How) override;
 
-  /// Takes over the table and the upstreams as they now are.
+  /// Passes the current table and upstreams to the deciders.
   void refresh();
 
-  /// Returns whether the bid still waits.
+  /// Returns whether the bid is still waiting.
   [[nodiscard]] bool waits(BidNumber Bid) const;
 
 private:
   struct Pool {
     explicit Pool(const decision::DeciderConfig &Config, Scheduler &Timers)
         : m_Decider(Config), m_Timer(Timers) {}
-    decision::Decider m_Decider; ///< Decides.
-    Timer m_Timer;               ///< For its next tick.
+    decision::Decider m_Decider; ///< Decider of the pool.
+    Timer m_Timer;               ///< For the decider's next deadline.
   };
+  /// A bid that waits, or the call on its slot.
   struct Held {
-    std::string m_Service;         ///< Names the pool.
+    std::string m_Service;         ///< Service of the pool.
     PlacementListener *m_Listener; ///< Outlives the bid.
-    bool m_Granted = false;        ///< A slot is held.
+    bool m_Granted = false;        ///< The bid was granted.
   };
 
   void ensurePool(const std::string &Service);
@@ -72,10 +73,10 @@
   const Clock &m_Clock;          ///< Outlives this object.
   Scheduler &m_Timers;           ///< Outlives this object.
   std::map<std::string, std::unique_ptr<Pool>> m_Pools; ///< By service.
-  std::map<std::uint64_t, Held> m_Held; ///< Bids and running work.
-  std::uint64_t m_LastNumber = 0;       ///< Numbers only grow.
-  std::deque<decision::Action> m_Due;   ///< To be told to listeners.
-  Timer m_Deliver;                      ///< Tells them.
+  std::map<std::uint64_t, Held> m_Held;                 ///< By bid number.
+  std::uint64_t m_LastNumber = 0;     ///< Of the last bid; only grows.
+  std::deque<decision::Action> m_Due; ///< Not yet delivered.
+  Timer m_Deliver;                    ///< Delivers to listeners.
 };
 
 } // namespace crowstep::entry
--- a/src/entry/pause_guard.cpp
+++ b/src/entry/pause_guard.cpp
@@ -1,4 +1,4 @@
-/// Notices a freeze by late ticks.
+/// Detection of pauses by late ticks.
 #include "entry/pause_guard.h"
 
 namespace crowstep::entry {
--- a/src/entry/pause_guard.h
+++ b/src/entry/pause_guard.h
@@ -1,4 +1,4 @@
-/// Sees that this process was frozen.
+/// Detects pauses of this process.
 #ifndef CROWSTEP_ENTRY_PAUSE_GUARD_H
 #define CROWSTEP_ENTRY_PAUSE_GUARD_H
 
@@ -8,21 +8,21 @@
 
 namespace crowstep::entry {
 
-/// A tick that comes late tells of a freeze (SIGSTOP, a paused machine). What
-/// was in the sockets at that time looks new when it is read, so whoever
-/// counts an age from a receipt asks here first.
+/// Detects a pause of the process (SIGSTOP, a paused machine) by a late timer.
+/// Data that was in the sockets during a pause looks new when it is read, so
+/// code that counts an age from a receipt must check isInputSuspect() first.
 class PauseGuard {
 public:
   static constexpr Duration TickInterval = std::chrono::milliseconds(100);
   static constexpr Duration MaxLateness = std::chrono::milliseconds(500);
-  /// Within this after the end of a freeze, what arrives may be old: the loop
-  /// needs a few iterations to read what waits in the sockets.
+  /// For this long after a pause, received data may be old: the loop needs a
+  /// few iterations to read what the sockets hold.
   static constexpr Duration Settling = std::chrono::milliseconds(250);
 
   PauseGuard(const Clock &Time, Scheduler &Timers);
 
-  /// Returns whether what arrives now may be old. Checks the time itself, as
-  /// the sockets may be served before the tick.
+  /// Returns whether data that is received now may be old. Checks the time
+  /// itself, because the sockets may be served before the timer.
   [[nodiscard]] bool suspect();
 
   /// Sets what runs once after each freeze, when it is noticed.
@@ -33,9 +33,9 @@
   void tick();
 
   const Clock &m_Clock;        ///< Outlives this object.
-  Timer m_Timer;               ///< The next tick.
-  TimePoint m_LastLook;        ///< Of the last tick or check.
-  TimePoint m_SuspectUntil;    ///< End of the settling time.
+  Timer m_Timer;               ///< For the next tick.
+  TimePoint m_LastLook;        ///< Time of the last tick or check.
+  TimePoint m_SuspectUntil;    ///< End of the settle time.
   std::function<void()> m_Job; ///< May be empty.
 };
 
--- a/src/entry/placement.h
+++ b/src/entry/placement.h
@@ -1,6 +1,6 @@
-/// Where a request's slots come from, as the request sees it.
+/// Interface through which a request gets a slot at an upstream.
 ///
-/// The daemon places through dispatchers, or decides alone; tests use fakes.
+/// The daemon places through dispatchers or decides locally; tests use fakes.
 #ifndef CROWSTEP_ENTRY_PLACEMENT_H
 #define CROWSTEP_ENTRY_PLACEMENT_H
 
@@ -12,43 +12,46 @@
 
 namespace crowstep::entry {
 
-/// Names one bid. A request that bids again gets a new number, so that a grant
-/// for an earlier bid, still on its way, is not taken for the new one's.
+/// Identifies one bid. A request that bids again gets a new number, so that a
+/// grant for an earlier bid that arrives late is not taken for the new one.
 using BidNumber = StrongId<struct BidTag, std::uint64_t>;
 
-/// What a bid says.
+/// Contents of a bid.
 struct BidTerms {
-  std::string m_Service;                 ///< Names the pool.
-  ClassId m_Class;                       ///< Row of the table.
-  WorkspaceId m_Workspace;               ///< Whose request.
+  std::string m_Service;                 ///< Service of the pool.
+  ClassId m_Class;                       ///< Class in the table.
+  WorkspaceId m_Workspace;               ///< Owner of the request.
   std::uint32_t m_PromptTokens = 0;      ///< Estimated.
-  std::uint32_t m_MaxTokens = 0;         ///< Longest output asked for.
-  std::vector<std::uint64_t> m_Prefixes; ///< Hashes of growing prefixes.
-  PlaceBid m_Ask;                        ///< What the request's core asks for.
+  std::uint32_t m_MaxTokens = 0;         ///< Limit on the output.
+  std::vector<std::uint64_t> m_Prefixes; ///< As prefixHashes() returns.
+  PlaceBid m_Ask;                        ///< As the state machine placed it.
 };
 
-/// Who hears of one bid. No call comes from within a call of Placement.
+/// Receives the results of one bid. It is never called from within a call of
+/// Placement.
 class PlacementListener {
 public:
   virtual ~PlacementListener() = default;
   virtual void slotGranted(const GrantedSlot &Slot) = 0;
   virtual void bidRefused(RefusalReason Reason, Duration RetryAfter) = 0;
   virtual void slotPreempted(UpstreamId Upstream) = 0;
-  /// The bid's grant may be older than it looks.
+  /// The grant may be older than its receipt suggests, because this process was
+  /// paused.
   virtual void grantSuspect() = 0;
-  /// The bid was sent again to a new dispatcher.
+  /// The owner of the pool has changed, or the link to it was lost.
   virtual void bidMoved() = 0;
-  /// Returns the tokens of the running call, for a new owner.
+  /// Returns the tokens that the running call has produced, for a new owner of
+  /// the pool.
   [[nodiscard]] virtual std::uint32_t callTokens() const = 0;
 };
 
-/// Source of slots.
+/// Places bids and holds the granted slots.
 class Placement {
 public:
   virtual ~Placement() = default;
 
-  /// Asks for a slot until it is granted, refused or withdrawn. \p Listener
-  /// must live until the bid is withdrawn, refused or its slot released.
+  /// Bids for a slot. \p Listener must live until the bid is withdrawn or
+  /// refused, or its slot released.
   virtual BidNumber bid(const BidTerms &Terms, PlacementListener &Listener) = 0;
   virtual void withdraw(BidNumber Bid) = 0;
   virtual void firstToken(BidNumber Bid, Duration Latency) = 0;
--- a/src/entry/request.cpp
+++ b/src/entry/request.cpp
@@ -1,4 +1,4 @@
-/// One request between caller, placement and upstream.
+/// Events and actions of one request.
 #include "entry/request.h"
 
 #include "core/log.h"
@@ -41,8 +41,8 @@
   return Model != nullptr && Model->m_Chat;
 }
 
-/// Returns the code of an upstream's proof that it did not run the call, or
-/// nothing.
+/// Returns the error code of an answer by which the upstream states that it did
+/// not run the call, or nothing for other answers.
 std::optional<std::string> notRunCode(unsigned Status,
                                       const std::string &Body) {
   if (Status != HttpUnavailable)
@@ -207,7 +207,7 @@
                              whenRecorded());
 }
 
-// ---- The upstream's call ----------------------------------------------------
+// ---- Calls to upstreams -----------------------------------------------------
 
 void Request::carryOut(const SendCall &What) {
   m_Slot = What.m_Slot;
@@ -229,8 +229,8 @@
   Send.m_Wanted = [this] { return !m_Caller->hasLeft(); };
   Send.m_SilenceLimit = m_World.m_Limits.m_UpstreamSilence;
   if (const auto *Model = std::get_if<EngineCall>(&m_What.m_Call)) {
-    // A number of its own for each call: a late order to cancel the last one
-    // must not stop this one at the same engine.
+    // Each call has an id of its own, so that a late order to cancel an earlier
+    // one does not stop this one at the same engine.
     m_CallId = m_RequestId + "-" + std::to_string(++m_Calls);
     Json Body = Model->m_Body;
     Body["stream"] = true;
@@ -262,8 +262,8 @@
   Order.m_Path = "/v1/cancel";
   Order.m_Body = Json{{"request_id", m_CallId}}.dump();
   Order.m_Timeout = CancelTimeout;
-  // Closing the connection stops the engine as well; the order is for engines
-  // that notice a close only when they write.
+  // Closing the connection also stops the engine; the order is for engines that
+  // notice a closed connection only when they write.
   m_World.m_Http.call(Order, [](const HttpResult &) {});
 }
 
@@ -310,8 +310,8 @@
   m_Caller->append(Batch.m_Events);
   if (!m_What.m_ClaimKey.empty())
     m_KeptEvents += Batch.m_Events;
-  // A caller that reads slowly must not make this process hold its whole
-  // answer; the engine is held back by its own socket instead.
+  // The answer must not pile up in memory for a caller that reads slowly. The
+  // engine is slowed down by flow control of its connection instead.
   if (m_Call != nullptr &&
       m_Caller->backlog() > m_World.m_Limits.m_CallerBacklog)
     m_Call->pauseReading();
@@ -344,7 +344,7 @@
     endCall(wholeOrRefused());
     return;
   case TransportEnd::Broken:
-    // After its last event an engine's close says nothing more.
+    // After [DONE], how the connection ends does not matter.
     if (m_Done)
       endCall(CallEnd::Whole);
     else
--- a/src/entry/request.h
+++ b/src/entry/request.h
@@ -1,4 +1,5 @@
-/// One request: its state machine between caller, placement and upstream.
+/// One request: drives its state machine with events from the caller, the
+/// placement and the upstream.
 #ifndef CROWSTEP_ENTRY_REQUEST_H
 #define CROWSTEP_ENTRY_REQUEST_H
 
@@ -18,32 +19,32 @@
 
 namespace crowstep::entry {
 
-/// HTTP status under which a claim keeps that a call's outcome is unknown; no
-/// upstream's answer is recorded with it.
+/// HTTP status of a recorded answer that stands for an unknown outcome. Answers
+/// of upstreams are never recorded with it.
 inline constexpr std::uint16_t OutcomeUnknownStatus = 599;
 
-/// What every request needs; outlives them all.
+/// Dependencies of requests; outlives all of them.
 struct RequestWorld {
-  const Clock &m_Clock;       ///< For all ages.
-  Scheduler &m_Timers;        ///< For limits and pauses.
-  Placement &m_Placement;     ///< Source of slots.
-  claim::Claims &m_Claims;    ///< For calls that may not be repeated.
-  UpstreamCaller &m_Upstream; ///< Streamed calls.
-  HttpCaller &m_Http;         ///< Orders to cancel.
+  const Clock &m_Clock;       ///< Clock of the event loop.
+  Scheduler &m_Timers;        ///< For limits and waits.
+  Placement &m_Placement;     ///< Grants slots.
+  claim::Claims &m_Claims;    ///< For calls that are not repeatable.
+  UpstreamCaller &m_Upstream; ///< Sends calls to upstreams.
+  HttpCaller &m_Http;         ///< Sends orders to cancel calls.
   RequestLimits m_Limits;     ///< From the settings.
 };
 
 class Request final : private PlacementListener, private UpstreamListener {
 public:
-  /// \p Ended runs once nothing is left to do; the request may be destroyed
-  /// from then on, but not from within.
+  /// \p OnEnded is called once when no action is outstanding any more. The
+  /// request may be destroyed after that call, but not within it.
   Request(RequestWorld &World, ClassStats &Stats, CallerRequest What,
           std::unique_ptr<Caller> Client, std::function<void()> Ended);
   ~Request() override;
   Request(const Request &) = delete;
   Request &operator=(const Request &) = delete;
 
-  /// Begins; before this nothing has happened.
+  /// Starts the request; the constructor has no effects outside of it.
   void start();
 
 private:
@@ -88,36 +89,37 @@
   void count(RefusalReason Reason);
 
   RequestWorld &m_World;             ///< Outlives the request.
-  ClassStats &m_Stats;               ///< Of the class.
-  CallerRequest m_What;              ///< As read.
+  ClassStats &m_Stats;               ///< Metrics of the class.
+  CallerRequest m_What;              ///< As parsed.
   std::unique_ptr<Caller> m_Caller;  ///< Never null.
-  std::function<void()> m_Ended;     ///< Runs once.
-  RequestCore m_Core;                ///< Decides.
-  bool m_Busy = false;               ///< Within handle().
-  bool m_Told = false;               ///< m_Ended has run.
-  std::deque<RequestEvent> m_Events; ///< Waiting for the one at hand.
-  std::shared_ptr<bool> m_Alive;     ///< False once destroyed; for claims.
-  TimePoint m_Begin;                 ///< When the request was read.
-  Timer m_Limit;                     ///< The class's longest wait.
-  Timer m_Pause;                     ///< For WakeAfter.
-  claim::AttemptId m_Attempt;        ///< Random; empty for repeatable classes.
-  unsigned m_Calls = 0;              ///< Calls so far.
-  std::string m_CallId;              ///< Names the present call at its engine.
-  std::string m_RequestId;           ///< Random; calls are named after it.
-  BidNumber m_Bid;                   ///< The present one.
-  GrantedSlot m_Slot;                ///< Of the present call.
+  std::function<void()> m_Ended;     ///< Called once.
+  RequestCore m_Core;                ///< State machine.
+  bool m_Busy = false;               ///< handle() is on the stack.
+  bool m_Told = false;               ///< m_OnEnded has been called.
+  std::deque<RequestEvent> m_Events; ///< Not yet handled.
+  std::shared_ptr<bool>
+      m_Alive;       ///< False once destroyed; for callbacks of claims.
+  TimePoint m_Begin; ///< When the request was read.
+  Timer m_Limit;     ///< Total time limit of the class.
+  Timer m_Pause;     ///< For WakeAfter.
+  claim::AttemptId m_Attempt; ///< Random; empty for repeatable classes.
+  unsigned m_Calls = 0;       ///< Calls to engines so far.
+  std::string m_CallId;       ///< Id of the current call at its engine.
+  std::string m_RequestId;    ///< Random; prefix of the call ids.
+  BidNumber m_Bid;            ///< Of the current bid.
+  GrantedSlot m_Slot;         ///< Of the current call.
 
-  std::unique_ptr<UpstreamCall> m_Call; ///< Null while none is under way.
+  std::unique_ptr<UpstreamCall> m_Call; ///< Null while none is in progress.
   unsigned m_Status = 0;                ///< Of the upstream's answer.
   std::string m_ContentType;            ///< Of the upstream's answer.
-  std::string m_Body;          ///< Of answers that aren't relayed as they come.
-  EventSplitter m_Splitter;    ///< Of the present call.
-  AnswerAssembler m_Assembler; ///< Of a plain answer.
-  std::string m_KeptEvents;    ///< Relayed events, for the claim.
-  bool m_Done = false;         ///< The engine said that the answer is whole.
-  std::uint32_t m_CallTokens = 0; ///< Of the present call.
+  std::string m_Body;             ///< Of answers other than an engine's stream.
+  EventSplitter m_Splitter;       ///< Of the current call.
+  AnswerAssembler m_Assembler;    ///< For an answer without streaming.
+  std::string m_KeptEvents;       ///< Relayed events, for the claim.
+  bool m_Done = false;            ///< The engine has sent [DONE].
+  std::uint32_t m_CallTokens = 0; ///< Of the current call.
   std::uint32_t m_Tokens = 0;     ///< Of the answer.
-  TimePoint m_LastToken;          ///< For the gaps.
+  TimePoint m_LastToken;          ///< For the gaps between tokens.
 };
 
 } // namespace crowstep::entry
--- a/src/entry/request_core.cpp
+++ b/src/entry/request_core.cpp
@@ -1,4 +1,4 @@
-/// The request's state machine.
+/// State machine of a request: placement, calls and final answers.
 #include "entry/request_core.h"
 
 #include <algorithm>
@@ -60,7 +60,7 @@
   std::visit([&](const auto &Event) { on(Event, Out); }, What);
 }
 
-// ---- Placing ----------------------------------------------------------------
+// ---- Placement --------------------------------------------------------------
 
 void RequestCore::on(const Admitted &, Actions &Out) {
   if (m_State == State::New)
@@ -88,8 +88,8 @@
   m_GrantedAt = m_Now;
   if (m_Tokens > 0 && !m_Slot.m_Resumes) {
     if (m_StreamBegun) {
-      // Tokens that the caller has can't be taken back, and this engine would
-      // begin again: the caller would read the beginning twice.
+      // The engine would start from the beginning, but the tokens that were
+      // relayed can't be taken back: the caller would get them twice.
       release(WorkEnd::Unused, Out);
       refuse(RefusalReason::UpstreamFailed, Duration::zero(), Out);
       return;
@@ -108,8 +108,8 @@
 }
 
 void RequestCore::on(const GrantSuspect &, Actions &) {
-  // A frozen process reads an old grant from its socket as if it were new; it
-  // is checked again where it would be used.
+  // After a pause the process reads an old grant from its socket as if it were
+  // new. The flag is checked again before the grant is used.
   m_SlotSuspect = true;
 }
 
@@ -197,8 +197,8 @@
     retry(retryReasonOf(How), true, m_Slot.m_Upstream, Out);
     return;
   }
-  // Never sent again: a second call could seat the rider twice. The claim
-  // stays with this attempt, and the key's repetition is told "unknown".
+  // Not sent again: a second call could reserve two seats. The claim stays with
+  // this attempt, and further requests with the key are answered "unknown".
   keep(false, Out);
 }
 
@@ -206,8 +206,9 @@
   m_State = State::Keeping;
   m_OutcomeKnown = OutcomeKnown;
   Out.emplace_back(RecordRan{OutcomeKnown});
-  // The answer is there: an outage of the table service does not hold it for
-  // longer. Until the record is written a repetition is told "in progress".
+  // An outage of the table service must not delay the answer for longer. Until
+  // the record is written, further requests with the key are answered "in
+  // progress".
   Out.emplace_back(WakeAfter{KeepPatience});
 }
 
@@ -229,15 +230,15 @@
     m_SlotSuspect = true;
     return;
   }
-  // A call that may not be repeated is never stopped: whether it ran would no
-  // longer be known.
+  // A call that is not repeatable is never cancelled, as it would no longer be
+  // known whether it ran.
   if (m_State != State::Calling || !m_Terms.m_Repeatable)
     return;
   m_MayHaveRun = true;
   Out.emplace_back(CancelCall{});
   release(WorkEnd::Preempted, Out);
   Out.emplace_back(CountRetry{RetryReason::Preempted});
-  --m_Attempts; // Not the upstream's failure.
+  --m_Attempts; // Preemption does not use up an attempt.
   bid(false, std::nullopt, Out);
 }
 
@@ -258,8 +259,8 @@
     refuse(RefusalReason::CallerGone, Duration::zero(), Out);
     return;
   case State::Calling:
-    // A call that may not be repeated runs to its end, and its answer is kept
-    // for the key's repetition; only repeatable work is cancelled.
+    // A call that is not repeatable runs to its end, and its answer is recorded
+    // for further requests with the key. Only repeatable calls are cancelled.
     if (!m_Terms.m_Repeatable)
       return;
     Out.emplace_back(CancelCall{});
@@ -271,7 +272,7 @@
   case State::GivingBack:
   case State::Keeping:
   case State::Ended:
-    return; // The claim's fate must be settled first.
+    return; // The state of the claim must be settled first.
   }
 }
 
@@ -280,7 +281,7 @@
   case State::New:
   case State::Bidding:
     if (m_StreamBegun)
-      return; // Preempted or resumed: the rest is still worth waiting for.
+      return; // Preempted or resumed: the rest is still waited for.
     Out.emplace_back(WithdrawBid{});
     refuse(RefusalReason::TargetUnreachable, Duration::zero(), Out);
     return;
@@ -298,9 +299,10 @@
     return;
   case State::Calling:
     if (m_FirstToken || m_StreamBegun || m_Answered || m_CallerGone)
-      return; // The answer has begun and runs to its end.
+      return; // An answer that has begun runs to its end.
     if (!m_Terms.m_Repeatable) {
-      // The call goes on and its answer is kept; the caller must not wait.
+      // The call goes on and its answer is recorded, but the caller does not
+      // wait for it.
       m_Answered = true;
       Out.emplace_back(Refuse{RefusalReason::OutcomeUnknown, RunState::Unknown,
                               ClaimRetryAfter});
@@ -314,7 +316,7 @@
   case State::Claiming:
   case State::Keeping:
   case State::Ended:
-    return; // These end by themselves.
+    return; // These states end without the limit.
   }
 }
 
@@ -325,8 +327,9 @@
 void RequestCore::refuse(RefusalReason Why, Duration RetryAfter, Actions &Out) {
   m_Final = Refuse{Why, runState(), RetryAfter};
   if (m_ClaimAsked) {
-    // "Not run" is said only after the claim is given back: else the key's
-    // repetition would find it taken and be told that it may have run.
+    // "Not run" is only answered once the claim is released. Otherwise a
+    // request with the same key would find the claim taken and be answered
+    // that the call may have run.
     m_State = State::GivingBack;
     Out.emplace_back(RecordNotRun{});
     return;
@@ -335,8 +338,8 @@
 }
 
 void RequestCore::giveUpRecord(Actions &Out) {
-  // The caller must not wait for the table service any longer. The record
-  // itself stays with the claims' client, which goes on trying.
+  // The caller does not wait for the table service any longer. The claim client
+  // keeps retrying the write of the record.
   m_Final.m_State = RunState::Unknown;
   sayFinal(Out);
 }
--- a/src/entry/request_core.h
+++ b/src/entry/request_core.h
@@ -1,9 +1,12 @@
 /// The state machine of one request, without I/O.
 ///
-/// It promises, whatever the order of events: one final answer; at most one
-/// call on its way at a time; for a call that may not be repeated no second
-/// call unless the first provably never ran; "not run" only where no call can
-/// have run and the claim, if it was asked for, is given back.
+/// Invariants, for any order of events:
+/// - There is exactly one final answer.
+/// - At most one call is in progress.
+/// - A call that is not repeatable is sent again only if the first provably
+///   never ran.
+/// - "Not run" is only answered if no call can have run and the claim, if it
+///   was requested, has been released.
 #ifndef CROWSTEP_ENTRY_REQUEST_CORE_H
 #define CROWSTEP_ENTRY_REQUEST_CORE_H
 
@@ -13,49 +16,49 @@
 
 namespace crowstep::entry {
 
-/// Waits between two looks at the claim of a key that another call holds.
+/// Wait before the claim of a key is read or requested again.
 inline constexpr Duration ClaimPoll = std::chrono::milliseconds(250);
 
-/// Age at which a claim is no longer sent under. A claim row is forgotten
-/// after claim::ClaimLifetime and another attempt could then own the key; a
-/// small part of that leaves no overlap whatever the clocks' drift.
+/// Age from which no call is sent under a claim. A claim row is deleted after
+/// claim::ClaimLifetime, and another attempt may then own the key. The limit is
+/// a small part of that lifetime, so that clock drift can't make them overlap.
 inline constexpr Duration MaxClaimAge = std::chrono::hours(1);
 
-/// Longest wait for the record of a call that ran, with its answer at hand.
+/// Longest time for which the answer is held back until it is recorded.
 inline constexpr Duration KeepPatience = std::chrono::seconds(1);
 
-/// After this long a caller whose claim could not be made, or whose key's
-/// first call goes on, may come back.
+/// Retry-After for a caller whose claim could not be made, or for whose key a
+/// call is still in progress.
 inline constexpr Duration ClaimRetryAfter = std::chrono::seconds(1);
 
-/// One request from admission to its final answer.
+/// State machine of one request, from admission to the final answer.
 class RequestCore {
 public:
   RequestCore(const RequestTerms &Terms, TimePoint Now);
 
-  /// Takes one event at the time \p Now (Clock::fresh()) and appends what is
-  /// to be done. Events that no longer matter are ignored.
+  /// Handles one event at the time \p Now (Clock::fresh()) and appends the
+  /// resulting actions. Events that no longer apply are ignored.
   void handle(const RequestEvent &What, TimePoint Now,
               std::vector<RequestAction> &Actions);
 
-  /// Returns whether the final answer is given.
+  /// Returns whether the final answer has been given.
   [[nodiscard]] bool answered() const { return m_Answered; }
 
-  /// Returns whether nothing is left to do.
+  /// Returns whether no action is outstanding any more.
   [[nodiscard]] bool ended() const { return m_State == State::Ended; }
 
 private:
   enum class State : std::uint8_t {
     New,        ///< Before Admitted.
-    Bidding,    ///< A bid waits at the dispatcher.
-    Claiming,   ///< A slot is held; the claim was asked for.
-    ClaimPause, ///< The claim's outcome is uncertain; asked again soon.
-    KeyWait,    ///< Another call holds the key; looked at again soon.
-    KeyRead,    ///< The other call's claim is being read.
-    Calling,    ///< The call is on its way or running.
-    GivingBack, ///< The claim is being given back, then m_Final is said.
+    Bidding,    ///< A bid is waiting.
+    Claiming,   ///< A slot is held; the claim is requested.
+    ClaimPause, ///< Outcome uncertain; will be requested again.
+    KeyWait,    ///< Another call holds the key; will be read.
+    KeyRead,    ///< The claim is being read.
+    Calling,    ///< The call is being sent or running.
+    GivingBack, ///< The claim is being released before a refusal.
     Keeping,    ///< The answer is being recorded.
-    Ended,      ///< Nothing left.
+    Ended,      ///< Nothing is left to do.
   };
 
   using Actions = std::vector<RequestAction>;
@@ -92,29 +95,30 @@
   [[nodiscard]] RunState runState() const;
   [[nodiscard]] bool slotStale() const;
 
-  RequestTerms m_Terms;           ///< Never change.
-  TimePoint m_Begin;              ///< When the request was read.
-  TimePoint m_Now;                ///< Of the present event.
-  State m_State = State::New;     ///< See above.
-  bool m_Answered = false;        ///< The final answer is given; never unset.
-  bool m_CallerGone = false;      ///< Nobody to answer.
-  bool m_ClaimAsked = false;      ///< The claim row may name this attempt.
-  bool m_ClaimMayStand = false;   ///< An ask ended without certainty.
-  bool m_ClaimOwned = false;      ///< It does.
-  bool m_OtherHolds = false;      ///< Another attempt was seen in the row.
-  bool m_MayHaveRun = false;      ///< A call ended without proof of not run.
-  bool m_SlotHeld = false;        ///< A grant is not yet released.
-  bool m_SlotSuspect = false;     ///< The grant came through a pause.
+  RequestTerms m_Terms; ///< Constant.
+  TimePoint m_Begin;    ///< When the request was read; limits count from here.
+  TimePoint m_Now;      ///< Time of the current event.
+  State m_State = State::New;
+  bool m_Answered = false;      ///< The final answer was given; never reset.
+  bool m_CallerGone = false;    ///< The caller closed its connection.
+  bool m_ClaimAsked = false;    ///< The row may name this attempt.
+  bool m_ClaimMayStand = false; ///< A request for it ended as uncertain.
+  bool m_ClaimOwned = false;    ///< The row names this attempt.
+  bool m_OtherHolds = false;    ///< The row named another attempt.
+  bool m_MayHaveRun =
+      false;               ///< A call ended without proof that it did not run.
+  bool m_SlotHeld = false; ///< A granted slot is not yet released.
+  bool m_SlotSuspect = false;     ///< The process was paused since the grant.
   bool m_StreamBegun = false;     ///< The caller has bytes of the answer.
-  bool m_FirstToken = false;      ///< Reported for the present call.
+  bool m_FirstToken = false;      ///< For the current call.
   GrantedSlot m_Slot;             ///< Valid while m_SlotHeld.
-  TimePoint m_GrantedAt;          ///< Receipt of the grant.
-  TimePoint m_ClaimedAt;          ///< When the claim was first asked for.
-  unsigned m_Attempts = 0;        ///< Calls sent.
-  bool m_OutcomeKnown = false;    ///< What RecordRan keeps.
-  std::uint32_t m_Tokens = 0;     ///< Tokens that the caller has or will get.
-  std::uint32_t m_CallTokens = 0; ///< Of the present call.
-  Refuse m_Final{};               ///< Said after GivingBack.
+  TimePoint m_GrantedAt;          ///< When the grant was received.
+  TimePoint m_ClaimedAt;          ///< When the claim was first requested.
+  unsigned m_Attempts = 0;        ///< Calls sent, without preempted ones.
+  bool m_OutcomeKnown = false;    ///< As passed to RecordRan.
+  std::uint32_t m_Tokens = 0;     ///< Tokens of the answer so far.
+  std::uint32_t m_CallTokens = 0; ///< Tokens of the current call.
+  Refuse m_Final{};               ///< Answered after ReleasingClaim.
 };
 
 } // namespace crowstep::entry
--- a/src/entry/request_core_claim.cpp
+++ b/src/entry/request_core_claim.cpp
@@ -1,4 +1,4 @@
-/// The request's state machine: the claim of a call that may not be repeated.
+/// State machine of a request: the claim of a call that is not repeatable.
 #include "entry/request_core.h"
 
 #include <algorithm>
@@ -12,8 +12,8 @@
 } // namespace
 
 void RequestCore::askClaim(Actions &Out) {
-  // An outage of the table service must not hold the slot for longer than the
-  // grant can be used, nor the caller for longer than its limit.
+  // During an outage of the table service, the slot must not be held for longer
+  // than the grant is valid, nor the caller wait beyond the limit.
   const Duration Left = m_Terms.m_TotalLimit - (m_Now - m_Begin);
   const Duration Limit = m_SlotHeld ? std::min(m_Slot.m_ValidFor, Left) : Left;
   Out.emplace_back(AskClaim{std::max(Limit, Duration::zero())});
@@ -49,15 +49,15 @@
       keyHeldElsewhere(Out);
       return;
     }
-    // Nothing was written now, but an earlier ask of this attempt whose
-    // outcome was uncertain may have been.
+    // Nothing was written now, but an earlier request of this attempt with an
+    // uncertain outcome may have been.
     m_ClaimAsked = m_ClaimMayStand;
     release(WorkEnd::Unused, Out);
     refuse(RefusalReason::ClaimUnavailable, ClaimRetryAfter, Out);
     return;
   case claim::ClaimStatus::Uncertain:
-    // The row may name this attempt. Asking again with the same attempt finds
-    // out; nothing is sent before, and the slot is not held meanwhile.
+    // The row may name this attempt; another request with the same attempt id
+    // finds out. Nothing is sent before, and the slot is released meanwhile.
     release(WorkEnd::Unused, Out);
     m_ClaimMayStand = m_ClaimMayStand || Asked;
     m_State = Asked ? State::ClaimPause : State::KeyWait;
@@ -68,7 +68,7 @@
 
 void RequestCore::claimOwned(Actions &Out) {
   m_ClaimOwned = true;
-  m_OtherHolds = false; // It gave the key back before.
+  m_OtherHolds = false; // The other attempt has released the key.
   if (m_CallerGone) {
     release(WorkEnd::Unused, Out);
     refuse(RefusalReason::CallerGone, Duration::zero(), Out);
@@ -83,7 +83,7 @@
 }
 
 void RequestCore::keyHeldElsewhere(Actions &Out) {
-  // The slot is of no use while another call holds the key.
+  // The slot can't be used while another call holds the key.
   release(WorkEnd::Unused, Out);
   m_OtherHolds = true;
   m_ClaimAsked = false;
--- a/src/entry/request_service.cpp
+++ b/src/entry/request_service.cpp
@@ -1,4 +1,4 @@
-/// Open requests, own resources and the shutdown of an entry.
+/// Requests, the entry's own resources and the shutdown.
 #include "entry/request_service.h"
 
 #include "core/log.h"
@@ -12,8 +12,8 @@
 constexpr unsigned HttpOk = 200;
 constexpr unsigned HttpUnavailable = 503;
 
-/// A connection without a request is closed after this; callers' libraries
-/// open another one.
+/// A connection without a request is closed after this time; clients open a new
+/// one.
 constexpr Duration IdleLimit = std::chrono::seconds(60);
 
 ArrivalLimits arrivalLimits(const RequestLimits &Limits) {
@@ -109,8 +109,8 @@
     refuse(*From, "", RefusalReason::ShuttingDown, ElsewhereRetryAfter);
     return;
   }
-  // Without the right the table here may be an old one, and an operator was
-  // told that the new one holds everywhere.
+  // Without the right to serve, the table may be outdated although an operator
+  // was notified that a new one is in force everywhere.
   if (!m_Rights.m_RightToServe()) {
     refuse(*From, "", RefusalReason::NotInForce, ElsewhereRetryAfter);
     return;
@@ -139,7 +139,8 @@
 }
 
 void RequestService::sweep() {
-  // Not while the request itself is on the stack.
+  // Runs from a timer, as a request must not be destroyed while it is on the
+  // stack.
   const std::vector<std::unique_ptr<Request>> Gone = std::move(m_Ended);
   m_Ended.clear();
 }
--- a/src/entry/request_service.h
+++ b/src/entry/request_service.h
@@ -1,4 +1,4 @@
-/// Serves callers: every open request of this entry, and the shutdown.
+/// Serves callers: all open requests of an entry, and its shutdown.
 #ifndef CROWSTEP_ENTRY_REQUEST_SERVICE_H
 #define CROWSTEP_ENTRY_REQUEST_SERVICE_H
 
@@ -12,10 +12,10 @@
 
 namespace crowstep::entry {
 
-/// What the service asks of the rest of the entry.
+/// Conditions that the service checks.
 struct ServiceRights {
-  std::function<bool()> m_RightToServe; ///< New work may be taken.
-  std::function<bool()> m_Draining;     ///< The balancer should look elsewhere.
+  std::function<bool()> m_RightToServe; ///< New work may be accepted.
+  std::function<bool()> m_Draining;     ///< This instance is draining.
 };
 
 class RequestService {
@@ -26,10 +26,10 @@
   /// Begins to serve. \throws ListenError.
   void listen(const Address &Where);
 
-  /// Makes the series of the classes in force.
+  /// Creates the metrics of the classes in force.
   void tableChanged() { m_Stats.prepare(m_Directory.table()); }
 
-  /// Refuses new requests and calls \p Done when every answer is written.
+  /// Refuses new requests, and calls \p Done when every answer is written.
   void stop(std::function<void()> Done);
 
 private:
@@ -44,18 +44,18 @@
 
   RequestWorld m_World;         ///< For requests.
   const Directory &m_Directory; ///< Outlives this object.
-  ServiceRights m_Rights;       ///< All set.
+  ServiceRights m_Rights;       ///< None is empty.
   Metrics &m_Metrics;           ///< Outlives this object.
   EntryStats m_Stats;           ///< By class.
-  Front m_Front;                ///< Towards callers; outlives the requests.
+  Front m_Front; ///< Callers' connections; outlives the requests.
   std::unordered_map<std::uint64_t, std::unique_ptr<Request>>
-      m_Requests;                                ///< Not ended.
+      m_Requests;                                ///< Not ended; by number.
   std::vector<std::unique_ptr<Request>> m_Ended; ///< To be destroyed.
-  std::uint64_t m_LastRequest = 0;               ///< Key in m_Requests.
-  Timer m_Sweep;                                 ///< Destroys what has ended.
-  Timer m_StopCheck;                             ///< Runs while stopping.
-  bool m_Stopping = false;                       ///< After stop().
-  std::function<void()> m_StopDone;              ///< Set by stop().
+  std::uint64_t m_LastRequest = 0;  ///< Number of the last request.
+  Timer m_Sweep;                    ///< Destroys ended requests.
+  Timer m_StopCheck;                ///< Runs while stopping.
+  bool m_Stopping = false;          ///< After stop().
+  std::function<void()> m_StopDone; ///< Set by stop().
 };
 
 } // namespace crowstep::entry
--- a/src/entry/request_type.h
+++ b/src/entry/request_type.h
@@ -1,7 +1,8 @@
-/// Events and actions of one request's state machine.
+/// Events and actions of the state machine of a request.
 ///
-/// The machine (request_core.h) does no I/O: whoever drives it hands in one
-/// typed event with the time and carries out the actions in their order.
+/// The state machine (request_core.h) does no I/O: its driver passes in one
+/// event at a time with the current time, and carries out the returned actions
+/// in order.
 #ifndef CROWSTEP_ENTRY_REQUEST_TYPE_H
 #define CROWSTEP_ENTRY_REQUEST_TYPE_H
 
@@ -17,66 +18,67 @@
 
 namespace crowstep::entry {
 
-/// A slot at an upstream, as granted.
+/// A slot at an upstream that a bid was granted.
 struct GrantedSlot {
   UpstreamId m_Upstream;       ///< Where to send the request.
-  Address m_Address;           ///< Of its HTTP server.
+  Address m_Address;           ///< Of the upstream's HTTP server.
   std::uint8_t m_Priority = 0; ///< For the engine; 0 is the most urgent.
-  bool m_Resumes = false;      ///< It continues from given tokens.
-  Duration m_ValidFor{};       ///< Counted from the receipt.
+  bool m_Resumes = false;      ///< The upstream can resume an answer.
+  Duration m_ValidFor{};       ///< Counted from receipt of the grant.
 };
 
 /// How a call to an upstream ended.
 enum class CallEnd : std::uint8_t {
-  Whole,            ///< An answer with any status arrived whole.
+  Whole,            ///< A complete answer, with any status.
   ConnectFailed,    ///< No connection: nothing was sent.
-  TooOld,           ///< The last check stopped it: nothing was sent.
-  Busy,             ///< The upstream says that it did not run the call.
-  Leaving,          ///< As Busy, because it is leaving.
-  ClosedBeforeByte, ///< Sent perhaps; no byte of an answer came.
-  ClosedMidStream,  ///< The answer broke off.
+  TooOld,           ///< Stopped by the last check: nothing was sent.
+  Busy,             ///< The upstream reports that it did not run it.
+  Leaving,          ///< As Busy, because the upstream is draining.
+  ClosedBeforeByte, ///< May have been sent; no byte of an answer.
+  ClosedMidStream,  ///< Closed in the middle of the answer.
 };
 
 // ---- Events -----------------------------------------------------------------
 
-/// The request was read and may be placed.
+/// The request was validated and may be placed.
 struct Admitted {};
 /// The bid was granted.
 struct Granted {
-  GrantedSlot m_Slot; ///< Where.
+  GrantedSlot m_Slot;
 };
-/// The grant may be older than it looks, as this process was paused.
+/// The grant may be older than its receipt suggests, because this process was
+/// paused.
 struct GrantSuspect {};
-/// The bid was refused for good.
+/// The bid was refused; the refusal is final.
 struct BidRefused {
   RefusalReason m_Reason; ///< Never None.
-  Duration m_RetryAfter;  ///< 0: coming back can't help.
+  Duration m_RetryAfter;  ///< 0: a retry by the caller can't succeed.
 };
-/// The slot must be given back at once.
+/// The dispatcher orders the slot to be released at once.
 struct PreemptOrdered {
   UpstreamId m_Upstream; ///< Ignored unless the call runs there.
 };
-/// The claim was asked for, or read, and this came of it.
+/// A request for the claim, or a read of it, has returned.
 struct ClaimAnswered {
-  claim::ClaimOutcome m_Outcome; ///< The answer, if any, is replayed.
+  claim::ClaimOutcome m_Outcome; ///< A kept answer in it is replayed.
 };
-/// The end of the call was recorded, or may have been.
+/// The write that records the end of the call has returned.
 struct EndRecorded {
   bool m_Certain; ///< False: the write's outcome is unknown.
 };
-/// Tokens (for a plain service: the first byte) arrived.
+/// Tokens (from a service that is not an engine: the first byte) arrived.
 struct TokensArrived {
-  std::uint32_t m_Count; ///< May be 0 for a byte that is no token.
+  std::uint32_t m_Count; ///< 0 for bytes that hold no token.
 };
-/// The upstream's call is over.
+/// The call to the upstream has ended.
 struct CallEnded {
-  CallEnd m_End; ///< How.
+  CallEnd m_End;
 };
 /// The caller closed its connection.
 struct CallerLeft {};
-/// The class's longest wait is over.
+/// The total time limit of the class is reached.
 struct LimitReached {};
-/// The pause asked for by WakeAfter is over.
+/// The wait requested by WakeAfter is over.
 struct PauseOver {};
 
 using RequestEvent =
@@ -86,73 +88,74 @@
 
 // ---- Actions ----------------------------------------------------------------
 
-/// Ask the pool's dispatcher for a slot.
+/// Ask the dispatcher of the pool for a slot.
 struct PlaceBid {
-  std::uint32_t m_DoneTokens;        ///< Tokens that the caller has.
+  std::uint32_t m_DoneTokens;        ///< Tokens that the caller already has.
   bool m_IsRetry;                    ///< Counts against the retry budget.
-  std::optional<UpstreamId> m_Avoid; ///< Upstream that just failed it.
-  Duration m_UntilTarget;            ///< Left of the first token's target.
-  Duration m_UntilLimit;             ///< Left of the longest wait.
+  std::optional<UpstreamId> m_Avoid; ///< Upstream of the failed attempt.
+  Duration m_UntilTarget;            ///< Until the first token target.
+  Duration m_UntilLimit;             ///< Until the total time limit.
 };
-/// Take the bid back.
+/// Withdraw the waiting bid.
 struct WithdrawBid {};
-/// Tell the dispatcher that the first token came.
+/// Notify the dispatcher of the first token.
 struct ReportFirstToken {
   Duration m_Latency; ///< Since the grant.
 };
-/// Tell the dispatcher that the slot is free.
+/// Notify the dispatcher that the slot is free.
 struct ReleaseSlot {
-  UpstreamId m_Upstream;   ///< Where it was.
+  UpstreamId m_Upstream;   ///< Upstream of the slot.
   decision::WorkEnd m_End; ///< How the work ended.
-  std::uint32_t m_Tokens;  ///< Generated in this attempt.
+  std::uint32_t m_Tokens;  ///< Received in this attempt.
   Duration m_Elapsed;      ///< Since the grant.
 };
-/// Ask for the claim of the key with this request's one attempt.
+/// Request the claim of the key. A request uses the same attempt id for all its
+/// requests of the claim.
 struct AskClaim {
-  Duration m_Limit; ///< Longest wait for the claim's outcome.
+  Duration m_Limit; ///< Longest wait for the outcome.
 };
-/// Read how the other attempt's claim stands.
+/// Read the state of the claim that another attempt holds.
 struct ReadClaim {};
 /// Record that the call provably never ran.
 struct RecordNotRun {};
-/// Keep the answer, or that its outcome is unknown.
+/// Record the answer, or that the outcome is unknown.
 struct RecordRan {
-  bool m_OutcomeKnown; ///< False: only "unknown" is kept.
+  bool m_OutcomeKnown; ///< False: "unknown" is recorded.
 };
-/// Send the call. The sender makes the last check at the moment before the
-/// first byte: bytes may go out until m_SendBefore by Clock::fresh().
+/// Send the call. The sender checks the time once more right before the first
+/// byte: bytes may only be sent before m_SendBefore, by Clock::fresh().
 struct SendCall {
-  GrantedSlot m_Slot;           ///< Where.
-  TimePoint m_SendBefore;       ///< Of the grant and the claim.
-  std::uint32_t m_ResumeTokens; ///< Tokens that the caller has.
+  GrantedSlot m_Slot;
+  TimePoint m_SendBefore;       ///< When the grant or the claim expires.
+  std::uint32_t m_ResumeTokens; ///< Tokens to resume after; 0: from the start.
 };
-/// Close the call's connection and tell the engine to stop.
+/// Close the connection of the call and order an engine to stop.
 struct CancelCall {};
-/// Run PauseOver after this long.
+/// Deliver WaitElapsed after a wait.
 struct WakeAfter {
   Duration m_Pause; ///< > 0.
 };
-/// Final: a refusal.
+/// Final answer: a refusal.
 struct Refuse {
   RefusalReason m_Reason; ///< Never None.
-  RunState m_State;       ///< What the caller may believe.
-  Duration m_RetryAfter;  ///< 0: none.
+  RunState m_State;       ///< Whether the call has run.
+  Duration m_RetryAfter;  ///< 0: no Retry-After header.
 };
-/// Final: the kept answer of the key's first call.
+/// Final answer: the recorded answer of the first call with the key.
 struct ReplayAnswer {
-  claim::KeptAnswer m_Answer; ///< As recorded.
+  claim::KeptAnswer m_Answer;
 };
-/// Final: the answer is whole.
+/// Final answer: the upstream's answer is complete.
 struct FinishAnswer {};
-/// Final: the answer that began ends without its rest.
+/// Final answer: end the answer that has begun with an error event.
 struct CutAnswer {
-  RefusalReason m_Reason; ///< Why.
+  RefusalReason m_Reason;
 };
-/// Final: nobody is there to be answered.
+/// Final answer: none, as the caller has closed its connection.
 struct DropAnswer {};
-/// Count a further attempt.
+/// Count a retry.
 struct CountRetry {
-  RetryReason m_Reason; ///< Why.
+  RetryReason m_Reason;
 };
 
 using RequestAction =
@@ -161,13 +164,13 @@
                  WakeAfter, Refuse, ReplayAnswer, FinishAnswer, CutAnswer,
                  DropAnswer, CountRetry>;
 
-/// What the table and the caller ask of one request.
+/// Properties of a request, from the table, the caller and the settings.
 struct RequestTerms {
-  bool m_Repeatable = true;      ///< False: at most once, with a claim.
-  bool m_Streamed = false;       ///< Bytes go to the caller as they come.
+  bool m_Repeatable = true;      ///< False: run at most once, under a claim.
+  bool m_Streamed = false;       ///< The answer is relayed as it arrives.
   Duration m_FirstTokenTarget{}; ///< Of the class.
   Duration m_TotalLimit{};       ///< Of the class; > 0.
-  unsigned m_MaxAttempts = 4;    ///< Calls to upstreams, at most.
+  unsigned m_MaxAttempts = 4;    ///< Limit on calls to upstreams.
 };
 
 } // namespace crowstep::entry
--- a/tests/unit/entry_call_test.cpp
+++ b/tests/unit/entry_call_test.cpp
@@ -1,5 +1,4 @@
-/// Calls through the entry's HTTP sides, with failures of upstreams and
-/// callers.
+/// Calls through an entry over HTTP, with failures of upstreams and callers.
 #define BOOST_TEST_MODULE entry_call
 #include "unit/entry_harness.h"
 
@@ -48,8 +47,8 @@
   BOOST_TEST(Caller->has(R"("completion_tokens":2)"));
 }
 
-/// Guards against a call that begins for a caller that has left: the process
-/// gets to the upstream's socket before it gets to the caller's.
+// Guards against a call that is sent for a caller that has closed its
+// connection: the process may serve the upstream's socket before the caller's.
 BOOST_AUTO_TEST_CASE(NothingIsSentForACallerThatHasLeft) {
   Bench It;
   FakeUpstream Engine;
@@ -61,9 +60,9 @@
   BOOST_TEST(Engine.peer(0).received().empty());
 }
 
-// An engine closes in the middle of a stream. The caller sees one answer
-// without gap or repetition: the next engine is given the number of tokens
-// that the caller has, and half an event of the first is never passed on.
+// An engine closes in the middle of a stream. The caller gets one answer
+// without a gap or duplicate: the next engine is sent the number of tokens that
+// the caller has, and a partial event of the first engine is not relayed.
 BOOST_AUTO_TEST_CASE(StreamIsResumedElsewhere) {
   Bench It;
   FakeUpstream First, Second;
@@ -86,8 +85,8 @@
   BOOST_TEST(Caller->received().find("one") == Caller->received().rfind("one"));
 }
 
-// As above, but no engine resumes: the caller sees a typed end without [DONE],
-// because a second beginning would repeat what it has.
+// As above, but no engine can resume. The answer ends with an error event and
+// without [DONE], because a restart would duplicate what the caller has.
 BOOST_AUTO_TEST_CASE(StreamThatCannotResumeIsCut) {
   Bench It;
   FakeUpstream First, Second;
@@ -104,8 +103,8 @@
   BOOST_TEST(Second.accept() == 0U);
 }
 
-// The first upstream refuses the connection, the second says that it is
-// leaving, the third is busy. The caller sees only the fourth's answer.
+// The first upstream refuses the connection, the second is draining, the third
+// is busy. The caller gets only the answer of the fourth.
 BOOST_AUTO_TEST_CASE(ProvableFailuresAreRetriedElsewhere) {
   Bench It;
   FakeUpstream Gone, Leaving, Busy, Good;
@@ -135,8 +134,9 @@
       std::string::npos);
 }
 
-// The service reads a hold and closes. The call may have run: it is not sent
-// again, the caller is told "unknown", and so is the key's repetition.
+// The service reads the call and closes. The call may have run, so it is not
+// sent again, and both the caller and a further request with the key get
+// "unknown".
 BOOST_AUTO_TEST_CASE(HoldIsNeverSentTwice) {
   Bench It;
   FakeUpstream Desk;
@@ -156,9 +156,10 @@
   BOOST_TEST(Desk.accept() == 1U);
 }
 
-// The caller of a hold goes away while it runs. The hold runs to its end and
-// the key's repetition gets the kept answer, without a second call. The same
-// key with another body, or from another workspace, doesn't.
+// The caller closes its connection while a call that is not repeatable runs.
+// The call runs to its end, and a further request with the key gets the
+// recorded answer without a second call. A request with the same key but
+// another body or workspace does not.
 BOOST_AUTO_TEST_CASE(KeptAnswerIsReplayed) {
   Bench It;
   FakeUpstream Desk;
@@ -187,8 +188,8 @@
   BOOST_TEST(!Foreign->has("held"));
 }
 
-// A second caller sends the key while the first call runs: it waits, and is
-// told "unknown" at its limit; the first one's answer is its own.
+// A second caller sends the same key while the first call runs. It waits until
+// its limit and gets "unknown"; nothing is sent for it.
 BOOST_AUTO_TEST_CASE(KeyInProgressIsToldUnknown) {
   Bench It;
   FakeUpstream Desk;
@@ -203,7 +204,7 @@
   BOOST_TEST(Desk.accept() == 1U);
 }
 
-// The table service is down: nothing is sent and the caller may come back.
+// The table service is down: nothing is sent and the caller may retry.
 BOOST_AUTO_TEST_CASE(HoldWithoutClaimIsNotSent) {
   Bench It;
   FakeUpstream Desk;
@@ -216,8 +217,8 @@
   BOOST_TEST(Desk.accept() == 0U);
 }
 
-// The grant lapses between its receipt and the connection. The last check
-// stops the call before a byte is written, and the request bids again.
+// The grant expires between its receipt and the connection. The last check
+// stops the call before a byte is sent, and the request bids again.
 BOOST_AUTO_TEST_CASE(LapsedGrantSendsNoByte) {
   Bench It;
   FakeUpstream Late, Good;
@@ -233,8 +234,9 @@
       (It.m_Placement.m_Released.at(0).m_End == decision::WorkEnd::Unused));
 }
 
-// The caller goes while its guide streams: the engine's connection is closed,
-// it is ordered to stop, and the slot is free.
+// The caller closes its connection while an answer streams: the engine's
+// connection is closed, the engine is ordered to stop, and the slot is
+// released.
 BOOST_AUTO_TEST_CASE(CallerGoneCancelsRepeatableWork) {
   Bench It;
   FakeUpstream Engine;
@@ -253,7 +255,8 @@
       (It.m_Placement.m_Released.at(0).m_End == decision::WorkEnd::Cancelled));
 }
 
-// A caller that leaves while its bid waits must not keep its queue place.
+// Guards against a bid that keeps its place in the queue after its caller has
+// closed the connection.
 BOOST_AUTO_TEST_CASE(CallerGoneWithdrawsBid) {
   Bench It;
   auto Caller = It.guide(true);
@@ -262,8 +265,9 @@
   BOOST_TEST(pumpUntil([&] { return It.m_Placement.m_Waiting.empty(); }));
 }
 
-// Urgent work needs the slot. The engine is stopped, the bid goes out again
-// with the tokens that the caller has, and the answer goes on elsewhere.
+// A more urgent request preempts the slot. The call is cancelled, the request
+// bids again with the tokens that the caller has, and another engine resumes
+// the answer.
 BOOST_AUTO_TEST_CASE(PreemptedStreamGoesOn) {
   Bench It;
   FakeUpstream First, Second;
@@ -285,8 +289,9 @@
   BOOST_TEST(pumpUntil([&] { return Caller->has("[DONE]"); }));
 }
 
-// An upstream that closes a kept-alive connection, or redirects, gets no
-// second copy of the call from libsoup: our own retry decides where it goes.
+// Guards against an HTTP client that resends a call by itself after a closed
+// kept-alive connection, or follows a redirect: only the request's own retry
+// may send it again.
 BOOST_AUTO_TEST_CASE(LibraryNeitherResendsNorRedirects) {
   Bench It;
   FakeUpstream Desk, Other;
@@ -313,8 +318,8 @@
 }
 
 // A caller stops reading a long answer. The entry stops reading from the
-// engine, so that what waits in this process stays bounded; when the caller
-// reads on, it gets everything.
+// engine, so that its memory use stays bounded. When the caller reads on, it
+// gets the complete answer.
 BOOST_AUTO_TEST_CASE(SlowCallerHoldsBackTheEngine) {
   Bench It;
   FakeUpstream Engine;
@@ -340,7 +345,7 @@
     BOOST_REQUIRE(Written < (64U << 20));
   }
   BOOST_TEST_MESSAGE("held back after " << Written << " bytes");
-  // The text alone: how it is cut into chunks on the way is not fixed.
+  // Only the text is compared, as it may be split into other chunks.
   const auto Text = [&] {
     const std::string &All = Caller->received();
     const auto Head = static_cast<std::ptrdiff_t>(All.find("\r\n\r\n"));
@@ -354,8 +359,8 @@
   BOOST_TEST(Text() == (Whole + 1) * TextSize);
 }
 
-// The entry is told to stop while an answer streams. Health turns negative and
-// new calls are refused at once, but the answer in progress is not cut.
+// The entry is stopped while an answer streams. Health checks fail and new
+// requests are refused at once, but the answer in progress is completed.
 BOOST_AUTO_TEST_CASE(ShutdownCutsNothing) {
   Bench It;
   FakeUpstream Engine;
--- a/tests/unit/entry_harness.h
+++ b/tests/unit/entry_harness.h
@@ -1,5 +1,6 @@
-/// An entry's caller side in one process: real HTTP on loopback, with fakes of
-/// placement, claims and upstream, so that each test says what fails and when.
+/// Test bench for an entry's request service: real HTTP on loopback, with fakes
+/// of placement, claims and upstreams, so that a test controls what fails and
+/// when.
 #ifndef CROWSTEP_TESTS_UNIT_ENTRY_HARNESS_H
 #define CROWSTEP_TESTS_UNIT_ENTRY_HARNESS_H
 
@@ -17,7 +18,7 @@
 
 using namespace crowstep::test;
 
-/// Grants at the addresses given, in turn; then leaves bids waiting.
+/// Grants slots at the given addresses in order, then leaves bids waiting.
 class FakePlacement final : public Placement {
 public:
   explicit FakePlacement(Scheduler &Timers) : m_Timers(Timers) {}
@@ -54,7 +55,7 @@
   std::vector<ReleaseSlot> m_Released;
   int m_FirstTokens = 0;
   std::map<std::uint64_t, PlacementListener *> m_Waiting;
-  PlacementListener *m_Holder = nullptr; ///< Of the last grant.
+  PlacementListener *m_Holder = nullptr; ///< Listener of the last grant.
 
 private:
   void serve() {
@@ -80,7 +81,7 @@
   std::optional<std::pair<RefusalReason, Duration>> m_Refusal;
 };
 
-/// Rows in memory, with a switch for the next outcome.
+/// Claims in memory; a test can set the outcome of the next one.
 class FakeClaims final : public claim::Claims {
 public:
   explicit FakeClaims(Scheduler &Timers) : m_Timers(Timers) {}
@@ -118,7 +119,7 @@
       later(std::move(OnDone), seen(Found->second, BodyHash, ""));
   }
 
-  std::optional<claim::ClaimStatus> m_Next; ///< Of the next claim.
+  std::optional<claim::ClaimStatus> m_Next; ///< Outcome of the next claim.
   int m_Claims = 0;
   int m_NotRun = 0;
 
@@ -148,9 +149,9 @@
   std::map<claim::ClaimKey, Row> m_Rows;
 };
 
-/// The entry under test: classes guide (engine, repeatable), hold (service, at
-/// most once) and check (service, repeatable); workspaces with the keys alpha
-/// and beta.
+/// The service under test. Its classes are guide (engine, repeatable), hold
+/// (service, not repeatable) and check (service, repeatable), its workspaces
+/// have the keys alpha and beta.
 struct Bench {
   Bench() {
     Contract Guide;
@@ -190,7 +191,8 @@
     return Result;
   }
 
-  /// Returns a free port: the fake upstream's bind finds one.
+  /// Returns an address with a free port, which the bind of a fake upstream
+  /// finds.
   static Address freeAddress() { return FakeUpstream().m_Address; }
 
   static std::string text(const std::string &Path, const std::string &Class,
--- a/tests/unit/entry_input_test.cpp
+++ b/tests/unit/entry_input_test.cpp
@@ -1,4 +1,5 @@
-/// Bad input from callers: each a typed answer, and the entry goes on.
+/// Invalid input from callers: each gets a refusal with its reason, and the
+/// entry goes on.
 #define BOOST_TEST_MODULE entry_input
 #include "unit/entry_harness.h"
 
@@ -13,7 +14,8 @@
 const std::string Chat = "/v1/chat/completions";
 const std::string GoodBody = R"({"messages":[{"role":"user","content":"x"}]})";
 
-/// Sends \p Text and checks status, reason and that nothing ran.
+/// Sends \p Text and checks status and reason of the refusal, and that no bid
+/// was placed.
 void refused(Bench &It, const std::string &Text, const std::string &Status,
              const std::string &Reason) {
   BOOST_TEST_CONTEXT(Reason << " for " << Text.substr(0, 200)) {
@@ -83,12 +85,12 @@
 
 BOOST_AUTO_TEST_CASE(SizesAndTimesAreLimited) {
   Bench It;
-  // By its announced length: answered before the body is sent.
+  // Refused by Content-Length, before the body is sent.
   refused(It,
           "POST " + Chat +
               " HTTP/1.1\r\nHost: e\r\nContent-Length: 70000\r\n\r\n",
           "413", "body_too_large");
-  // Without a length, found while it comes.
+  // Without Content-Length, the limit is checked while the body is received.
   std::string Chunked =
       without(Bench::text(Chat, "guide", ""), "Content-Length");
   Chunked.insert(Chunked.find("\r\n\r\n"), "\r\nTransfer-Encoding: chunked");
@@ -101,7 +103,7 @@
           Bench::text("/v1/services/pass-desk/hold", "hold", "{}",
                       "Idempotency-Key: " + std::string(300, 'k') + "\r\n"),
           "431", "header_too_large");
-  // The body never comes whole.
+  // The body is never complete.
   refused(It, Bench::text(Chat, "guide", GoodBody).substr(0, 160), "408",
           "slow_caller");
 }
--- a/tests/unit/entry_placement_test.cpp
+++ b/tests/unit/entry_placement_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Links that keep what is put into them.
+/// Records the dialled addresses and the frames to be sent.
 class FakeLinks final : public link::Links {
 public:
   void dial(const Address &Where) override { m_Dialled.insert(Where); }
@@ -27,7 +27,7 @@
   std::map<std::uint64_t, wire::FrameT> m_Out;
 };
 
-/// Keeps what it is told.
+/// Records the results of bids.
 class FakeListener final : public PlacementListener {
 public:
   void slotGranted(const GrantedSlot &Slot) override {
@@ -77,7 +77,8 @@
     m_Fleet.linkFrame(LinkId(Link),
                       *wire::GetFrame(Builder.GetBufferPointer()));
   }
-  /// Tells members, table and right, as a home does when an entry attaches.
+  /// Delivers an attachment with members, table and right to serve, as a home
+  /// sends it when an entry attaches.
   void attach(std::uint64_t Link, const std::string &Members = "ab",
               std::uint64_t Acked = 0, std::uint64_t Version = 5) {
     wire::FrameT Out;
@@ -118,7 +119,7 @@
     Out.table_update->json = contract::writeJson(Table);
     frame(Link, Out);
   }
-  /// Echoes the last acknowledgement, without anything new.
+  /// Delivers an attachment that only echoes the acknowledgement \p Acked.
   void echo(std::uint64_t Link, std::uint64_t Acked) {
     wire::FrameT Out;
     Out.attachment = std::make_unique<wire::AttachmentT>();
@@ -140,12 +141,12 @@
     Terms.m_Ask.m_UntilLimit = 60s;
     return m_Placement.bid(Terms, m_Listener);
   }
-  /// Returns the link of the pool's owner, and of the other dispatcher.
+  /// Returns the link to the owner of the pool; other() returns the other one.
   std::uint64_t owner() const {
     return m_Fleet.linkToOwner(poolIdOf("guide-writer", 0)).value();
   }
   std::uint64_t other() const { return 3 - owner(); }
-  /// Lets the process be frozen: time goes on, but no timer runs.
+  /// Simulates a pause of the process: time advances, but no timer runs.
   void freeze(Duration Length) { m_Clock.advance(Length); }
 
   ManualClock m_Clock;
@@ -178,8 +179,8 @@
   BOOST_TEST(It.m_Links.m_Out[It.owner()].work_ends.size() == 1U);
 }
 
-// Two dispatchers think that they own the pool. Only a grant from the one that
-// holds the bid is used; the other's, and a second one, are not.
+// Two dispatchers consider themselves owner of the pool. Only the first grant
+// from the one that has the bid is used.
 BOOST_AUTO_TEST_CASE(GrantFromElsewhereIsIgnored) {
   Bench It;
   const BidNumber Bid = It.bid();
@@ -190,8 +191,8 @@
   BOOST_TEST(It.m_Listener.m_Slots.size() == 1U);
 }
 
-// The owner dies with a bid waiting and a call running. Both are told to the
-// next owner: the bid as a bid, the call as running with its tokens.
+// The owner fails while a bid waits and a call runs. Both are sent to the next
+// owner: the bid as a bid, the call as running, with its tokens.
 BOOST_AUTO_TEST_CASE(NewOwnerHearsOfEverything) {
   Bench It;
   It.attach(1, "b");
@@ -217,8 +218,8 @@
   BOOST_TEST(It.m_Links.m_Out[It.owner()].bids.size() == 2U);
 }
 
-// No owner can be reached for a second: the entry decides alone, over its
-// share of the slots (8 among 2 members), and goes back to the owner later.
+// No owner can be reached for a second: the entry places locally, on its share
+// of the slots (8 for 2 members). Bids that still wait go to the owner later.
 BOOST_AUTO_TEST_CASE(WithoutOwnerTheEntryDecidesAlone) {
   Bench It;
   It.down(1, "a");
@@ -238,9 +239,9 @@
       It.m_Links.m_Out[3].bids.size() + It.m_Links.m_Out[4].bids.size() == 2U);
 }
 
-// The process is frozen for longer than a grant is valid. When it wakes, the
-// grant is in its socket and looks new; its upstream may have left. It is
-// given back unused, and the bid goes out again when the sockets are read.
+// The process is paused for longer than a grant is valid. Afterwards the grant
+// in its socket looks new, but the upstream may have been removed. The grant is
+// returned unused, and the bid is sent again when the sockets are read.
 BOOST_AUTO_TEST_CASE(GrantReadAfterAFreezeIsGivenBack) {
   Bench It;
   const BidNumber Bid = It.bid();
@@ -254,8 +255,8 @@
   BOOST_TEST(It.m_Listener.m_Slots.size() == 1U);
 }
 
-// A grant that is held but not yet used when the freeze begins is told as
-// suspect, so that the request checks it again before it sends.
+// A grant that was received before a pause but not used yet is reported as
+// suspect, so that the request checks it again before it sends the call.
 BOOST_AUTO_TEST_CASE(HeldGrantIsSuspectAfterAFreeze) {
   Bench It;
   It.grant(It.owner(), It.bid());
@@ -264,9 +265,9 @@
   BOOST_TEST(It.m_Listener.m_Suspect == 1);
 }
 
-// The right to serve lasts its span from the sending of the
-// acknowledgement that comes back. Attachments that waited in the socket of a
-// frozen process bring old echoes and prolong nothing.
+// The right to serve is counted from the sending of the acknowledgement that is
+// echoed. Attachments that were in the socket during a pause bring old echoes,
+// which must not extend the right.
 BOOST_AUTO_TEST_CASE(RightRunsFromTheOwnAcknowledgement) {
   Bench It;
   BOOST_TEST(!It.m_Fleet.rightToServe()); // Nothing is echoed yet.
@@ -278,7 +279,7 @@
   BOOST_TEST(It.m_Fleet.rightToServe());
   It.freeze(5s);
   BOOST_TEST(!It.m_Fleet.rightToServe());
-  It.echo(1, Acked); // Old news from the socket.
+  It.echo(1, Acked); // An old echo from the socket.
   BOOST_TEST(!It.m_Fleet.rightToServe());
   const std::uint64_t Fresh = It.m_Sequence;
   It.m_Timers.advance(10ms);
@@ -286,8 +287,8 @@
   BOOST_TEST(It.m_Fleet.rightToServe());
 }
 
-// The table service is down and the home knows no workspaces yet: the entry
-// would refuse every caller for good as unknown, so it does not serve.
+// The table service is down and the home knows no workspaces yet. The entry
+// would refuse every request for an unknown key, so it does not serve.
 BOOST_AUTO_TEST_CASE(NoRightWithoutWorkspaces) {
   Bench It;
   It.m_Known.setWorkspaces({});
@@ -306,7 +307,8 @@
   BOOST_TEST(It.m_Known.table().m_Version.value() == 6U);
 }
 
-// The home's link is down for longer than it may: the next one is dialled.
+// The link to the home is down for longer than HomeTimeout: the next home is
+// dialled.
 BOOST_AUTO_TEST_CASE(LostHomeIsReplaced) {
   Bench It;
   It.attach(1, "a"); // Owner of all pools: only it is dialled.
--- a/tests/unit/entry_request_core_test.cpp
+++ b/tests/unit/entry_request_core_test.cpp
@@ -1,4 +1,4 @@
-/// The request's state machine under random orders of events and faults.
+/// State machine of a request under random orders of events and faults.
 #define BOOST_TEST_MODULE entry_request_core
 #include "entry/request_core.h"
 
@@ -14,7 +14,7 @@
 
 constexpr std::uint32_t WholeAnswer = 5; ///< Tokens of every answer.
 
-/// The row of the one key, as the table service holds it.
+/// The claim row of the key, as the table service stores it.
 struct KeyRow {
   enum class State : std::uint8_t { Free, Claimed, Ran } m_State = State::Free;
   int m_Owner = -1; ///< Index of the request that holds it.
@@ -35,7 +35,7 @@
   }
 };
 
-/// One request, what is open around it, and what its caller was told.
+/// One request, its outstanding actions, and what its caller was answered.
 struct Driven {
   RequestCore m_Core;
   bool m_Streamed;
@@ -44,15 +44,15 @@
   bool m_Calling = false;
   int m_Slots = 0;              ///< Granted and not released.
   int m_Finals = 0;             ///< Final answers.
-  int m_Runs = 0;               ///< Calls that an upstream began to run.
+  int m_Runs = 0;               ///< Calls that an upstream has started.
   bool m_ToldNotRun = false;    ///< Of the final answer.
   bool m_Whole = false;         ///< Of the final answer.
-  bool m_Gone = false;          ///< The caller left.
-  std::uint32_t m_Received = 0; ///< Tokens of the present answer.
-  bool m_CallRan = false;       ///< The present call runs.
+  bool m_Gone = false;          ///< The caller closed its connection.
+  std::uint32_t m_Received = 0; ///< Tokens of the current answer.
+  bool m_CallRan = false;       ///< The current call has started.
 };
 
-/// Two requests with one key (or two repeatable ones) in one world.
+/// Simulates two requests, which have the same key if they are not repeatable.
 class World {
 public:
   World(bool Repeatable, bool Streamed) : m_Repeatable(Repeatable) {
@@ -67,7 +67,7 @@
       feed(Index, Admitted{});
   }
 
-  /// Lets one thing happen; the low bits of \p Choice say to whom and what.
+  /// Delivers one event. The low bits of \p Choice select request and event.
   void step(std::uint32_t Choice) {
     m_Now += Duration(Choice % 97 * 1000);
     const int Who = static_cast<int>(Choice & 1);
@@ -138,7 +138,7 @@
     }
   }
 
-  /// Lets everything that is open come to a good end.
+  /// Completes all outstanding actions successfully.
   void settle() {
     for (int Round = 0; Round < 200; ++Round)
       for (int Who = 0; Who < 2; ++Who) {
@@ -162,7 +162,7 @@
           feed(Who, PauseOver{});
         }
       }
-    // Whoever still waits for a key that never ends is let go by its limit.
+    // A request that waits for a key that is never released ends by its limit.
     m_Now += 10s;
     for (int Who = 0; Who < 2; ++Who)
       feed(Who, LimitReached{});
@@ -190,7 +190,8 @@
       RC_ASSERT(Each.m_Core.ended());
       RC_ASSERT(Each.m_Finals == 1);
       RC_ASSERT(Each.m_Slots == 0);
-      // Nobody is left in the row without having run: the key stays usable.
+      // If "not run" was answered, the row must not name the request, so that
+      // the key stays usable.
       RC_ASSERT(!(m_Row.m_State == KeyRow::State::Claimed &&
                   m_Requests[m_Row.m_Owner].m_ToldNotRun));
     }
@@ -208,7 +209,7 @@
     feed(Who, Granted{Slot});
   }
 
-  /// The write may take effect although its answer is lost.
+  /// The write may take effect although its reply is lost.
   void answerClaim(int Who, std::uint32_t Detail) {
     m_Requests[Who].m_Claiming = false;
     ClaimStatus Told = ClaimStatus::Unavailable;
@@ -267,7 +268,7 @@
         How =
             It.m_CallRan ? CallEnd::ClosedMidStream : CallEnd::ClosedBeforeByte;
     }
-    // It may have run although no byte of an answer came.
+    // The call may have run although no byte of an answer was received.
     if (How == CallEnd::ClosedBeforeByte)
       run(It);
     It.m_Calling = false;
@@ -298,7 +299,7 @@
   }
   static void take(Driven &It, const RecordRan &) { It.m_RecordingRan = true; }
   void take(Driven &It, const SendCall &What) const {
-    RC_ASSERT(It.m_Finals == 0); // Nobody would get the answer.
+    RC_ASSERT(It.m_Finals == 0); // No caller would get the answer.
     RC_ASSERT(!It.m_Calling);
     RC_ASSERT(It.m_Slots == 1);
     RC_ASSERT(m_Repeatable || What.m_SendBefore > m_Now);
@@ -349,7 +350,7 @@
     for (const std::uint32_t Each : Choices) {
       Run.step(Each);
       Run.check();
-      if (Run.over()) { // The rest of the events befalls two new requests.
+      if (Run.over()) { // The other events go to two new requests.
         Run.checkEnded();
         Run = World(Repeatable, Streamed);
       }
@@ -363,18 +364,19 @@
 
 } // namespace
 
-// Two callers send one key through two entries, or one sends it again, while
-// claims' answers are lost, grants lapse, upstreams close and callers leave.
-// Seen from outside, the call ran at most once, "not run" was true, and each
-// caller got one final answer, because a claim is owned by one attempt, never
-// stolen, and given back before "not run" is said.
+// Two requests with the same key, through two entries or as a retry, while
+// replies to claims are lost, grants expire, upstreams close and callers close
+// their connections. The call runs at most once, "not run" is true, and each
+// caller gets one final answer, because a claim is owned by one attempt, is
+// never taken over, and is released before "not run" is answered.
 BOOST_AUTO_TEST_CASE(KeyedCallRunsAtMostOnce) {
   property("keyed call runs at most once", false);
 }
 
-// An engine closes mid-stream, refuses, or must give its slot to urgent work.
-// The caller sees one answer without a gap or a repetition, or a typed end,
-// because each further call starts from the tokens that the caller has.
+// An engine closes mid-stream, refuses the call, or its slot is preempted. The
+// caller gets one answer without a gap or duplicate, or one that ends with an
+// error event, because each further call resumes after the tokens that the
+// caller has.
 BOOST_AUTO_TEST_CASE(RepeatableAnswerIsWhole) {
   property("repeatable answer is whole", true);
 }
