--- a/src/entry/caller_request.cpp
+++ b/src/entry/caller_request.cpp
@@ -87,18 +87,18 @@
 /// Returns the limit on the output: the caller's, but at most \p Max, or \p Max
 /// if the caller sets none. 0 for \p Max means no limit. Returns nothing if the
 /// caller's value is not a positive integer.
-std::optional<std::uint32_t> maxTokensOf(const Json &Body, std::uint32_t Most) {
+std::optional<std::uint32_t> maxTokensOf(const Json &Body, std::uint32_t Max) {
   for (const char *Name : {"max_completion_tokens", "max_tokens"}) {
     const auto Field = Body.find(Name);
     if (Field == Body.end() || Field->is_null())
       continue;
     if (!Field->is_number_unsigned() || *Field == 0U)
       return std::nullopt;
-    const auto Asked = Field->get<std::uint64_t>();
-    const std::uint64_t Limit = Most == 0 ? UINT32_MAX : Most;
-    return static_cast<std::uint32_t>(std::min(Asked, Limit));
+    const auto Requested = Field->get<std::uint64_t>();
+    const std::uint64_t Limit = Max == 0 ? UINT32_MAX : Max;
+    return static_cast<std::uint32_t>(std::min(Requested, Limit));
   }
-  return Most;
+  return Max;
 }
 
 bool readEngineCall(const RawRequest &Raw, CallerRequest &Out) {
@@ -155,7 +155,7 @@
   return Path == ChatPath || Path == CompletionPath;
 }
 
-RefusalReason readEnvelope(const RawRequest &Raw, const Directory &Known,
+RefusalReason readEnvelope(const RawRequest &Raw, const Directory &Dir,
                            CallerRequest &Out) {
   if (Raw.m_Method != "POST" ||
       (!isEnginePath(Raw.m_Path) && Raw.m_Path.rfind(ServicePrefix, 0) != 0))
@@ -163,11 +163,11 @@
   const std::string Key = bearerKey(Raw.m_Authorization);
   if (Key.empty())
     return RefusalReason::MissingKey;
-  const std::optional<WorkspaceId> Workspace = Known.workspaceOf(Key);
+  const std::optional<WorkspaceId> Workspace = Dir.workspaceOf(Key);
   if (!Workspace)
     return RefusalReason::UnknownKey;
   Out.m_Workspace = *Workspace;
-  const Contract *Row = Known.contract(Raw.m_Class);
+  const Contract *Row = Dir.contract(Raw.m_Class);
   if (Row == nullptr)
     return RefusalReason::UnknownClass;
   Out.m_Contract = *Row;
@@ -208,15 +208,15 @@
   return Result;
 }
 
-Outcome readCallerRequest(const RawRequest &Raw, const Directory &Known) {
+Outcome readCallerRequest(const RawRequest &Raw, const Directory &Dir) {
   CallerRequest Result;
-  RefusalReason Why = readEnvelope(Raw, Known, Result);
-  if (Why == RefusalReason::None)
-    Why = readClaim(Raw, Result);
-  if (Why == RefusalReason::None)
-    Why = readCall(Raw, Result);
-  if (Why != RefusalReason::None)
-    return ReadRefusal{Why, Result.m_Contract.m_Name};
+  RefusalReason Reason = readEnvelope(Raw, Dir, Result);
+  if (Reason == RefusalReason::None)
+    Reason = readClaim(Raw, Result);
+  if (Reason == RefusalReason::None)
+    Reason = readCall(Raw, Result);
+  if (Reason != RefusalReason::None)
+    return ReadRefusal{Reason, Result.m_Contract.m_Name};
   return Result;
 }
 
--- a/src/entry/caller_request.h
+++ b/src/entry/caller_request.h
@@ -68,7 +68,7 @@
 
 /// Parses \p Raw and checks it against the table and workspaces in \p Dir.
 std::variant<CallerRequest, ReadRefusal>
-readCallerRequest(const RawRequest &Raw, const Directory &Known);
+readCallerRequest(const RawRequest &Raw, const Directory &Dir);
 
 /// Returns the hashes of the prefixes of \p Prompt with one, two, ... times
 /// PrefixStep bytes; at most MaxPrefixes.
--- a/src/entry/directory.cpp
+++ b/src/entry/directory.cpp
@@ -20,9 +20,9 @@
 
 void Directory::setWorkspaces(const std::vector<WorkspaceRow> &Workspaces) {
   m_ByKeyHash.clear();
-  for (const WorkspaceRow &Each : Workspaces)
-    if (!Each.m_KeyHash.empty())
-      m_ByKeyHash.emplace(Each.m_KeyHash, Each.m_Id);
+  for (const WorkspaceRow &Row : Workspaces)
+    if (!Row.m_KeyHash.empty())
+      m_ByKeyHash.emplace(Row.m_KeyHash, Row.m_Id);
 }
 
 const Contract *Directory::contract(const std::string &Class) const {
--- a/src/entry/dispatcher_placement.cpp
+++ b/src/entry/dispatcher_placement.cpp
@@ -18,13 +18,14 @@
                                      static_cast<int>(MaxReroute.count())));
 }
 
-Duration left(Duration Whole, Duration Waited) {
-  return std::max(Whole - Waited, Duration::zero());
+Duration timeLeft(Duration Total, Duration Waited) {
+  return std::max(Total - Waited, Duration::zero());
 }
 
-std::uint32_t millisecondsLeft(Duration Whole, Duration Waited) {
+std::uint32_t millisecondsLeft(Duration Total, Duration Waited) {
   return static_cast<std::uint32_t>(
-      std::chrono::duration_cast<std::chrono::milliseconds>(left(Whole, Waited))
+      std::chrono::duration_cast<std::chrono::milliseconds>(
+          timeLeft(Total, Waited))
           .count());
 }
 
@@ -36,11 +37,11 @@
 } // namespace
 
 DispatcherPlacement::DispatcherPlacement(Fleet &Dispatchers,
-                                         LocalPlacement &Alone,
+                                         LocalPlacement &Local,
                                          PauseGuard &Guard, const Clock &Time,
                                          Scheduler &Timers,
                                          std::uint64_t FirstNumber)
-    : m_Alone(Alone), m_Fleet(Dispatchers), m_Guard(Guard), m_Clock(Time),
+    : m_Alone(Local), m_Fleet(Dispatchers), m_Guard(Guard), m_Clock(Time),
       m_Reroute(Timers), m_LastNumber(FirstNumber) {
   m_Fleet.onRoutes([this] { reroute(); });
   m_Guard.onPause([this] { woke(); });
@@ -49,28 +50,27 @@
 BidNumber DispatcherPlacement::bid(const BidTerms &Terms,
                                    PlacementListener &Listener) {
   const BidNumber Number(++m_LastNumber);
-  Held Fresh{Terms, poolIdOf(Terms.m_Service, 0), &Listener, {}, {}, {}, {},
-             {}};
-  Fresh.m_BidAt = Fresh.m_Homeless = m_Clock.now();
-  Held &Each = m_Held.emplace(Number.value(), std::move(Fresh)).first->second;
-  route(Number.value(), Each);
+  Held New{Terms, poolIdOf(Terms.m_Service, 0), &Listener, {}, {}, {}, {}, {}};
+  New.m_BidAt = New.m_Homeless = m_Clock.now();
+  Held &Placed = m_Held.emplace(Number.value(), std::move(New)).first->second;
+  route(Number.value(), Placed);
   return Number;
 }
 
-void DispatcherPlacement::withdraw(BidNumber Bid) {
-  const auto Found = m_Held.find(Bid.value());
+void DispatcherPlacement::withdraw(BidNumber Number) {
+  const auto Found = m_Held.find(Number.value());
   if (Found == m_Held.end())
     return;
-  const Held &Each = Found->second;
-  if (Each.m_Link != link::LinkId())
+  const Held &Bid = Found->second;
+  if (Bid.m_Link != link::LinkId())
     m_Fleet.links()
-        .outbox(Each.m_Link)
-        .withdrawals.emplace_back(Bid.value(), Each.m_Pool.value());
+        .outbox(Bid.m_Link)
+        .withdrawals.emplace_back(Number.value(), Bid.m_Pool.value());
   m_Held.erase(Found);
 }
 
-void DispatcherPlacement::firstToken(BidNumber Bid, Duration Latency) {
-  const auto Found = m_Held.find(Bid.value());
+void DispatcherPlacement::firstToken(BidNumber Number, Duration Latency) {
+  const auto Found = m_Held.find(Number.value());
   if (Found == m_Held.end())
     return;
   if (Found->second.m_Alone)
@@ -78,53 +78,54 @@
   else if (Found->second.m_Link != link::LinkId())
     m_Fleet.links()
         .outbox(Found->second.m_Link)
-        .first_tokens.emplace_back(Bid.value(), Found->second.m_Pool.value(),
+        .first_tokens.emplace_back(Number.value(), Found->second.m_Pool.value(),
                                    microseconds(Latency));
 }
 
-void DispatcherPlacement::release(BidNumber Bid, const ReleaseSlot &How) {
-  const auto Found = m_Held.find(Bid.value());
+void DispatcherPlacement::release(BidNumber Number,
+                                  const ReleaseSlot &Release) {
+  const auto Found = m_Held.find(Number.value());
   if (Found == m_Held.end())
     return;
-  const Held &Each = Found->second;
-  if (Each.m_Link != link::LinkId())
+  const Held &Bid = Found->second;
+  if (Bid.m_Link != link::LinkId())
     m_Fleet.links()
-        .outbox(Each.m_Link)
-        .work_ends.emplace_back(Bid.value(), Each.m_Pool.value(),
-                                How.m_Upstream.value(), How.m_Tokens,
-                                microseconds(How.m_Elapsed),
-                                static_cast<std::uint8_t>(How.m_End));
+        .outbox(Bid.m_Link)
+        .work_ends.emplace_back(Number.value(), Bid.m_Pool.value(),
+                                Release.m_Upstream.value(), Release.m_Tokens,
+                                microseconds(Release.m_Elapsed),
+                                static_cast<std::uint8_t>(Release.m_End));
   m_Held.erase(Found);
 }
 
 // ---- Routing ----------------------------------------------------------------
 
 void DispatcherPlacement::reroute() {
-  for (auto &[Number, Each] : m_Held)
-    route(Number, Each);
+  for (auto &[Number, Bid] : m_Held)
+    route(Number, Bid);
 }
 
-void DispatcherPlacement::route(std::uint64_t Number, Held &Each) {
+void DispatcherPlacement::route(std::uint64_t Number, Held &Bid) {
   if (m_Guard.suspect()) { // Bids are sent again once the sockets are read.
     rerouteSoon(PauseGuard::Settling);
     return;
   }
-  const link::LinkId Owner = m_Fleet.linkToOwner(Each.m_Pool);
-  if (Each.m_Alone && (Owner == link::LinkId() || !backToOwner(Each)))
+  const link::LinkId Owner = m_Fleet.linkToOwner(Bid.m_Pool);
+  if (Bid.m_Alone && (Owner == link::LinkId() || !backToOwner(Bid)))
     return;
-  if (Owner == Each.m_Link && Owner != link::LinkId())
+  if (Owner == Bid.m_Link && Owner != link::LinkId())
     return;
-  if (Each.m_Link != link::LinkId()) {
-    if (!Each.m_Slot) // The old owner may still think that it is one.
+  if (Bid.m_Link != link::LinkId()) {
+    if (!Bid.m_Slot) // The old owner may still consider itself the owner.
       m_Fleet.links()
-          .outbox(Each.m_Link)
-          .withdrawals.emplace_back(Number, Each.m_Pool.value());
-    Each.m_Listener->bidMoved();
-    Each.m_Homeless = m_Clock.now();
+          .outbox(Bid.m_Link)
+          .withdrawals.emplace_back(Number, Bid.m_Pool.value());
+    Bid.m_Listener->bidMoved();
+    Bid.m_Homeless = m_Clock.now();
   }
-  Each.m_Link = Owner;
+  Bid.m_Link = Owner;
   if (Owner != link::LinkId())
-    send(Number, Each);
+    send(Number, Bid);
   else
     rerouteSoon(jitter());
 }
@@ -139,58 +140,58 @@
 }
 
 void DispatcherPlacement::decideAlone() {
-  for (auto &[Number, Each] : m_Held) {
-    if (Each.m_Link != link::LinkId() || Each.m_Slot || Each.m_Alone ||
-        m_Clock.now() - Each.m_Homeless < OwnerPatience)
+  for (auto &[Number, Bid] : m_Held) {
+    if (Bid.m_Link != link::LinkId() || Bid.m_Slot || Bid.m_Alone ||
+        m_Clock.now() - Bid.m_Homeless < OwnerPatience)
       continue;
-    BidTerms Terms = Each.m_Terms;
-    const Duration Waited = m_Clock.now() - Each.m_BidAt;
-    Terms.m_Ask.m_UntilTarget = left(Terms.m_Ask.m_UntilTarget, Waited);
-    Terms.m_Ask.m_UntilLimit = left(Terms.m_Ask.m_UntilLimit, Waited);
-    Each.m_Alone = m_Alone.bid(Terms, *Each.m_Listener);
+    BidTerms Terms = Bid.m_Terms;
+    const Duration Waited = m_Clock.now() - Bid.m_BidAt;
+    Terms.m_Ask.m_UntilTarget = timeLeft(Terms.m_Ask.m_UntilTarget, Waited);
+    Terms.m_Ask.m_UntilLimit = timeLeft(Terms.m_Ask.m_UntilLimit, Waited);
+    Bid.m_Alone = m_Alone.bid(Terms, *Bid.m_Listener);
   }
 }
 
-bool DispatcherPlacement::backToOwner(Held &Each) {
+bool DispatcherPlacement::backToOwner(Held &Bid) {
   // A call on a local slot ends there; the local share limits their number.
-  if (!m_Alone.waits(*Each.m_Alone))
+  if (!m_Alone.waits(*Bid.m_Alone))
     return false;
-  m_Alone.withdraw(*Each.m_Alone);
-  Each.m_Alone.reset();
+  m_Alone.withdraw(*Bid.m_Alone);
+  Bid.m_Alone.reset();
   return true;
 }
 
 std::unique_ptr<wire::BidT>
-DispatcherPlacement::wireBid(std::uint64_t Number, const Held &Each) const {
-  const Duration Waited = m_Clock.now() - Each.m_BidAt;
+DispatcherPlacement::wireBid(std::uint64_t Number, const Held &Bid) const {
+  const Duration Waited = m_Clock.now() - Bid.m_BidAt;
   auto Out = std::make_unique<wire::BidT>();
   Out->request = Number;
-  Out->pool = Each.m_Pool.value();
-  Out->class_id = Each.m_Terms.m_Class.value();
-  Out->workspace = Each.m_Terms.m_Workspace.value();
-  Out->prompt_tokens = Each.m_Terms.m_PromptTokens;
-  Out->max_tokens = Each.m_Terms.m_MaxTokens;
-  Out->done_tokens = Each.m_Terms.m_Ask.m_DoneTokens;
+  Out->pool = Bid.m_Pool.value();
+  Out->class_id = Bid.m_Terms.m_Class.value();
+  Out->workspace = Bid.m_Terms.m_Workspace.value();
+  Out->prompt_tokens = Bid.m_Terms.m_PromptTokens;
+  Out->max_tokens = Bid.m_Terms.m_MaxTokens;
+  Out->done_tokens = Bid.m_Terms.m_Ask.m_DoneTokens;
   Out->until_target_ms =
-      millisecondsLeft(Each.m_Terms.m_Ask.m_UntilTarget, Waited);
+      millisecondsLeft(Bid.m_Terms.m_Ask.m_UntilTarget, Waited);
   Out->until_limit_ms =
-      millisecondsLeft(Each.m_Terms.m_Ask.m_UntilLimit, Waited);
-  Out->is_retry = Each.m_Terms.m_Ask.m_IsRetry;
-  Out->avoid = Each.m_Terms.m_Ask.m_Avoid.value_or(UpstreamId()).value();
-  Out->prefixes = Each.m_Terms.m_Prefixes;
+      millisecondsLeft(Bid.m_Terms.m_Ask.m_UntilLimit, Waited);
+  Out->is_retry = Bid.m_Terms.m_Ask.m_IsRetry;
+  Out->avoid = Bid.m_Terms.m_Ask.m_Avoid.value_or(UpstreamId()).value();
+  Out->prefixes = Bid.m_Terms.m_Prefixes;
   return Out;
 }
 
-void DispatcherPlacement::send(std::uint64_t Number, const Held &Each) {
-  wire::FrameT &Out = m_Fleet.links().outbox(Each.m_Link);
-  if (!Each.m_Slot) {
-    Out.bids.push_back(wireBid(Number, Each));
+void DispatcherPlacement::send(std::uint64_t Number, const Held &Bid) {
+  wire::FrameT &Out = m_Fleet.links().outbox(Bid.m_Link);
+  if (!Bid.m_Slot) {
+    Out.bids.push_back(wireBid(Number, Bid));
     return;
   }
   auto Running = std::make_unique<wire::RunningT>();
-  Running->bid = wireBid(Number, Each);
-  Running->upstream = Each.m_Slot->value();
-  Running->tokens = Each.m_Listener->callTokens();
+  Running->bid = wireBid(Number, Bid);
+  Running->upstream = Bid.m_Slot->value();
+  Running->tokens = Bid.m_Listener->callTokens();
   Out.running.push_back(std::move(Running));
 }
 
@@ -198,20 +199,21 @@
 
 void DispatcherPlacement::frame(link::LinkId Link, const wire::Frame &Frame) {
   if (Frame.grants() != nullptr)
-    for (const wire::Grant *Each : *Frame.grants())
-      granted(Link, *Each);
+    for (const wire::Grant *Grant : *Frame.grants())
+      granted(Link, *Grant);
   if (Frame.refusals() != nullptr)
-    for (const wire::Refusal *Each : *Frame.refusals())
-      refused(Link, *Each);
+    for (const wire::Refusal *Refusal : *Frame.refusals())
+      refused(Link, *Refusal);
   if (Frame.preempts() != nullptr)
-    for (const wire::Preempt *Each : *Frame.preempts()) {
-      const auto Found = m_Held.find(Each->request());
+    for (const wire::Preempt *Preempt : *Frame.preempts()) {
+      const auto Found = m_Held.find(Preempt->request());
       if (Found != m_Held.end() && Found->second.m_Slot)
-        Found->second.m_Listener->slotPreempted(UpstreamId(Each->upstream()));
+        Found->second.m_Listener->slotPreempted(
+            UpstreamId(Preempt->upstream()));
     }
   if (Frame.not_owner() != nullptr)
-    for (const wire::NotOwner *Each : *Frame.not_owner()) {
-      const auto Found = m_Held.find(Each->request());
+    for (const wire::NotOwner *NotOwner : *Frame.not_owner()) {
+      const auto Found = m_Held.find(NotOwner->request());
       if (Found == m_Held.end() || Found->second.m_Link != Link)
         continue;
       // The views of the owners differ until both have the same members.
@@ -221,65 +223,65 @@
     }
 }
 
-void DispatcherPlacement::unused(link::LinkId Link, const wire::Grant &What,
+void DispatcherPlacement::unused(link::LinkId Link, const wire::Grant &Grant,
                                  PoolId Pool) {
   m_Fleet.links().outbox(Link).work_ends.emplace_back(
-      What.request(), Pool.value(), What.upstream(), 0, 0,
+      Grant.request(), Pool.value(), Grant.upstream(), 0, 0,
       static_cast<std::uint8_t>(decision::WorkEnd::Unused));
 }
 
-void DispatcherPlacement::granted(link::LinkId Link, const wire::Grant &What) {
-  const auto Found = m_Held.find(What.request());
+void DispatcherPlacement::granted(link::LinkId Link, const wire::Grant &Grant) {
+  const auto Found = m_Held.find(Grant.request());
   if (Found == m_Held.end() || Found->second.m_Link != Link)
     return; // Withdrawn, ended or moved: the dispatcher was notified then.
-  Held &Each = Found->second;
-  if (Each.m_Slot)
+  Held &Bid = Found->second;
+  if (Bid.m_Slot)
     return; // Granted again after the link was restored.
   if (m_Guard.suspect()) {
     // The validity counts from the receipt, which a pause delays: an old grant
     // could be used at an upstream that has been removed since.
-    unused(Link, What, Each.m_Pool);
-    Each.m_Link = link::LinkId();
+    unused(Link, Grant, Bid.m_Pool);
+    Bid.m_Link = link::LinkId();
     rerouteSoon(PauseGuard::Settling);
     return;
   }
-  Each.m_Slot = UpstreamId(What.upstream());
+  Bid.m_Slot = UpstreamId(Grant.upstream());
   GrantedSlot Slot;
-  Slot.m_Upstream = UpstreamId(What.upstream());
-  Slot.m_Address = {What.ip(), What.port()};
-  Slot.m_Priority = What.priority();
-  Slot.m_Resumes = What.resumes();
-  Slot.m_ValidFor = std::chrono::milliseconds(What.valid_ms());
-  Each.m_Listener->slotGranted(Slot);
+  Slot.m_Upstream = UpstreamId(Grant.upstream());
+  Slot.m_Address = {Grant.ip(), Grant.port()};
+  Slot.m_Priority = Grant.priority();
+  Slot.m_Resumes = Grant.resumes();
+  Slot.m_ValidFor = std::chrono::milliseconds(Grant.valid_ms());
+  Bid.m_Listener->slotGranted(Slot);
 }
 
 void DispatcherPlacement::refused(link::LinkId Link,
-                                  const wire::Refusal &What) {
-  const auto Found = m_Held.find(What.request());
+                                  const wire::Refusal &Refusal) {
+  const auto Found = m_Held.find(Refusal.request());
   if (Found == m_Held.end() || Found->second.m_Link != Link ||
       Found->second.m_Slot)
     return;
   auto Reason = RefusalReason::NoUpstream;
-  if (What.reason() > 0 &&
-      What.reason() < static_cast<std::uint8_t>(RefusalReason::Count))
-    Reason = static_cast<RefusalReason>(What.reason());
-  const auto Gone = m_Held.extract(Found);
-  Gone.mapped().m_Listener->bidRefused(
-      Reason, std::chrono::milliseconds(What.retry_after_ms()));
+  if (Refusal.reason() > 0 &&
+      Refusal.reason() < static_cast<std::uint8_t>(RefusalReason::Count))
+    Reason = static_cast<RefusalReason>(Refusal.reason());
+  const auto Removed = m_Held.extract(Found);
+  Removed.mapped().m_Listener->bidRefused(
+      Reason, std::chrono::milliseconds(Refusal.retry_after_ms()));
 }
 
 void DispatcherPlacement::woke() {
-  for (auto &[Number, Each] : m_Held) {
-    if (Each.m_Slot) {
-      Each.m_Listener->grantSuspect();
+  for (auto &[Number, Bid] : m_Held) {
+    if (Bid.m_Slot) {
+      Bid.m_Listener->grantSuspect();
       continue;
     }
-    if (Each.m_Link != link::LinkId())
+    if (Bid.m_Link != link::LinkId())
       m_Fleet.links()
-          .outbox(Each.m_Link)
-          .withdrawals.emplace_back(Number, Each.m_Pool.value());
-    Each.m_Link = link::LinkId();
-    Each.m_Homeless = m_Clock.now();
+          .outbox(Bid.m_Link)
+          .withdrawals.emplace_back(Number, Bid.m_Pool.value());
+    Bid.m_Link = link::LinkId();
+    Bid.m_Homeless = m_Clock.now();
   }
   rerouteSoon(PauseGuard::Settling);
 }
--- a/src/entry/dispatcher_placement.h
+++ b/src/entry/dispatcher_placement.h
@@ -19,14 +19,14 @@
   /// Bids that no dispatcher accepts within OwnerTimeout go to \p Local. Bid
   /// numbers start above \p FirstNumber, which must differ between two starts
   /// of the same entry.
-  DispatcherPlacement(Fleet &Dispatchers, LocalPlacement &Alone,
+  DispatcherPlacement(Fleet &Dispatchers, LocalPlacement &Local,
                       PauseGuard &Guard, const Clock &Time, Scheduler &Timers,
                       std::uint64_t FirstNumber);
 
   BidNumber bid(const BidTerms &Terms, PlacementListener &Listener) override;
-  void withdraw(BidNumber Bid) override;
-  void firstToken(BidNumber Bid, Duration Latency) override;
-  void release(BidNumber Bid, const ReleaseSlot &How) override;
+  void withdraw(BidNumber Number) override;
+  void firstToken(BidNumber Number, Duration Latency) override;
+  void release(BidNumber Number, const ReleaseSlot &Release) override;
 
   /// Handles the grants, refusals and preemptions in \p Frame.
   void frame(link::LinkId Link, const wire::Frame &Frame);
@@ -46,16 +46,16 @@
   using HeldMap = std::unordered_map<std::uint64_t, Held>;
 
   void reroute();
-  void route(std::uint64_t Number, Held &Each);
-  void send(std::uint64_t Number, const Held &Each);
+  void route(std::uint64_t Number, Held &Bid);
+  void send(std::uint64_t Number, const Held &Bid);
   [[nodiscard]] std::unique_ptr<wire::BidT> wireBid(std::uint64_t Number,
-                                                    const Held &Each) const;
-  void granted(link::LinkId Link, const wire::Grant &What);
-  void refused(link::LinkId Link, const wire::Refusal &What);
-  void unused(link::LinkId Link, const wire::Grant &What, PoolId Pool);
+                                                    const Held &Bid) const;
+  void granted(link::LinkId Link, const wire::Grant &Grant);
+  void refused(link::LinkId Link, const wire::Refusal &Refusal);
+  void unused(link::LinkId Link, const wire::Grant &Grant, PoolId Pool);
   void rerouteSoon(Duration Wait);
   void decideAlone();
-  bool backToOwner(Held &Each);
+  bool backToOwner(Held &Bid);
   void woke();
 
   LocalPlacement &m_Alone;    ///< Outlives this object.
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -14,8 +14,8 @@
 
 } // namespace
 
-Entry::Entry(EntrySettings Chosen)
-    : m_Settings(std::move(Chosen)), m_Guard(m_Clock, m_Timers),
+Entry::Entry(EntrySettings Config)
+    : m_Settings(std::move(Config)), m_Guard(m_Clock, m_Timers),
       m_Fleet(m_Settings.m_Homes, m_Clock, m_Timers, m_Directory),
       m_Links(m_Settings.m_Link, m_Timers, m_Metrics, m_Fleet),
       m_Alone(aloneConfig(), m_Directory, m_Clock, m_Timers),
@@ -97,10 +97,10 @@
 }
 
 void Entry::watchRight() {
-  const bool Holds = m_Fleet.rightToServe();
-  if (Holds != m_HeldRight)
-    logEvent(Holds ? LogEvent::EntryRightHeld : LogEvent::EntryRightLost);
-  m_HeldRight = Holds;
+  const bool HasRight = m_Fleet.rightToServe();
+  if (HasRight != m_HeldRight)
+    logEvent(HasRight ? LogEvent::EntryRightHeld : LogEvent::EntryRightLost);
+  m_HeldRight = HasRight;
   m_RightCheck.start(RightCheckInterval, [this] { watchRight(); });
 }
 
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -11,7 +11,7 @@
 
 class Entry final : public Daemon {
 public:
-  explicit Entry(EntrySettings Chosen);
+  explicit Entry(EntrySettings Config);
 
   void start() override;
   void stop(std::function<void()> Done) override;
--- a/src/entry/entry_stats.cpp
+++ b/src/entry/entry_stats.cpp
@@ -17,17 +17,18 @@
                {"reason", std::string(nameOf(static_cast<Reason>(Index)))}});
 }
 
-ClassStats make(Metrics &Stats, const std::string &Class) {
-  const Labels With = {{"class", Class}};
+ClassStats makeClassStats(Metrics &Stats, const std::string &Class) {
+  const Labels ClassLabel = {{"class", Class}};
   ClassStats Result{};
-  Result.m_Requests = &Stats.counter("crowstep_requests_total", With);
-  Result.m_Finished = &Stats.counter("crowstep_finished_total", With);
-  Result.m_Replayed = &Stats.counter("crowstep_replayed_total", With);
-  Result.m_Tokens = &Stats.counter("crowstep_relayed_tokens_total", With);
-  Result.m_Calls = &Stats.counter("crowstep_upstream_calls_total", With);
-  Result.m_FirstToken = &Stats.latency("crowstep_first_token_seconds", With);
-  Result.m_TokenGap = &Stats.latency("crowstep_token_gap_seconds", With);
-  Result.m_Total = &Stats.latency("crowstep_total_seconds", With);
+  Result.m_Requests = &Stats.counter("crowstep_requests_total", ClassLabel);
+  Result.m_Finished = &Stats.counter("crowstep_finished_total", ClassLabel);
+  Result.m_Replayed = &Stats.counter("crowstep_replayed_total", ClassLabel);
+  Result.m_Tokens = &Stats.counter("crowstep_relayed_tokens_total", ClassLabel);
+  Result.m_Calls = &Stats.counter("crowstep_upstream_calls_total", ClassLabel);
+  Result.m_FirstToken =
+      &Stats.latency("crowstep_first_token_seconds", ClassLabel);
+  Result.m_TokenGap = &Stats.latency("crowstep_token_gap_seconds", ClassLabel);
+  Result.m_Total = &Stats.latency("crowstep_total_seconds", ClassLabel);
   prepareReasons<RefusalReason>(Stats, "crowstep_refusals_total", Class,
                                 Result.m_Refusals);
   prepareReasons<RetryReason>(Stats, "crowstep_retries_total", Class,
@@ -48,7 +49,7 @@
   const auto Found = m_Stats.find(Name);
   if (Found != m_Stats.end())
     return Found->second;
-  return m_Stats.emplace(Name, make(m_Metrics, Name)).first->second;
+  return m_Stats.emplace(Name, makeClassStats(m_Metrics, Name)).first->second;
 }
 
 } // namespace crowstep::entry
--- a/src/entry/event_stream.cpp
+++ b/src/entry/event_stream.cpp
@@ -26,19 +26,19 @@
 /// key. It scans instead of parsing because it runs for each token. Quotes in a
 /// JSON string are escaped, so the text of an answer can't look like the key.
 bool hasText(std::string_view Payload, std::string_view Name) {
-  const std::size_t At = Payload.find(Name);
-  if (At == std::string_view::npos)
+  const std::size_t Found = Payload.find(Name);
+  if (Found == std::string_view::npos)
     return false;
-  std::size_t Next = At + Name.size();
-  const auto SkipBlanks = [&] {
+  std::size_t Next = Found + Name.size();
+  const auto SkipSpaces = [&] {
     while (Next < Payload.size() && Payload[Next] == ' ')
       ++Next;
   };
-  SkipBlanks();
+  SkipSpaces();
   if (Next >= Payload.size() || Payload[Next] != ':')
     return false;
   ++Next;
-  SkipBlanks();
+  SkipSpaces();
   return Next + 1 < Payload.size() && Payload[Next] == '"' &&
          Payload[Next + 1] != '"';
 }
--- a/src/entry/fleet.cpp
+++ b/src/entry/fleet.cpp
@@ -21,31 +21,32 @@
 /// than are sent while the right to serve lasts.
 constexpr std::size_t MaxUnechoed = 64;
 
-WorkspaceRow workspaceOf(const wire::WorkspaceInfo &In) {
-  return {WorkspaceId(In.id()), wire::textOf(In.key_hash())};
+WorkspaceRow workspaceOf(const wire::WorkspaceInfo &Info) {
+  return {WorkspaceId(Info.id()), wire::textOf(Info.key_hash())};
 }
 
 /// Replaces \p Target by the rows of \p Source, and returns true, unless there
 /// are none.
-template <typename Rows, typename To, typename Make>
-bool replaceRows(const Rows *From, std::vector<To> &Into, Make Convert) {
-  if (From == nullptr || From->size() == 0)
+template <typename Rows, typename Element, typename Converter>
+bool replaceRows(const Rows *Source, std::vector<Element> &Target,
+                 Converter Convert) {
+  if (Source == nullptr || Source->size() == 0)
     return false;
-  Into.clear();
-  for (const auto *Row : *From)
-    Into.push_back(Convert(*Row));
+  Target.clear();
+  for (const auto *Row : *Source)
+    Target.push_back(Convert(*Row));
   return true;
 }
 
 } // namespace
 
 Fleet::Fleet(std::vector<Address> Homes, const Clock &Time, Scheduler &Timers,
-             Directory &Known)
-    : m_Homes(std::move(Homes)), m_Clock(Time), m_Directory(Known),
+             Directory &Dir)
+    : m_Homes(std::move(Homes)), m_Clock(Time), m_Directory(Dir),
       m_Patience(Timers) {}
 
-void Fleet::start(link::Links &Wire) {
-  m_Links = &Wire;
+void Fleet::start(link::Links &NewLinks) {
+  m_Links = &NewLinks;
   redial();
   watchHome();
 }
@@ -56,14 +57,14 @@
   // callers don't retry.
   return m_Directory.table().m_Version != TableVersion() &&
          m_Directory.knowsWorkspaces() &&
-         std::any_of(m_Up.begin(), m_Up.end(), [&](const auto &Each) {
-           return Each.second.m_Right && Now < Each.second.m_ServesUntil;
+         std::any_of(m_Up.begin(), m_Up.end(), [&](const auto &Row) {
+           return Row.second.m_Right && Now < Row.second.m_ServesUntil;
          });
 }
 
 link::LinkId Fleet::linkTo(InstanceId Id) const {
-  for (const auto &[Link, Each] : m_Up)
-    if (Each.m_Peer.m_Instance == Id)
+  for (const auto &[Link, Dispatcher] : m_Up)
+    if (Dispatcher.m_Peer.m_Instance == Id)
       return Link;
   return {};
 }
@@ -84,24 +85,24 @@
 
 // ---- Links ------------------------------------------------------------------
 
-void Fleet::linkUp(link::LinkId Link, const link::Peer &Who) {
-  Neighbour Fresh;
-  Fresh.m_Peer = Who;
-  m_Up.emplace(Link, std::move(Fresh));
-  if (Who.m_Address == m_Homes[m_Home]) {
+void Fleet::linkUp(link::LinkId Link, const link::Peer &Peer) {
+  Neighbour NewState;
+  NewState.m_Peer = Peer;
+  m_Up.emplace(Link, std::move(NewState));
+  if (Peer.m_Address == m_Homes[m_Home]) {
     m_Patience.stop();
-    logEvent(LogEvent::EntryHomeUp, {{"dispatcher", Who.m_Name}});
+    logEvent(LogEvent::EntryHomeUp, {{"dispatcher", Peer.m_Name}});
     attachToHome();
   }
   if (m_Routes)
     m_Routes();
 }
 
-void Fleet::linkDown(link::LinkId Link, const link::Peer &Who,
+void Fleet::linkDown(link::LinkId Link, const link::Peer &Peer,
                      link::CloseReason) {
   m_Up.erase(Link);
-  if (Who.m_Address == m_Homes[m_Home]) {
-    logEvent(LogEvent::EntryHomeDown, {{"dispatcher", Who.m_Name}});
+  if (Peer.m_Address == m_Homes[m_Home]) {
+    logEvent(LogEvent::EntryHomeDown, {{"dispatcher", Peer.m_Name}});
     watchHome();
   }
   if (m_Routes)
@@ -111,9 +112,9 @@
 void Fleet::dialFailed(const Address &, link::CloseReason) {}
 
 Fleet::Neighbour *Fleet::home() {
-  for (auto &[Link, Each] : m_Up)
-    if (Each.m_Peer.m_Address == m_Homes[m_Home])
-      return &Each;
+  for (auto &[Link, Dispatcher] : m_Up)
+    if (Dispatcher.m_Peer.m_Address == m_Homes[m_Home])
+      return &Dispatcher;
   return nullptr;
 }
 
@@ -143,12 +144,12 @@
   for (std::uint64_t Index = 0; Index < claim::ClaimHomeCount; ++Index)
     for (const Member *Home : membership::homesOf(Index, 1, m_Members))
       Wanted.insert(Home->m_Address);
-  for (const Address &Each : m_Dialled)
-    if (!Wanted.contains(Each))
-      m_Links->hangUp(Each);
-  for (const Address &Each : Wanted)
-    if (!m_Dialled.contains(Each))
-      m_Links->dial(Each);
+  for (const Address &Target : m_Dialled)
+    if (!Wanted.contains(Target))
+      m_Links->hangUp(Target);
+  for (const Address &Target : Wanted)
+    if (!m_Dialled.contains(Target))
+      m_Links->dial(Target);
   m_Dialled = std::move(Wanted);
 }
 
@@ -183,13 +184,13 @@
     m_Frame(Link, Frame);
 }
 
-void Fleet::tableUpdate(const wire::TableUpdate &What) {
-  if (What.json() == nullptr ||
-      TableVersion(What.version()) <= m_Directory.table().m_Version)
+void Fleet::tableUpdate(const wire::TableUpdate &Update) {
+  if (Update.json() == nullptr ||
+      TableVersion(Update.version()) <= m_Directory.table().m_Version)
     return;
   try {
-    ContractTable Table = contract::readJson(What.json()->str());
-    Table.m_Version = TableVersion(What.version());
+    ContractTable Table = contract::readJson(Update.json()->str());
+    Table.m_Version = TableVersion(Update.version());
     if (!m_Directory.setTable(std::move(Table)))
       return;
   } catch (const Error &Failure) {
@@ -197,7 +198,7 @@
     return;
   }
   logEvent(LogEvent::EntryTableInForce,
-           {{"version", std::to_string(What.version())}});
+           {{"version", std::to_string(Update.version())}});
   redial();
   if (m_Table)
     m_Table();
@@ -205,52 +206,52 @@
     m_Routes();
 }
 
-void Fleet::attachment(link::LinkId Link, Neighbour &From,
-                       const wire::Attachment &What) {
-  From.m_Sequence = std::max(From.m_Sequence, What.sequence());
-  From.m_Right = What.right_to_serve();
+void Fleet::attachment(link::LinkId Link, Neighbour &Sender,
+                       const wire::Attachment &Attachment) {
+  Sender.m_Sequence = std::max(Sender.m_Sequence, Attachment.sequence());
+  Sender.m_Right = Attachment.right_to_serve();
   // The echo names an acknowledgement whose time of sending is known. The time
   // of receipt proves nothing: after a pause the process reads old attachments
   // from its socket as if they were new.
-  const auto Echoed = From.m_Sent.find(What.acked());
-  if (Echoed != From.m_Sent.end()) {
-    From.m_ServesUntil =
-        std::max(From.m_ServesUntil, Echoed->second + EntryRightToServe);
-    From.m_Sent.erase(From.m_Sent.begin(), Echoed);
+  const auto Echoed = Sender.m_Sent.find(Attachment.acked());
+  if (Echoed != Sender.m_Sent.end()) {
+    Sender.m_ServesUntil =
+        std::max(Sender.m_ServesUntil, Echoed->second + EntryRightToServe);
+    Sender.m_Sent.erase(Sender.m_Sent.begin(), Echoed);
   }
-  const bool Members =
-      replaceRows(What.members(), From.m_Members, [](const wire::Member &Row) {
-        return membership::memberOf(Row);
-      });
+  const bool Members = replaceRows(
+      Attachment.members(), Sender.m_Members,
+      [](const wire::Member &Row) { return membership::memberOf(Row); });
   const bool Upstreams =
-      replaceRows(What.upstreams(), From.m_Upstreams,
+      replaceRows(Attachment.upstreams(), Sender.m_Upstreams,
                   [](const wire::UpstreamInfo &Row) { return fromWire(Row); });
   const bool Workspaces =
-      replaceRows(What.workspaces(), From.m_Workspaces, workspaceOf);
-  if (&From == home()) {
-    m_Draining = What.draining();
+      replaceRows(Attachment.workspaces(), Sender.m_Workspaces, workspaceOf);
+  if (&Sender == home()) {
+    m_Draining = Attachment.draining();
     if (Members || Upstreams || Workspaces)
       useHome();
   }
-  acknowledge(Link, From);
+  acknowledge(Link, Sender);
 }
 
-void Fleet::acknowledge(link::LinkId Link, Neighbour &To) {
+void Fleet::acknowledge(link::LinkId Link, Neighbour &Dispatcher) {
   // Sequence 0 means "none" in an echo. If it were recorded as sent, the first
   // attachment of a link would grant a right that nobody confirmed.
-  if (To.m_Sequence == 0)
+  if (Dispatcher.m_Sequence == 0)
     return;
   // The first acknowledgement of a sequence counts, as the echo may be of it.
-  To.m_Sent.try_emplace(To.m_Sequence, m_Clock.fresh());
-  if (To.m_Sent.size() > MaxUnechoed)
-    To.m_Sent.erase(To.m_Sent.begin());
-  sendAcknowledgement(Link, To.m_Sequence);
+  Dispatcher.m_Sent.try_emplace(Dispatcher.m_Sequence, m_Clock.fresh());
+  if (Dispatcher.m_Sent.size() > MaxUnechoed)
+    Dispatcher.m_Sent.erase(Dispatcher.m_Sent.begin());
+  sendAcknowledgement(Link, Dispatcher.m_Sequence);
 }
 
 void Fleet::attachToHome() {
-  for (auto &[Link, Each] : m_Up)
-    if (Each.m_Peer.m_Address == m_Homes[m_Home] && !Each.m_Attached) {
-      Each.m_Attached = true;
+  for (auto &[Link, Dispatcher] : m_Up)
+    if (Dispatcher.m_Peer.m_Address == m_Homes[m_Home] &&
+        !Dispatcher.m_Attached) {
+      Dispatcher.m_Attached = true;
       sendAcknowledgement(Link, 0);
     }
 }
--- a/src/entry/fleet.h
+++ b/src/entry/fleet.h
@@ -27,10 +27,11 @@
 class Fleet final : public link::LinkListener {
 public:
   Fleet(std::vector<Address> Homes, const Clock &Time, Scheduler &Timers,
-        Directory &Known);
+        Directory &Dir);
 
-  /// Begins to dial over \p Wire, which outlives this object's use.
-  void start(link::Links &Wire);
+  /// Starts to dial over \p NewLinks, which must exist while this object is
+  /// used.
+  void start(link::Links &NewLinks);
 
   /// Returns whether new work may be accepted, by Clock::fresh().
   [[nodiscard]] bool rightToServe() const;
@@ -57,18 +58,25 @@
 
   /// Set the callbacks for changes of owners or links, of upstreams and of the
   /// table, and for each received frame.
-  void onRoutes(std::function<void()> Job) { m_Routes = std::move(Job); }
-  void onUpstreams(std::function<void()> Job) { m_Upstreams = std::move(Job); }
-  void onTable(std::function<void()> Job) { m_Table = std::move(Job); }
-  void onFrame(std::function<void(link::LinkId, const wire::Frame &)> Job) {
-    m_Frame = std::move(Job);
+  void onRoutes(std::function<void()> Callback) {
+    m_Routes = std::move(Callback);
+  }
+  void onUpstreams(std::function<void()> Callback) {
+    m_Upstreams = std::move(Callback);
+  }
+  void onTable(std::function<void()> Callback) {
+    m_Table = std::move(Callback);
+  }
+  void
+  onFrame(std::function<void(link::LinkId, const wire::Frame &)> Callback) {
+    m_Frame = std::move(Callback);
   }
 
-  void linkUp(link::LinkId Link, const link::Peer &Who) override;
+  void linkUp(link::LinkId Link, const link::Peer &Peer) override;
   void linkFrame(link::LinkId Link, const wire::Frame &Frame) override;
-  void linkDown(link::LinkId Link, const link::Peer &Who,
-                link::CloseReason Why) override;
-  void dialFailed(const Address &Where, link::CloseReason Why) override;
+  void linkDown(link::LinkId Link, const link::Peer &Peer,
+                link::CloseReason Reason) override;
+  void dialFailed(const Address &Target, link::CloseReason Reason) override;
 
 private:
   /// State received from one dispatcher. It is kept for every linked
@@ -76,7 +84,7 @@
   struct Neighbour {
     link::Peer m_Peer;
     std::uint64_t m_Sequence = 0;              ///< Of the last attachment.
-    std::map<std::uint64_t, TimePoint> m_Sent; ///< By sequence.
+    std::map<std::uint64_t, TimePoint> m_Sent; ///< Time by sequence.
     TimePoint m_ServesUntil;                   ///< From the last echo.
     bool m_Right = false;                      ///< As last received.
     bool m_Attached = false;                   ///< Attachments were requested.
@@ -85,10 +93,10 @@
     std::vector<WorkspaceRow> m_Workspaces;    ///< As above.
   };
 
-  void attachment(link::LinkId Link, Neighbour &From,
-                  const wire::Attachment &What);
-  void tableUpdate(const wire::TableUpdate &What);
-  void acknowledge(link::LinkId Link, Neighbour &To);
+  void attachment(link::LinkId Link, Neighbour &Sender,
+                  const wire::Attachment &Attachment);
+  void tableUpdate(const wire::TableUpdate &Update);
+  void acknowledge(link::LinkId Link, Neighbour &Dispatcher);
   void sendAcknowledgement(link::LinkId Link, std::uint64_t Sequence);
   void attachToHome();
   [[nodiscard]] Neighbour *home();
@@ -97,13 +105,13 @@
   void watchHome();
 
   std::vector<Address> m_Homes;   ///< In order of preference; not empty.
-  std::size_t m_Home = 0;         ///< Of the current home.
+  std::size_t m_Home = 0;         ///< Index of the current home.
   const Clock &m_Clock;           ///< Outlives this object.
   Directory &m_Directory;         ///< Outlives this object.
   link::Links *m_Links = nullptr; ///< Null before start().
   Timer m_Patience;               ///< Runs while the home is down.
   std::map<link::LinkId, Neighbour> m_Up;    ///< By link.
-  std::set<Address> m_Dialled;               ///< Of the links in use.
+  std::set<Address> m_Dialled;               ///< Of the wanted links.
   std::vector<membership::Member> m_Members; ///< From the home.
   bool m_Draining = false;                   ///< From the home.
   std::function<void()> m_Routes;            ///< May be empty.
--- a/src/entry/local_placement.cpp
+++ b/src/entry/local_placement.cpp
@@ -7,57 +7,58 @@
 
 namespace {
 
-Upstream withShare(Upstream Whole, std::uint32_t Divisor) {
+Upstream withShare(Upstream Full, std::uint32_t Divisor) {
   std::visit(
       [&](auto &Kind) { Kind.m_Slots = std::max(Kind.m_Slots / Divisor, 1U); },
-      Whole.m_Kind);
-  return Whole;
+      Full.m_Kind);
+  return Full;
 }
 
 } // namespace
 
 LocalPlacement::LocalPlacement(LocalPlacementConfig Config,
-                               const Directory &Known, const Clock &Time,
+                               const Directory &Dir, const Clock &Time,
                                Scheduler &Timers)
-    : m_Config(std::move(Config)), m_Directory(Known), m_Clock(Time),
+    : m_Config(std::move(Config)), m_Directory(Dir), m_Clock(Time),
       m_Timers(Timers), m_Deliver(Timers) {}
 
 void LocalPlacement::ensurePool(const std::string &Service) {
-  std::unique_ptr<Pool> &Each = m_Pools[Service];
-  if (Each == nullptr) {
-    Each = std::make_unique<Pool>(m_Config.m_Policy, m_Timers);
+  std::unique_ptr<Pool> &NewPool = m_Pools[Service];
+  if (NewPool == nullptr) {
+    NewPool = std::make_unique<Pool>(m_Config.m_Policy, m_Timers);
     refresh(Service);
   }
 }
 
 void LocalPlacement::refresh() {
-  for (const auto &[Service, Each] : m_Pools)
+  for (const auto &[Service, PoolPtr] : m_Pools)
     refresh(Service);
 }
 
 void LocalPlacement::refresh(const std::string &Service) {
   decision::UpstreamsChanged Change;
   const std::uint32_t Divisor = std::max(m_Config.m_Divisor(), 1U);
-  for (const Upstream &Each : m_Directory.upstreams())
-    if (Each.m_Service == Service)
-      Change.m_Upstreams.push_back(withShare(Each, Divisor));
+  for (const Upstream &Row : m_Directory.upstreams())
+    if (Row.m_Service == Service)
+      Change.m_Upstreams.push_back(withShare(Row, Divisor));
   handle(Service, decision::TableChanged{m_Directory.table()});
   handle(Service, Change);
 }
 
 void LocalPlacement::handle(const std::string &Service,
-                            const decision::Event &What) {
-  Pool &Each = *m_Pools.at(Service);
+                            const decision::Event &Event) {
+  Pool &Target = *m_Pools.at(Service);
   std::vector<decision::Action> Actions;
-  Each.m_Decider.handle(What, m_Clock.now(), Actions);
+  Target.m_Decider.handle(Event, m_Clock.now(), Actions);
   for (const decision::Action &Action : Actions)
     later(Action);
-  const std::optional<TimePoint> Due = Each.m_Decider.nextDeadline();
+  const std::optional<TimePoint> Due = Target.m_Decider.nextDeadline();
   if (!Due)
-    Each.m_Timer.stop();
+    Target.m_Timer.stop();
   else
-    Each.m_Timer.start(*Due - m_Clock.now(),
-                       [this, Service] { handle(Service, decision::Tick{}); });
+    Target.m_Timer.start(*Due - m_Clock.now(), [this, Service] {
+      handle(Service, decision::Tick{});
+    });
 }
 
 BidNumber LocalPlacement::bid(const BidTerms &Terms,
@@ -83,9 +84,9 @@
 }
 
 void LocalPlacement::withdraw(BidNumber Bid) {
-  const auto Gone = m_Held.extract(Bid.value());
-  if (!Gone.empty())
-    handle(Gone.mapped().m_Service,
+  const auto Removed = m_Held.extract(Bid.value());
+  if (!Removed.empty())
+    handle(Removed.mapped().m_Service,
            decision::BidWithdrawn{{m_Config.m_Self, Bid.value()}});
 }
 
@@ -96,15 +97,15 @@
            decision::FirstToken{{m_Config.m_Self, Bid.value()}, Latency});
 }
 
-void LocalPlacement::release(BidNumber Bid, const ReleaseSlot &How) {
-  const auto Gone = m_Held.extract(Bid.value());
-  if (!Gone.empty())
-    handle(Gone.mapped().m_Service,
+void LocalPlacement::release(BidNumber Bid, const ReleaseSlot &Release) {
+  const auto Removed = m_Held.extract(Bid.value());
+  if (!Removed.empty())
+    handle(Removed.mapped().m_Service,
            decision::WorkEnded{{m_Config.m_Self, Bid.value()},
-                               How.m_Upstream,
-                               How.m_End,
-                               How.m_Tokens,
-                               How.m_Elapsed});
+                               Release.m_Upstream,
+                               Release.m_End,
+                               Release.m_Tokens,
+                               Release.m_Elapsed});
 }
 
 bool LocalPlacement::waits(BidNumber Bid) const {
@@ -112,17 +113,17 @@
   return Found != m_Held.end() && !Found->second.m_Granted;
 }
 
-void LocalPlacement::later(const decision::Action &What) {
-  m_Due.push_back(What);
+void LocalPlacement::later(const decision::Action &Action) {
+  m_Due.push_back(Action);
   if (!m_Deliver.running())
     m_Deliver.start(Duration::zero(), [this] { deliver(); });
 }
 
 void LocalPlacement::deliver() {
-  std::deque<decision::Action> Now;
-  Now.swap(m_Due);
-  for (const decision::Action &Each : Now)
-    std::visit([this](const auto &What) { carryOut(What); }, Each);
+  std::deque<decision::Action> Actions;
+  Actions.swap(m_Due);
+  for (const decision::Action &Action : Actions)
+    std::visit([this](const auto &Typed) { carryOut(Typed); }, Action);
 }
 
 const Upstream *LocalPlacement::upstream(UpstreamId Id) const {
@@ -132,33 +133,34 @@
   return Found == All.end() ? nullptr : &*Found;
 }
 
-void LocalPlacement::carryOut(const decision::Grant &What) {
-  const auto Found = m_Held.find(What.m_Request.m_Number);
-  const Upstream *Target = upstream(What.m_Upstream);
+void LocalPlacement::carryOut(const decision::Grant &Action) {
+  const auto Found = m_Held.find(Action.m_Request.m_Number);
+  const Upstream *Target = upstream(Action.m_Upstream);
   // Withdrawn, or the upstream was removed: the decider was notified then.
   if (Found == m_Held.end() || Found->second.m_Granted || Target == nullptr)
     return;
   Found->second.m_Granted = true;
   GrantedSlot Slot;
-  Slot.m_Upstream = What.m_Upstream;
+  Slot.m_Upstream = Action.m_Upstream;
   Slot.m_Address = Target->m_Address;
-  Slot.m_Priority = What.m_Priority;
+  Slot.m_Priority = Action.m_Priority;
   const auto *Kind = std::get_if<Engine>(&Target->m_Kind);
   Slot.m_Resumes = Kind != nullptr && Kind->m_CanResume;
-  Slot.m_ValidFor = What.m_ValidFor;
+  Slot.m_ValidFor = Action.m_ValidFor;
   Found->second.m_Listener->slotGranted(Slot);
 }
 
-void LocalPlacement::carryOut(const decision::Refuse &What) {
-  const auto Gone = m_Held.extract(What.m_Request.m_Number);
-  if (!Gone.empty())
-    Gone.mapped().m_Listener->bidRefused(What.m_Reason, What.m_RetryAfter);
+void LocalPlacement::carryOut(const decision::Refuse &Action) {
+  const auto Removed = m_Held.extract(Action.m_Request.m_Number);
+  if (!Removed.empty())
+    Removed.mapped().m_Listener->bidRefused(Action.m_Reason,
+                                            Action.m_RetryAfter);
 }
 
-void LocalPlacement::carryOut(const decision::Preempt &What) {
-  const auto Found = m_Held.find(What.m_Request.m_Number);
+void LocalPlacement::carryOut(const decision::Preempt &Action) {
+  const auto Found = m_Held.find(Action.m_Request.m_Number);
   if (Found != m_Held.end() && Found->second.m_Granted)
-    Found->second.m_Listener->slotPreempted(What.m_Upstream);
+    Found->second.m_Listener->slotPreempted(Action.m_Upstream);
 }
 
 } // namespace crowstep::entry
--- a/src/entry/local_placement.h
+++ b/src/entry/local_placement.h
@@ -29,13 +29,13 @@
 
 class LocalPlacement final : public Placement {
 public:
-  LocalPlacement(LocalPlacementConfig Config, const Directory &Known,
+  LocalPlacement(LocalPlacementConfig Config, const Directory &Dir,
                  const Clock &Time, Scheduler &Timers);
 
   BidNumber bid(const BidTerms &Terms, PlacementListener &Listener) override;
   void withdraw(BidNumber Bid) override;
   void firstToken(BidNumber Bid, Duration Latency) override;
-  void release(BidNumber Bid, const ReleaseSlot &How) override;
+  void release(BidNumber Bid, const ReleaseSlot &Release) override;
 
   /// Passes the current table and upstreams to the deciders.
   void refresh();
@@ -59,12 +59,12 @@
 
   void ensurePool(const std::string &Service);
   void refresh(const std::string &Service);
-  void handle(const std::string &Service, const decision::Event &What);
-  void later(const decision::Action &What);
+  void handle(const std::string &Service, const decision::Event &Event);
+  void later(const decision::Action &Action);
   void deliver();
-  void carryOut(const decision::Grant &What);
-  void carryOut(const decision::Refuse &What);
-  void carryOut(const decision::Preempt &What);
+  void carryOut(const decision::Grant &Action);
+  void carryOut(const decision::Refuse &Action);
+  void carryOut(const decision::Preempt &Action);
   void carryOut(const decision::EjectionChanged &) {}
   [[nodiscard]] const Upstream *upstream(UpstreamId Id) const;
 
--- a/src/entry/pause_guard.cpp
+++ b/src/entry/pause_guard.cpp
@@ -10,9 +10,9 @@
 
 void PauseGuard::look() {
   const TimePoint Now = m_Clock.fresh();
-  const Duration Since = Now - m_LastLook;
+  const Duration Elapsed = Now - m_LastLook;
   m_LastLook = Now;
-  if (Since <= TickInterval + MaxLateness)
+  if (Elapsed <= TickInterval + MaxLateness)
     return;
   m_SuspectUntil = Now + Settling;
   if (m_Job)
--- a/src/entry/pause_guard.h
+++ b/src/entry/pause_guard.h
@@ -25,8 +25,8 @@
   /// itself, because the sockets may be served before the timer.
   [[nodiscard]] bool suspect();
 
-  /// Sets what runs once after each freeze, when it is noticed.
-  void onPause(std::function<void()> Job) { m_Job = std::move(Job); }
+  /// Sets the callback for each detected pause.
+  void onPause(std::function<void()> Callback) { m_Job = std::move(Callback); }
 
 private:
   void look();
--- a/src/entry/placement.h
+++ b/src/entry/placement.h
@@ -55,7 +55,7 @@
   virtual BidNumber bid(const BidTerms &Terms, PlacementListener &Listener) = 0;
   virtual void withdraw(BidNumber Bid) = 0;
   virtual void firstToken(BidNumber Bid, Duration Latency) = 0;
-  virtual void release(BidNumber Bid, const ReleaseSlot &How) = 0;
+  virtual void release(BidNumber Bid, const ReleaseSlot &Release) = 0;
 };
 
 } // namespace crowstep::entry
--- a/src/entry/request.cpp
+++ b/src/entry/request.cpp
@@ -26,18 +26,18 @@
   return Result;
 }
 
-RequestTerms termsOf(const CallerRequest &What, const RequestLimits &Limits) {
+RequestTerms termsOf(const CallerRequest &Parsed, const RequestLimits &Limits) {
   RequestTerms Result;
-  Result.m_Repeatable = What.m_Contract.m_Repeatable;
-  Result.m_Streamed = What.streamed();
-  Result.m_FirstTokenTarget = What.m_Contract.m_FirstTokenTarget;
-  Result.m_TotalLimit = What.m_Contract.m_TotalLimit;
+  Result.m_Repeatable = Parsed.m_Contract.m_Repeatable;
+  Result.m_Streamed = Parsed.streamed();
+  Result.m_FirstTokenTarget = Parsed.m_Contract.m_FirstTokenTarget;
+  Result.m_TotalLimit = Parsed.m_Contract.m_TotalLimit;
   Result.m_MaxAttempts = Limits.m_MaxAttempts;
   return Result;
 }
 
-bool isChat(const CallerRequest &What) {
-  const auto *Model = std::get_if<EngineCall>(&What.m_Call);
+bool isChat(const CallerRequest &Parsed) {
+  const auto *Model = std::get_if<EngineCall>(&Parsed.m_Call);
   return Model != nullptr && Model->m_Chat;
 }
 
@@ -58,14 +58,14 @@
 
 } // namespace
 
-Request::Request(RequestWorld &World, ClassStats &Stats, CallerRequest What,
-                 std::unique_ptr<Caller> Client, std::function<void()> Ended)
-    : m_World(World), m_Stats(Stats), m_What(std::move(What)),
-      m_Caller(std::move(Client)), m_Ended(std::move(Ended)),
-      m_Core(termsOf(m_What, World.m_Limits), World.m_Clock.fresh()),
-      m_Alive(std::make_shared<bool>(true)), m_Begin(World.m_Clock.now()),
-      m_Limit(World.m_Timers), m_Pause(World.m_Timers), m_RequestId(randomId()),
-      m_Assembler(isChat(m_What)) {
+Request::Request(RequestWorld &Context, ClassStats &Stats, CallerRequest Parsed,
+                 std::unique_ptr<Caller> Client, std::function<void()> OnEnded)
+    : m_World(Context), m_Stats(Stats), m_What(std::move(Parsed)),
+      m_Caller(std::move(Client)), m_Ended(std::move(OnEnded)),
+      m_Core(termsOf(m_What, Context.m_Limits), Context.m_Clock.fresh()),
+      m_Alive(std::make_shared<bool>(true)), m_Begin(Context.m_Clock.now()),
+      m_Limit(Context.m_Timers), m_Pause(Context.m_Timers),
+      m_RequestId(randomId()), m_Assembler(isChat(m_What)) {
   if (!m_What.m_ClaimKey.empty())
     m_Attempt = randomId();
 }
@@ -85,8 +85,8 @@
   handle(Admitted{});
 }
 
-void Request::handle(const RequestEvent &What) {
-  m_Events.push_back(What);
+void Request::handle(const RequestEvent &Event) {
+  m_Events.push_back(Event);
   if (m_Busy)
     return;
   m_Busy = true;
@@ -96,8 +96,8 @@
     m_Events.pop_front();
     Actions.clear();
     m_Core.handle(Next, m_World.m_Clock.fresh(), Actions);
-    for (const RequestAction &Each : Actions)
-      std::visit([this](const auto &Action) { carryOut(Action); }, Each);
+    for (const RequestAction &Action : Actions)
+      std::visit([this](const auto &Typed) { carryOut(Typed); }, Action);
   }
   m_Busy = false;
   if (!m_Core.ended() || m_Told)
@@ -129,7 +129,7 @@
 
 std::uint32_t Request::callTokens() const { return m_CallTokens; }
 
-void Request::carryOut(const PlaceBid &What) {
+void Request::carryOut(const PlaceBid &Action) {
   BidTerms Terms;
   Terms.m_Service = m_What.m_Contract.m_Service;
   Terms.m_Class = m_What.m_Contract.m_Id;
@@ -137,7 +137,7 @@
   Terms.m_PromptTokens = m_What.m_PromptTokens;
   Terms.m_MaxTokens = m_What.m_MaxTokens;
   Terms.m_Prefixes = m_What.m_Prefixes;
-  Terms.m_Ask = What;
+  Terms.m_Ask = Action;
   m_Bid = m_World.m_Placement.bid(Terms, *this);
 }
 
@@ -145,20 +145,20 @@
   m_World.m_Placement.withdraw(m_Bid);
 }
 
-void Request::carryOut(const ReportFirstToken &What) {
-  m_World.m_Placement.firstToken(m_Bid, What.m_Latency);
+void Request::carryOut(const ReportFirstToken &Action) {
+  m_World.m_Placement.firstToken(m_Bid, Action.m_Latency);
 }
 
-void Request::carryOut(const ReleaseSlot &What) {
-  m_World.m_Placement.release(m_Bid, What);
+void Request::carryOut(const ReleaseSlot &Action) {
+  m_World.m_Placement.release(m_Bid, Action);
 }
 
-void Request::carryOut(const CountRetry &What) {
-  m_Stats.m_Retries[static_cast<std::size_t>(What.m_Reason)]->add();
+void Request::carryOut(const CountRetry &Action) {
+  m_Stats.m_Retries[static_cast<std::size_t>(Action.m_Reason)]->add();
 }
 
-void Request::carryOut(const WakeAfter &What) {
-  m_Pause.start(What.m_Pause, [this] { handle(PauseOver{}); });
+void Request::carryOut(const WakeAfter &Action) {
+  m_Pause.start(Action.m_Pause, [this] { handle(PauseOver{}); });
 }
 
 // ---- Claims -----------------------------------------------------------------
@@ -177,9 +177,9 @@
   };
 }
 
-void Request::carryOut(const AskClaim &What) {
+void Request::carryOut(const AskClaim &Action) {
   m_World.m_Claims.claim(m_What.m_ClaimKey, m_What.m_BodyHash, m_Attempt,
-                         What.m_Limit, whenClaimed());
+                         Action.m_Limit, whenClaimed());
 }
 
 void Request::carryOut(const ReadClaim &) {
@@ -190,9 +190,9 @@
   m_World.m_Claims.recordNotRun(m_What.m_ClaimKey, m_Attempt, whenRecorded());
 }
 
-void Request::carryOut(const RecordRan &What) {
+void Request::carryOut(const RecordRan &Action) {
   claim::KeptAnswer Kept;
-  if (!What.m_OutcomeKnown) {
+  if (!Action.m_OutcomeKnown) {
     logEvent(LogEvent::EntryOutcomeUnknown,
              {{"class", m_What.m_Contract.m_Name}});
     Kept = {OutcomeUnknownStatus, "text/plain", "unknown"};
@@ -209,23 +209,23 @@
 
 // ---- Calls to upstreams -----------------------------------------------------
 
-void Request::carryOut(const SendCall &What) {
-  m_Slot = What.m_Slot;
+void Request::carryOut(const SendCall &Action) {
+  m_Slot = Action.m_Slot;
   m_Status = 0;
   m_Body.clear();
   m_Splitter = EventSplitter();
   m_Done = false;
   m_CallTokens = 0;
-  if (What.m_ResumeTokens == 0) {
+  if (Action.m_ResumeTokens == 0) {
     m_Tokens = 0;
     m_Assembler.clear();
     m_KeptEvents.clear();
   }
   UpstreamSend Send;
-  Send.m_Where = What.m_Slot.m_Address;
+  Send.m_Where = Action.m_Slot.m_Address;
   Send.m_Repeatable = m_What.m_Contract.m_Repeatable;
   Send.m_CloseAfter = !Send.m_Repeatable;
-  Send.m_SendBefore = What.m_SendBefore;
+  Send.m_SendBefore = Action.m_SendBefore;
   Send.m_Wanted = [this] { return !m_Caller->hasLeft(); };
   Send.m_SilenceLimit = m_World.m_Limits.m_UpstreamSilence;
   if (const auto *Model = std::get_if<EngineCall>(&m_What.m_Call)) {
@@ -235,9 +235,9 @@
     Json Body = Model->m_Body;
     Body["stream"] = true;
     Body["request_id"] = m_CallId;
-    Body["priority"] = What.m_Slot.m_Priority;
-    if (What.m_ResumeTokens > 0)
-      Body["resume_tokens"] = What.m_ResumeTokens;
+    Body["priority"] = Action.m_Slot.m_Priority;
+    if (Action.m_ResumeTokens > 0)
+      Body["resume_tokens"] = Action.m_ResumeTokens;
     Send.m_Path = Model->m_Chat ? "/v1/chat/completions" : "/v1/completions";
     Send.m_Body = Body.dump();
   } else {
@@ -291,10 +291,10 @@
     return;
   const EventBatch Batch = m_Splitter.feed(Bytes);
   m_Done = Batch.m_Done;
-  const bool Understood = m_What.streamed() || m_Assembler.feed(Batch.m_Events);
+  const bool Parsed = m_What.streamed() || m_Assembler.feed(Batch.m_Events);
   if (!Batch.m_Events.empty())
     relay(Batch);
-  if (Batch.m_Failed || !Understood)
+  if (Batch.m_Failed || !Parsed)
     endCall(m_Tokens > 0 ? CallEnd::ClosedMidStream
                          : CallEnd::ClosedBeforeByte);
 }
@@ -304,9 +304,9 @@
   handle(TokensArrived{Batch.m_Tokens});
   if (!m_What.streamed())
     return;
-  CallerAnswer Head;
-  Head.m_ContentType = EventStreamType;
-  m_Caller->beginStream(Head);
+  CallerAnswer Header;
+  Header.m_ContentType = EventStreamType;
+  m_Caller->beginStream(Header);
   m_Caller->append(Batch.m_Events);
   if (!m_What.m_ClaimKey.empty())
     m_KeptEvents += Batch.m_Events;
@@ -331,9 +331,9 @@
   m_Stats.m_Tokens->add(Count);
 }
 
-void Request::upstreamEnded(TransportEnd How) {
+void Request::upstreamEnded(TransportEnd End) {
   const bool Begun = m_CallTokens > 0 || !m_Body.empty();
-  switch (How) {
+  switch (End) {
   case TransportEnd::NotSent:
     endCall(CallEnd::ConnectFailed);
     return;
@@ -370,14 +370,14 @@
   return CallEnd::Whole;
 }
 
-void Request::endCall(CallEnd How) {
+void Request::endCall(CallEnd End) {
   m_Call.reset();
-  if (How == CallEnd::ClosedBeforeByte || How == CallEnd::ClosedMidStream)
+  if (End == CallEnd::ClosedBeforeByte || End == CallEnd::ClosedMidStream)
     logEvent(LogEvent::EntryUpstreamFailed,
              {{"class", m_What.m_Contract.m_Name},
               {"upstream", toString(m_Slot.m_Address)},
               {"tokens", std::to_string(m_CallTokens)}});
-  handle(CallEnded{How});
+  handle(CallEnded{End});
 }
 
 // ---- Final answers ----------------------------------------------------------
@@ -400,22 +400,22 @@
   m_Stats.m_Refusals[static_cast<std::size_t>(Reason)]->add();
 }
 
-void Request::carryOut(const Refuse &What) {
-  count(What.m_Reason);
+void Request::carryOut(const Refuse &Action) {
+  count(Action.m_Reason);
   m_Caller->answer(
-      refusalAnswer(What.m_Reason, What.m_State, What.m_RetryAfter));
+      refusalAnswer(Action.m_Reason, Action.m_State, Action.m_RetryAfter));
 }
 
-void Request::carryOut(const ReplayAnswer &What) {
-  if (What.m_Answer.m_Status == OutcomeUnknownStatus) {
+void Request::carryOut(const ReplayAnswer &Action) {
+  if (Action.m_Answer.m_Status == OutcomeUnknownStatus) {
     carryOut(Refuse{RefusalReason::OutcomeUnknown, RunState::Unknown, {}});
     return;
   }
   m_Stats.m_Replayed->add();
   CallerAnswer Answer;
-  Answer.m_Status = What.m_Answer.m_Status;
-  Answer.m_ContentType = What.m_Answer.m_ContentType;
-  Answer.m_Body = What.m_Answer.m_Body;
+  Answer.m_Status = Action.m_Answer.m_Status;
+  Answer.m_ContentType = Action.m_Answer.m_ContentType;
+  Answer.m_Body = Action.m_Answer.m_Body;
   m_Caller->answer(Answer);
 }
 
@@ -428,9 +428,9 @@
     m_Caller->answer(wholeAnswer());
 }
 
-void Request::carryOut(const CutAnswer &What) {
-  count(What.m_Reason);
-  m_Caller->append(errorEvent(What.m_Reason));
+void Request::carryOut(const CutAnswer &Action) {
+  count(Action.m_Reason);
+  m_Caller->append(errorEvent(Action.m_Reason));
   m_Caller->endStream();
 }
 
--- a/src/entry/request.h
+++ b/src/entry/request.h
@@ -38,8 +38,8 @@
 public:
   /// \p OnEnded is called once when no action is outstanding any more. The
   /// request may be destroyed after that call, but not within it.
-  Request(RequestWorld &World, ClassStats &Stats, CallerRequest What,
-          std::unique_ptr<Caller> Client, std::function<void()> Ended);
+  Request(RequestWorld &Context, ClassStats &Stats, CallerRequest Parsed,
+          std::unique_ptr<Caller> Client, std::function<void()> OnEnded);
   ~Request() override;
   Request(const Request &) = delete;
   Request &operator=(const Request &) = delete;
@@ -57,31 +57,31 @@
 
   void upstreamHeaders(unsigned Status, const HeaderList &Headers) override;
   void upstreamBytes(std::string_view Bytes) override;
-  void upstreamEnded(TransportEnd How) override;
+  void upstreamEnded(TransportEnd End) override;
 
-  void handle(const RequestEvent &What);
-  void carryOut(const PlaceBid &What);
-  void carryOut(const WithdrawBid &What);
-  void carryOut(const ReportFirstToken &What);
-  void carryOut(const ReleaseSlot &What);
-  void carryOut(const AskClaim &What);
-  void carryOut(const ReadClaim &What);
-  void carryOut(const RecordNotRun &What);
-  void carryOut(const RecordRan &What);
-  void carryOut(const SendCall &What);
-  void carryOut(const CancelCall &What);
-  void carryOut(const WakeAfter &What);
-  void carryOut(const Refuse &What);
-  void carryOut(const ReplayAnswer &What);
-  void carryOut(const FinishAnswer &What);
-  void carryOut(const CutAnswer &What);
-  void carryOut(const DropAnswer &What);
-  void carryOut(const CountRetry &What);
+  void handle(const RequestEvent &Event);
+  void carryOut(const PlaceBid &Action);
+  void carryOut(const WithdrawBid &Action);
+  void carryOut(const ReportFirstToken &Action);
+  void carryOut(const ReleaseSlot &Action);
+  void carryOut(const AskClaim &Action);
+  void carryOut(const ReadClaim &Action);
+  void carryOut(const RecordNotRun &Action);
+  void carryOut(const RecordRan &Action);
+  void carryOut(const SendCall &Action);
+  void carryOut(const CancelCall &Action);
+  void carryOut(const WakeAfter &Action);
+  void carryOut(const Refuse &Action);
+  void carryOut(const ReplayAnswer &Action);
+  void carryOut(const FinishAnswer &Action);
+  void carryOut(const CutAnswer &Action);
+  void carryOut(const DropAnswer &Action);
+  void carryOut(const CountRetry &Action);
 
   void takeEvents(std::string_view Bytes);
   void relay(const EventBatch &Batch);
   void countTokens(std::uint32_t Count);
-  void endCall(CallEnd How);
+  void endCall(CallEnd End);
   [[nodiscard]] CallEnd wholeOrRefused() const;
   [[nodiscard]] CallerAnswer wholeAnswer() const;
   [[nodiscard]] claim::Claims::Done whenClaimed();
@@ -97,17 +97,16 @@
   bool m_Busy = false;               ///< handle() is on the stack.
   bool m_Told = false;               ///< m_OnEnded has been called.
   std::deque<RequestEvent> m_Events; ///< Not yet handled.
-  std::shared_ptr<bool>
-      m_Alive;       ///< False once destroyed; for callbacks of claims.
-  TimePoint m_Begin; ///< When the request was read.
-  Timer m_Limit;     ///< Total time limit of the class.
-  Timer m_Pause;     ///< For WakeAfter.
-  claim::AttemptId m_Attempt; ///< Random; empty for repeatable classes.
-  unsigned m_Calls = 0;       ///< Calls to engines so far.
-  std::string m_CallId;       ///< Id of the current call at its engine.
-  std::string m_RequestId;    ///< Random; prefix of the call ids.
-  BidNumber m_Bid;            ///< Of the current bid.
-  GrantedSlot m_Slot;         ///< Of the current call.
+  std::shared_ptr<bool> m_Alive;     ///< False once destroyed.
+  TimePoint m_Begin;                 ///< When the request was read.
+  Timer m_Limit;                     ///< Total time limit of the class.
+  Timer m_Pause;                     ///< For WakeAfter.
+  claim::AttemptId m_Attempt;        ///< Random; empty for repeatable classes.
+  unsigned m_Calls = 0;              ///< Calls to engines so far.
+  std::string m_CallId;              ///< Id of the current call at its engine.
+  std::string m_RequestId;           ///< Random; prefix of the call ids.
+  BidNumber m_Bid;                   ///< Of the current bid.
+  GrantedSlot m_Slot;                ///< Of the current call.
 
   std::unique_ptr<UpstreamCall> m_Call; ///< Null while none is in progress.
   unsigned m_Status = 0;                ///< Of the upstream's answer.
--- a/src/entry/request_core.cpp
+++ b/src/entry/request_core.cpp
@@ -9,8 +9,8 @@
 
 using decision::WorkEnd;
 
-WorkEnd workEndOf(CallEnd How) {
-  switch (How) {
+WorkEnd workEndOf(CallEnd End) {
+  switch (End) {
   case CallEnd::Whole:
     return WorkEnd::Finished;
   case CallEnd::ConnectFailed:
@@ -28,8 +28,8 @@
   return WorkEnd::Failed;
 }
 
-RetryReason retryReasonOf(CallEnd How) {
-  switch (How) {
+RetryReason retryReasonOf(CallEnd End) {
+  switch (End) {
   case CallEnd::ConnectFailed:
     return RetryReason::ConnectFailed;
   case CallEnd::TooOld:
@@ -52,12 +52,12 @@
 RequestCore::RequestCore(const RequestTerms &Terms, TimePoint Now)
     : m_Terms(Terms), m_Begin(Now), m_Now(Now) {}
 
-void RequestCore::handle(const RequestEvent &What, TimePoint Now,
+void RequestCore::handle(const RequestEvent &Event, TimePoint Now,
                          Actions &Out) {
   m_Now = Now;
   if (m_State == State::Ended)
     return;
-  std::visit([&](const auto &Event) { on(Event, Out); }, What);
+  std::visit([&](const auto &Typed) { on(Typed, Out); }, Event);
 }
 
 // ---- Placement --------------------------------------------------------------
@@ -79,10 +79,10 @@
                             Left(m_Terms.m_TotalLimit)});
 }
 
-void RequestCore::on(const Granted &What, Actions &Out) {
+void RequestCore::on(const Granted &Event, Actions &Out) {
   if (m_State != State::Bidding)
     return;
-  m_Slot = What.m_Slot;
+  m_Slot = Event.m_Slot;
   m_SlotHeld = true;
   m_SlotSuspect = false;
   m_GrantedAt = m_Now;
@@ -113,9 +113,9 @@
   m_SlotSuspect = true;
 }
 
-void RequestCore::on(const BidRefused &What, Actions &Out) {
+void RequestCore::on(const BidRefused &Event, Actions &Out) {
   if (m_State == State::Bidding)
-    refuse(What.m_Reason, What.m_RetryAfter, Out);
+    refuse(Event.m_Reason, Event.m_RetryAfter, Out);
 }
 
 bool RequestCore::slotStale() const {
@@ -138,13 +138,13 @@
   m_FirstToken = false;
   m_CallTokens = 0;
   ++m_Attempts;
-  TimePoint Before = m_GrantedAt + m_Slot.m_ValidFor;
+  TimePoint SendDeadline = m_GrantedAt + m_Slot.m_ValidFor;
   if (!m_Terms.m_Repeatable)
-    Before = std::min(Before, m_ClaimedAt + MaxClaimAge);
-  Out.emplace_back(SendCall{m_Slot, Before, m_Tokens});
+    SendDeadline = std::min(SendDeadline, m_ClaimedAt + MaxClaimAge);
+  Out.emplace_back(SendCall{m_Slot, SendDeadline, m_Tokens});
 }
 
-void RequestCore::on(const TokensArrived &What, Actions &Out) {
+void RequestCore::on(const TokensArrived &Event, Actions &Out) {
   if (m_State != State::Calling)
     return;
   m_StreamBegun |= m_Terms.m_Streamed;
@@ -152,15 +152,15 @@
     m_FirstToken = true;
     Out.emplace_back(ReportFirstToken{m_Now - m_GrantedAt});
   }
-  m_Tokens += What.m_Count;
-  m_CallTokens += What.m_Count;
+  m_Tokens += Event.m_Count;
+  m_CallTokens += Event.m_Count;
 }
 
-void RequestCore::on(const CallEnded &What, Actions &Out) {
+void RequestCore::on(const CallEnded &Event, Actions &Out) {
   if (m_State != State::Calling)
     return;
-  release(workEndOf(What.m_End), Out);
-  switch (What.m_End) {
+  release(workEndOf(Event.m_End), Out);
+  switch (Event.m_End) {
   case CallEnd::Whole:
     if (m_Terms.m_Repeatable) {
       finish(FinishAnswer{}, Out);
@@ -172,29 +172,29 @@
   case CallEnd::TooOld:
   case CallEnd::Busy:
   case CallEnd::Leaving:
-    neverRan(What.m_End, Out);
+    neverRan(Event.m_End, Out);
     return;
   case CallEnd::ClosedBeforeByte:
   case CallEnd::ClosedMidStream:
-    mayHaveRun(What.m_End, Out);
+    mayHaveRun(Event.m_End, Out);
     return;
   }
 }
 
-void RequestCore::neverRan(CallEnd How, Actions &Out) {
+void RequestCore::neverRan(CallEnd End, Actions &Out) {
   if (m_CallerGone || m_Answered) {
     refuse(RefusalReason::CallerGone, Duration::zero(), Out);
     return;
   }
-  const bool Fault = How != CallEnd::TooOld;
-  retry(retryReasonOf(How), Fault,
+  const bool Fault = End != CallEnd::TooOld;
+  retry(retryReasonOf(End), Fault,
         Fault ? std::optional(m_Slot.m_Upstream) : std::nullopt, Out);
 }
 
-void RequestCore::mayHaveRun(CallEnd How, Actions &Out) {
+void RequestCore::mayHaveRun(CallEnd End, Actions &Out) {
   m_MayHaveRun = true;
   if (m_Terms.m_Repeatable) {
-    retry(retryReasonOf(How), true, m_Slot.m_Upstream, Out);
+    retry(retryReasonOf(End), true, m_Slot.m_Upstream, Out);
     return;
   }
   // Not sent again: a second call could reserve two seats. The claim stays with
@@ -212,19 +212,19 @@
   Out.emplace_back(WakeAfter{KeepPatience});
 }
 
-void RequestCore::retry(RetryReason Why, bool IsRetry,
+void RequestCore::retry(RetryReason Reason, bool IsRetry,
                         std::optional<UpstreamId> Avoid, Actions &Out) {
   const bool TimeLeft = m_Tokens > 0 || m_Now - m_Begin < m_Terms.m_TotalLimit;
   if (m_Attempts >= m_Terms.m_MaxAttempts || !TimeLeft) {
     refuse(RefusalReason::UpstreamFailed, Duration::zero(), Out);
     return;
   }
-  Out.emplace_back(CountRetry{Why});
+  Out.emplace_back(CountRetry{Reason});
   bid(IsRetry, Avoid, Out);
 }
 
-void RequestCore::on(const PreemptOrdered &What, Actions &Out) {
-  if (!m_SlotHeld || m_Slot.m_Upstream != What.m_Upstream)
+void RequestCore::on(const PreemptOrdered &Event, Actions &Out) {
+  if (!m_SlotHeld || m_Slot.m_Upstream != Event.m_Upstream)
     return;
   if (m_State == State::Claiming || m_State == State::ClaimPause) {
     m_SlotSuspect = true;
@@ -324,8 +324,9 @@
   return m_MayHaveRun || m_OtherHolds ? RunState::Unknown : RunState::NotRun;
 }
 
-void RequestCore::refuse(RefusalReason Why, Duration RetryAfter, Actions &Out) {
-  m_Final = Refuse{Why, runState(), RetryAfter};
+void RequestCore::refuse(RefusalReason Reason, Duration RetryAfter,
+                         Actions &Out) {
+  m_Final = Refuse{Reason, runState(), RetryAfter};
   if (m_ClaimAsked) {
     // "Not run" is only answered once the claim is released. Otherwise a
     // request with the same key would find the claim taken and be answered
@@ -353,11 +354,11 @@
     finish(m_Final, Out);
 }
 
-void RequestCore::on(const EndRecorded &What, Actions &Out) {
+void RequestCore::on(const EndRecorded &Event, Actions &Out) {
   if (m_State == State::Keeping) {
     answerRan(Out);
   } else if (m_State == State::GivingBack) {
-    if (!What.m_Certain)
+    if (!Event.m_Certain)
       m_Final.m_State = RunState::Unknown;
     sayFinal(Out);
   }
--- a/src/entry/request_core.h
+++ b/src/entry/request_core.h
@@ -38,7 +38,7 @@
 
   /// Handles one event at the time \p Now (Clock::fresh()) and appends the
   /// resulting actions. Events that no longer apply are ignored.
-  void handle(const RequestEvent &What, TimePoint Now,
+  void handle(const RequestEvent &Event, TimePoint Now,
               std::vector<RequestAction> &Actions);
 
   /// Returns whether the final answer has been given.
@@ -63,18 +63,18 @@
 
   using Actions = std::vector<RequestAction>;
 
-  void on(const Admitted &What, Actions &Out);
-  void on(const Granted &What, Actions &Out);
-  void on(const GrantSuspect &What, Actions &Out);
-  void on(const BidRefused &What, Actions &Out);
-  void on(const PreemptOrdered &What, Actions &Out);
-  void on(const ClaimAnswered &What, Actions &Out);
-  void on(const EndRecorded &What, Actions &Out);
-  void on(const TokensArrived &What, Actions &Out);
-  void on(const CallEnded &What, Actions &Out);
-  void on(const CallerLeft &What, Actions &Out);
-  void on(const LimitReached &What, Actions &Out);
-  void on(const PauseOver &What, Actions &Out);
+  void on(const Admitted &Event, Actions &Out);
+  void on(const Granted &Event, Actions &Out);
+  void on(const GrantSuspect &Event, Actions &Out);
+  void on(const BidRefused &Event, Actions &Out);
+  void on(const PreemptOrdered &Event, Actions &Out);
+  void on(const ClaimAnswered &Event, Actions &Out);
+  void on(const EndRecorded &Event, Actions &Out);
+  void on(const TokensArrived &Event, Actions &Out);
+  void on(const CallEnded &Event, Actions &Out);
+  void on(const CallerLeft &Event, Actions &Out);
+  void on(const LimitReached &Event, Actions &Out);
+  void on(const PauseOver &Event, Actions &Out);
 
   void bid(bool IsRetry, std::optional<UpstreamId> Avoid, Actions &Out);
   void send(Actions &Out);
@@ -83,11 +83,11 @@
   void keep(bool OutcomeKnown, Actions &Out);
   void claimOwned(Actions &Out);
   void keyHeldElsewhere(Actions &Out);
-  void neverRan(CallEnd How, Actions &Out);
-  void mayHaveRun(CallEnd How, Actions &Out);
-  void retry(RetryReason Why, bool IsRetry, std::optional<UpstreamId> Avoid,
+  void neverRan(CallEnd End, Actions &Out);
+  void mayHaveRun(CallEnd End, Actions &Out);
+  void retry(RetryReason Reason, bool IsRetry, std::optional<UpstreamId> Avoid,
              Actions &Out);
-  void refuse(RefusalReason Why, Duration RetryAfter, Actions &Out);
+  void refuse(RefusalReason Reason, Duration RetryAfter, Actions &Out);
   void sayFinal(Actions &Out);
   void giveUpRecord(Actions &Out);
   void answerRan(Actions &Out);
@@ -99,15 +99,14 @@
   TimePoint m_Begin;    ///< When the request was read; limits count from here.
   TimePoint m_Now;      ///< Time of the current event.
   State m_State = State::New;
-  bool m_Answered = false;      ///< The final answer was given; never reset.
-  bool m_CallerGone = false;    ///< The caller closed its connection.
-  bool m_ClaimAsked = false;    ///< The row may name this attempt.
-  bool m_ClaimMayStand = false; ///< A request for it ended as uncertain.
-  bool m_ClaimOwned = false;    ///< The row names this attempt.
-  bool m_OtherHolds = false;    ///< The row named another attempt.
-  bool m_MayHaveRun =
-      false;               ///< A call ended without proof that it did not run.
-  bool m_SlotHeld = false; ///< A granted slot is not yet released.
+  bool m_Answered = false;        ///< The final answer was given; never reset.
+  bool m_CallerGone = false;      ///< The caller closed its connection.
+  bool m_ClaimAsked = false;      ///< The row may name this attempt.
+  bool m_ClaimMayStand = false;   ///< A request for it ended as uncertain.
+  bool m_ClaimOwned = false;      ///< The row names this attempt.
+  bool m_OtherHolds = false;      ///< The row named another attempt.
+  bool m_MayHaveRun = false;      ///< A call ended that may have run.
+  bool m_SlotHeld = false;        ///< A granted slot is not yet released.
   bool m_SlotSuspect = false;     ///< The process was paused since the grant.
   bool m_StreamBegun = false;     ///< The caller has bytes of the answer.
   bool m_FirstToken = false;      ///< For the current call.
--- a/src/entry/request_core_claim.cpp
+++ b/src/entry/request_core_claim.cpp
@@ -14,23 +14,24 @@
 void RequestCore::askClaim(Actions &Out) {
   // During an outage of the table service, the slot must not be held for longer
   // than the grant is valid, nor the caller wait beyond the limit.
-  const Duration Left = m_Terms.m_TotalLimit - (m_Now - m_Begin);
-  const Duration Limit = m_SlotHeld ? std::min(m_Slot.m_ValidFor, Left) : Left;
-  Out.emplace_back(AskClaim{std::max(Limit, Duration::zero())});
+  const Duration TimeLeft = m_Terms.m_TotalLimit - (m_Now - m_Begin);
+  const Duration Timeout =
+      m_SlotHeld ? std::min(m_Slot.m_ValidFor, TimeLeft) : TimeLeft;
+  Out.emplace_back(AskClaim{std::max(Timeout, Duration::zero())});
 }
 
-void RequestCore::on(const ClaimAnswered &What, Actions &Out) {
-  const bool Asked = m_State == State::Claiming;
-  if (!Asked && m_State != State::KeyRead)
+void RequestCore::on(const ClaimAnswered &Event, Actions &Out) {
+  const bool Requested = m_State == State::Claiming;
+  if (!Requested && m_State != State::KeyRead)
     return;
-  switch (What.m_Outcome.m_Status) {
+  switch (Event.m_Outcome.m_Status) {
   case claim::ClaimStatus::Owned:
     claimOwned(Out);
     return;
   case claim::ClaimStatus::Ran:
     release(WorkEnd::Unused, Out);
     m_ClaimAsked = false;
-    finish(ReplayAnswer{What.m_Outcome.m_Answer}, Out);
+    finish(ReplayAnswer{Event.m_Outcome.m_Answer}, Out);
     return;
   case claim::ClaimStatus::InProgress:
     keyHeldElsewhere(Out);
@@ -41,11 +42,11 @@
     refuse(RefusalReason::KeyReused, Duration::zero(), Out);
     return;
   case claim::ClaimStatus::Done:
-    if (!Asked) // The other call provably never ran: the key is free.
+    if (!Requested) // The other call provably never ran: the key is free.
       bid(false, std::nullopt, Out);
     return;
   case claim::ClaimStatus::Unavailable:
-    if (!Asked) {
+    if (!Requested) {
       keyHeldElsewhere(Out);
       return;
     }
@@ -59,8 +60,8 @@
     // The row may name this attempt; another request with the same attempt id
     // finds out. Nothing is sent before, and the slot is released meanwhile.
     release(WorkEnd::Unused, Out);
-    m_ClaimMayStand = m_ClaimMayStand || Asked;
-    m_State = Asked ? State::ClaimPause : State::KeyWait;
+    m_ClaimMayStand = m_ClaimMayStand || Requested;
+    m_State = Requested ? State::ClaimPause : State::KeyWait;
     Out.emplace_back(WakeAfter{ClaimPoll});
     return;
   }
--- a/src/entry/request_service.cpp
+++ b/src/entry/request_service.cpp
@@ -21,54 +21,54 @@
           IdleLimit};
 }
 
-void answerText(Caller &From, unsigned Status, const std::string &ContentType,
+void answerText(Caller &Client, unsigned Status, const std::string &ContentType,
                 const std::string &Body) {
   CallerAnswer Answer;
   Answer.m_Status = Status;
   Answer.m_ContentType = ContentType;
   Answer.m_Body = Body;
-  From.answer(Answer);
+  Client.answer(Answer);
 }
 
-RawRequest rawRequestOf(IncomingRequest What) {
+RawRequest rawRequestOf(IncomingRequest Incoming) {
   const auto Header = [&](std::string_view Name) {
-    const std::string *Value = findHeader(What.m_Headers, Name);
+    const std::string *Value = findHeader(Incoming.m_Headers, Name);
     return Value == nullptr ? std::string() : *Value;
   };
   RawRequest Result;
-  Result.m_Method = What.m_Method;
-  Result.m_Path = What.m_Target;
+  Result.m_Method = Incoming.m_Method;
+  Result.m_Path = Incoming.m_Target;
   Result.m_Authorization = Header("Authorization");
   Result.m_Class = Header("Crowstep-Class");
   Result.m_IdempotencyKey = Header("Idempotency-Key");
   Result.m_ContentType = Header("Content-Type");
-  Result.m_Body = std::move(What.m_Body);
+  Result.m_Body = std::move(Incoming.m_Body);
   return Result;
 }
 
 } // namespace
 
-RequestService::RequestService(RequestWorld World, const Directory &Known,
-                               ServiceRights Rights, Metrics &Stats)
-    : m_World(World), m_Directory(Known), m_Rights(std::move(Rights)),
+RequestService::RequestService(RequestWorld Context, const Directory &Dir,
+                               ServiceRights Conditions, Metrics &Stats)
+    : m_World(Context), m_Directory(Dir), m_Rights(std::move(Conditions)),
       m_Metrics(Stats), m_Stats(Stats),
       m_Front(
-          arrivalLimits(World.m_Limits),
+          arrivalLimits(Context.m_Limits),
           [this](RefusalReason Reason) {
             m_Stats.of("").m_Refusals[static_cast<std::size_t>(Reason)]->add();
           },
-          World.m_Timers),
-      m_Sweep(World.m_Timers), m_StopCheck(World.m_Timers) {
+          Context.m_Timers),
+      m_Sweep(Context.m_Timers), m_StopCheck(Context.m_Timers) {
   tableChanged();
 }
 
-void RequestService::listen(const Address &Where) {
-  m_Front.listen(Where,
-                 [this](IncomingRequest What, std::unique_ptr<Caller> From) {
-                   const RawRequest Raw = rawRequestOf(std::move(What));
-                   if (!handleOwn(*From, Raw))
-                     handleCall(std::move(From), Raw);
-                 });
+void RequestService::listen(const Address &LocalAddress) {
+  m_Front.listen(LocalAddress, [this](IncomingRequest Incoming,
+                                      std::unique_ptr<Caller> Client) {
+    const RawRequest Raw = rawRequestOf(std::move(Incoming));
+    if (!handleOwn(*Client, Raw))
+      handleCall(std::move(Client), Raw);
+  });
 }
 
 bool RequestService::ready() const {
@@ -77,13 +77,13 @@
 
 // ---- Requests ---------------------------------------------------------------
 
-bool RequestService::handleOwn(Caller &From, const RawRequest &Raw) {
+bool RequestService::handleOwn(Caller &Client, const RawRequest &Raw) {
   if (Raw.m_Method != "GET")
     return false;
   if (Raw.m_Path == "/healthz" || Raw.m_Path == "/readyz") {
-    const bool Good = ready();
-    answerText(From, Good ? HttpOk : HttpUnavailable, "text/plain",
-               Good ? "ok\n" : "unavailable\n");
+    const bool IsReady = ready();
+    answerText(Client, IsReady ? HttpOk : HttpUnavailable, "text/plain",
+               IsReady ? "ok\n" : "unavailable\n");
     return true;
   }
   if (Raw.m_Path == "/metrics") {
@@ -91,44 +91,44 @@
         .set(static_cast<double>(m_Requests.size()));
     m_Metrics.gauge("crowstep_table_version")
         .set(static_cast<double>(m_Directory.table().m_Version.value()));
-    answerText(From, HttpOk, "text/plain; version=0.0.4", m_Metrics.text());
+    answerText(Client, HttpOk, "text/plain; version=0.0.4", m_Metrics.text());
     return true;
   }
   return false;
 }
 
-void RequestService::refuse(Caller &From, const std::string &Class,
+void RequestService::refuse(Caller &Client, const std::string &Class,
                             RefusalReason Reason, Duration RetryAfter) {
   m_Stats.of(Class).m_Refusals[static_cast<std::size_t>(Reason)]->add();
-  From.answer(refusalAnswer(Reason, RunState::NotRun, RetryAfter));
+  Client.answer(refusalAnswer(Reason, RunState::NotRun, RetryAfter));
 }
 
-void RequestService::handleCall(std::unique_ptr<Caller> From,
+void RequestService::handleCall(std::unique_ptr<Caller> Client,
                                 const RawRequest &Raw) {
   if (m_Stopping) {
-    refuse(*From, "", RefusalReason::ShuttingDown, ElsewhereRetryAfter);
+    refuse(*Client, "", RefusalReason::ShuttingDown, ElsewhereRetryAfter);
     return;
   }
   // Without the right to serve, the table may be outdated although an operator
   // was notified that a new one is in force everywhere.
   if (!m_Rights.m_RightToServe()) {
-    refuse(*From, "", RefusalReason::NotInForce, ElsewhereRetryAfter);
+    refuse(*Client, "", RefusalReason::NotInForce, ElsewhereRetryAfter);
     return;
   }
   auto Outcome = readCallerRequest(Raw, m_Directory);
-  if (const auto *Why = std::get_if<ReadRefusal>(&Outcome)) {
-    refuse(*From, Why->m_Class, Why->m_Reason, Duration::zero());
+  if (const auto *Refusal = std::get_if<ReadRefusal>(&Outcome)) {
+    refuse(*Client, Refusal->m_Class, Refusal->m_Reason, Duration::zero());
     return;
   }
-  auto &What = std::get<CallerRequest>(Outcome);
-  ClassStats &Stats = m_Stats.of(What.m_Contract.m_Name);
+  auto &Parsed = std::get<CallerRequest>(Outcome);
+  ClassStats &Stats = m_Stats.of(Parsed.m_Contract.m_Name);
   const std::uint64_t Number = ++m_LastRequest;
-  auto Fresh = std::make_unique<Request>(m_World, Stats, std::move(What),
-                                         std::move(From),
-                                         [this, Number] { ended(Number); });
-  Request &Begun = *Fresh;
-  m_Requests.emplace(Number, std::move(Fresh));
-  Begun.start();
+  auto NewRequest = std::make_unique<Request>(
+      m_World, Stats, std::move(Parsed), std::move(Client),
+      [this, Number] { ended(Number); });
+  Request &Started = *NewRequest;
+  m_Requests.emplace(Number, std::move(NewRequest));
+  Started.start();
 }
 
 void RequestService::ended(std::uint64_t Number) {
@@ -141,7 +141,7 @@
 void RequestService::sweep() {
   // Runs from a timer, as a request must not be destroyed while it is on the
   // stack.
-  const std::vector<std::unique_ptr<Request>> Gone = std::move(m_Ended);
+  const std::vector<std::unique_ptr<Request>> Ended = std::move(m_Ended);
   m_Ended.clear();
 }
 
--- a/src/entry/request_service.h
+++ b/src/entry/request_service.h
@@ -20,11 +20,11 @@
 
 class RequestService {
 public:
-  RequestService(RequestWorld World, const Directory &Known,
-                 ServiceRights Rights, Metrics &Stats);
+  RequestService(RequestWorld Context, const Directory &Dir,
+                 ServiceRights Conditions, Metrics &Stats);
 
-  /// Begins to serve. \throws ListenError.
-  void listen(const Address &Where);
+  /// Starts to serve at \p LocalAddress. \throws ListenError.
+  void listen(const Address &LocalAddress);
 
   /// Creates the metrics of the classes in force.
   void tableChanged() { m_Stats.prepare(m_Directory.table()); }
@@ -33,9 +33,9 @@
   void stop(std::function<void()> Done);
 
 private:
-  bool handleOwn(Caller &From, const RawRequest &Raw);
-  void handleCall(std::unique_ptr<Caller> From, const RawRequest &Raw);
-  void refuse(Caller &From, const std::string &Class, RefusalReason Reason,
+  bool handleOwn(Caller &Client, const RawRequest &Raw);
+  void handleCall(std::unique_ptr<Caller> Client, const RawRequest &Raw);
+  void refuse(Caller &Client, const std::string &Class, RefusalReason Reason,
               Duration RetryAfter);
   void ended(std::uint64_t Number);
   void sweep();
--- a/tests/unit/entry_call_test.cpp
+++ b/tests/unit/entry_call_test.cpp
@@ -10,10 +10,10 @@
 using namespace crowstep::entry::test;
 
 BOOST_AUTO_TEST_CASE(StreamIsRelayedAsItComes) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Engine;
-  It.m_Placement.grantAt(Engine.m_Address);
-  const auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(Engine.m_Address);
+  const auto Caller = Fixture.guide(true);
   Peer *Call = Engine.next();
   BOOST_REQUIRE(Call != nullptr);
   BOOST_TEST(Call->has(R"("stream":true)"));
@@ -26,18 +26,19 @@
   BOOST_TEST(!Caller->has("two"));
   Call->send(chunk(tokenEvent("two")) + streamEnd());
   BOOST_TEST(pumpUntil([&] { return Caller->has("[DONE]"); }));
-  BOOST_TEST(pumpUntil([&] { return !It.m_Placement.m_Released.empty(); }));
   BOOST_TEST(
-      (It.m_Placement.m_Released[0].m_End == decision::WorkEnd::Finished));
-  BOOST_TEST(It.m_Placement.m_Released[0].m_Tokens == 2U);
-  BOOST_TEST(It.m_Placement.m_FirstTokens == 1);
+      pumpUntil([&] { return !Fixture.m_Placement.m_Released.empty(); }));
+  BOOST_TEST(
+      (Fixture.m_Placement.m_Released[0].m_End == decision::WorkEnd::Finished));
+  BOOST_TEST(Fixture.m_Placement.m_Released[0].m_Tokens == 2U);
+  BOOST_TEST(Fixture.m_Placement.m_FirstTokens == 1);
 }
 
 BOOST_AUTO_TEST_CASE(PlainAnswerIsAssembled) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Engine;
-  It.m_Placement.grantAt(Engine.m_Address);
-  const auto Caller = It.guide(false);
+  Fixture.m_Placement.grantAt(Engine.m_Address);
+  const auto Caller = Fixture.guide(false);
   Peer *Call = Engine.next();
   BOOST_REQUIRE(Call != nullptr);
   Call->send(streamHead() + chunk(tokenEvent("one ") + tokenEvent("two")) +
@@ -50,10 +51,10 @@
 // Guards against a call that is sent for a caller that has closed its
 // connection: the process may serve the upstream's socket before the caller's.
 BOOST_AUTO_TEST_CASE(NothingIsSentForACallerThatHasLeft) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Engine;
-  It.m_Placement.grantAt(Engine.m_Address);
-  const auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(Engine.m_Address);
+  const auto Caller = Fixture.guide(true);
   BOOST_REQUIRE(pumpUntil([&] { return Engine.accept() == 1; }));
   Caller->close();
   pumpFor(50ms);
@@ -64,11 +65,11 @@
 // without a gap or duplicate: the next engine is sent the number of tokens that
 // the caller has, and a partial event of the first engine is not relayed.
 BOOST_AUTO_TEST_CASE(StreamIsResumedElsewhere) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream First, Second;
-  It.m_Placement.grantAt(First.m_Address);
-  It.m_Placement.grantAt(Second.m_Address);
-  const auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(First.m_Address);
+  Fixture.m_Placement.grantAt(Second.m_Address);
+  const auto Caller = Fixture.guide(true);
   Peer *Call = First.next();
   BOOST_REQUIRE(Call != nullptr);
   Call->send(streamHead() + chunk(tokenEvent("one") + R"(data: {"choi)"));
@@ -77,8 +78,8 @@
   Peer *Again = Second.next();
   BOOST_REQUIRE(Again != nullptr);
   BOOST_TEST(Again->has(R"("resume_tokens":1)"));
-  BOOST_TEST(It.m_Placement.m_Bids[1].m_Ask.m_IsRetry);
-  BOOST_TEST(It.m_Placement.m_Bids[1].m_Ask.m_DoneTokens == 1U);
+  BOOST_TEST(Fixture.m_Placement.m_Bids[1].m_Ask.m_IsRetry);
+  BOOST_TEST(Fixture.m_Placement.m_Bids[1].m_Ask.m_DoneTokens == 1U);
   Again->send(streamHead() + chunk(tokenEvent("two")) + streamEnd());
   BOOST_TEST(pumpUntil([&] { return Caller->has("[DONE]"); }));
   BOOST_TEST(!Caller->has("data: {\"choi\r\n"));
@@ -88,11 +89,11 @@
 // As above, but no engine can resume. The answer ends with an error event and
 // without [DONE], because a restart would duplicate what the caller has.
 BOOST_AUTO_TEST_CASE(StreamThatCannotResumeIsCut) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream First, Second;
-  It.m_Placement.grantAt(First.m_Address);
-  It.m_Placement.grantAt(Second.m_Address, 2s, false);
-  const auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(First.m_Address);
+  Fixture.m_Placement.grantAt(Second.m_Address, 2s, false);
+  const auto Caller = Fixture.guide(true);
   Peer *Call = First.next();
   BOOST_REQUIRE(Call != nullptr);
   Call->send(streamHead() + chunk(tokenEvent("one")));
@@ -106,13 +107,13 @@
 // The first upstream refuses the connection, the second is draining, the third
 // is busy. The caller gets only the answer of the fourth.
 BOOST_AUTO_TEST_CASE(ProvableFailuresAreRetriedElsewhere) {
-  Bench It;
-  FakeUpstream Gone, Leaving, Busy, Good;
-  Gone.stopListening();
-  for (const FakeUpstream *Each : {&Gone, &Leaving, &Busy, &Good})
-    It.m_Placement.grantAt(Each->m_Address);
-  const auto Caller = It.hold();
-  Peer *Call = Leaving.next();
+  Bench Fixture;
+  FakeUpstream Closed, Draining, Busy, Good;
+  Closed.stopListening();
+  for (const FakeUpstream *Upstream : {&Closed, &Draining, &Busy, &Good})
+    Fixture.m_Placement.grantAt(Upstream->m_Address);
+  const auto Caller = Fixture.hold();
+  Peer *Call = Draining.next();
   BOOST_REQUIRE(Call != nullptr);
   Call->send(notRun("leaving"));
   Call = Busy.next();
@@ -122,14 +123,14 @@
   BOOST_REQUIRE(Call != nullptr);
   Call->send(plain(200, R"({"seat":"held"})"));
   BOOST_TEST(pumpUntil([&] { return Caller->has("held"); }));
-  const auto &Ends = It.m_Placement.m_Released;
+  const auto &Ends = Fixture.m_Placement.m_Released;
   BOOST_REQUIRE(Ends.size() == 4U);
   BOOST_TEST((Ends[0].m_End == decision::WorkEnd::ConnectFailed));
   BOOST_TEST((Ends[1].m_End == decision::WorkEnd::UpstreamLeaving));
   BOOST_TEST((Ends[2].m_End == decision::WorkEnd::UpstreamRefused));
-  BOOST_TEST(It.m_Claims.m_Claims == 1); // One claim for all four.
+  BOOST_TEST(Fixture.m_Claims.m_Claims == 1); // One claim for all four.
   BOOST_TEST(
-      It.m_Metrics.text().find(
+      Fixture.m_Metrics.text().find(
           R"(crowstep_retries_total{class="hold",reason="upstream_leaving"} 1)") !=
       std::string::npos);
 }
@@ -138,11 +139,11 @@
 // sent again, and both the caller and a further request with the key get
 // "unknown".
 BOOST_AUTO_TEST_CASE(HoldIsNeverSentTwice) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Desk;
-  It.m_Placement.grantAt(Desk.m_Address);
-  It.m_Placement.grantAt(Desk.m_Address);
-  const auto Caller = It.hold();
+  Fixture.m_Placement.grantAt(Desk.m_Address);
+  Fixture.m_Placement.grantAt(Desk.m_Address);
+  const auto Caller = Fixture.hold();
   Peer *Call = Desk.next();
   BOOST_REQUIRE(Call != nullptr);
   BOOST_TEST(Call->has("Connection: close"));
@@ -150,7 +151,7 @@
   BOOST_TEST(pumpUntil([&] { return Caller->has("upstream_failed"); }));
   BOOST_TEST(Caller->has("502"));
   BOOST_TEST(Caller->has("Crowstep-Run: unknown"));
-  const auto Again = It.hold();
+  const auto Again = Fixture.hold();
   BOOST_TEST(pumpUntil([&] { return Again->has("outcome_unknown"); }));
   BOOST_TEST(Again->has("Crowstep-Run: unknown"));
   BOOST_TEST(Desk.accept() == 1U);
@@ -161,43 +162,44 @@
 // recorded answer without a second call. A request with the same key but
 // another body or workspace does not.
 BOOST_AUTO_TEST_CASE(KeptAnswerIsReplayed) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Desk;
-  It.m_Placement.grantAt(Desk.m_Address);
-  auto Caller = It.hold();
+  Fixture.m_Placement.grantAt(Desk.m_Address);
+  auto Caller = Fixture.hold();
   Peer *Call = Desk.next();
   BOOST_REQUIRE(Call != nullptr);
   BOOST_TEST(Call->has("Idempotency-Key: k1"));
   Caller.reset();
   Call->send(plain(201, R"({"seat":"held"})"));
-  BOOST_TEST(pumpUntil([&] { return !It.m_Placement.m_Released.empty(); }));
+  BOOST_TEST(
+      pumpUntil([&] { return !Fixture.m_Placement.m_Released.empty(); }));
   for (int Times = 0; Times < 3; ++Times)
-    It.m_Placement.grantAt(Desk.m_Address);
-  const auto Again = It.hold();
+    Fixture.m_Placement.grantAt(Desk.m_Address);
+  const auto Again = Fixture.hold();
   BOOST_TEST(pumpUntil([&] { return Again->has("held"); }));
   BOOST_TEST(Again->has("HTTP/1.1 201"));
   BOOST_TEST(Again->has("Crowstep-Run: run"));
-  const auto Other = It.hold("k1", R"({"seat":5})");
+  const auto Other = Fixture.hold("k1", R"({"seat":5})");
   BOOST_TEST(pumpUntil([&] { return Other->has("key_reused"); }));
   BOOST_TEST(Other->has("HTTP/1.1 422"));
   BOOST_TEST(Desk.accept() == 1U);
-  const auto Foreign =
-      It.send(Bench::text("/v1/services/pass-desk/hold", "hold",
-                          R"({"seat":4})", "Idempotency-Key: k1\r\n", "beta"));
+  const auto Foreign = Fixture.send(
+      Bench::text("/v1/services/pass-desk/hold", "hold", R"({"seat":4})",
+                  "Idempotency-Key: k1\r\n", "beta"));
   BOOST_TEST(pumpUntil([&] { return Desk.accept() == 2U; }));
   BOOST_TEST(!Foreign->has("held"));
 }
 
-// A second caller sends the same key while the first call runs. It waits until
-// its limit and gets "unknown"; nothing is sent for it.
+// A second caller sends the same key while the first call runs. It waits
+// until its limit and gets "unknown"; nothing is sent for it.
 BOOST_AUTO_TEST_CASE(KeyInProgressIsToldUnknown) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Desk;
-  It.m_Placement.grantAt(Desk.m_Address);
-  It.m_Placement.grantAt(Desk.m_Address);
-  const auto First = It.hold();
+  Fixture.m_Placement.grantAt(Desk.m_Address);
+  Fixture.m_Placement.grantAt(Desk.m_Address);
+  const auto First = Fixture.hold();
   BOOST_REQUIRE(Desk.next() != nullptr);
-  const auto Second = It.hold();
+  const auto Second = Fixture.hold();
   BOOST_TEST(pumpUntil([&] { return Second->has("key_in_progress"); }));
   BOOST_TEST(Second->has("HTTP/1.1 409"));
   BOOST_TEST(Second->has("Crowstep-Run: unknown"));
@@ -206,11 +208,11 @@
 
 // The table service is down: nothing is sent and the caller may retry.
 BOOST_AUTO_TEST_CASE(HoldWithoutClaimIsNotSent) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Desk;
-  It.m_Placement.grantAt(Desk.m_Address);
-  It.m_Claims.m_Next = claim::ClaimStatus::Unavailable;
-  const auto Caller = It.hold();
+  Fixture.m_Placement.grantAt(Desk.m_Address);
+  Fixture.m_Claims.m_Next = claim::ClaimStatus::Unavailable;
+  const auto Caller = Fixture.hold();
   BOOST_TEST(pumpUntil([&] { return Caller->has("claim_unavailable"); }));
   BOOST_TEST(Caller->has("Crowstep-Run: not-run"));
   BOOST_TEST(Caller->has("Retry-After: 1"));
@@ -220,28 +222,28 @@
 // The grant expires between its receipt and the connection. The last check
 // stops the call before a byte is sent, and the request bids again.
 BOOST_AUTO_TEST_CASE(LapsedGrantSendsNoByte) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Late, Good;
-  It.m_Placement.grantAt(Late.m_Address, 0s);
-  It.m_Placement.grantAt(Good.m_Address);
-  const auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(Late.m_Address, 0s);
+  Fixture.m_Placement.grantAt(Good.m_Address);
+  const auto Caller = Fixture.guide(true);
   Peer *Call = Good.next();
   BOOST_REQUIRE(Call != nullptr);
   BOOST_REQUIRE(Late.accept() == 1U);
   BOOST_TEST(pumpUntil([&] { return Late.peer(0).closed(); }));
   BOOST_TEST(Late.peer(0).received().empty());
-  BOOST_TEST(
-      (It.m_Placement.m_Released.at(0).m_End == decision::WorkEnd::Unused));
+  BOOST_TEST((Fixture.m_Placement.m_Released.at(0).m_End ==
+              decision::WorkEnd::Unused));
 }
 
 // The caller closes its connection while an answer streams: the engine's
 // connection is closed, the engine is ordered to stop, and the slot is
 // released.
 BOOST_AUTO_TEST_CASE(CallerGoneCancelsRepeatableWork) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Engine;
-  It.m_Placement.grantAt(Engine.m_Address);
-  auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(Engine.m_Address);
+  auto Caller = Fixture.guide(true);
   Peer *Call = Engine.next();
   BOOST_REQUIRE(Call != nullptr);
   Call->send(streamHead() + chunk(tokenEvent("one")));
@@ -251,37 +253,38 @@
   BOOST_REQUIRE(Order != nullptr);
   BOOST_TEST(Order->has("POST /v1/cancel"));
   BOOST_TEST(pumpUntil([&] { return Call->closed(); }));
-  BOOST_TEST(
-      (It.m_Placement.m_Released.at(0).m_End == decision::WorkEnd::Cancelled));
+  BOOST_TEST((Fixture.m_Placement.m_Released.at(0).m_End ==
+              decision::WorkEnd::Cancelled));
 }
 
 // Guards against a bid that keeps its place in the queue after its caller has
 // closed the connection.
 BOOST_AUTO_TEST_CASE(CallerGoneWithdrawsBid) {
-  Bench It;
-  auto Caller = It.guide(true);
-  BOOST_TEST(pumpUntil([&] { return !It.m_Placement.m_Waiting.empty(); }));
+  Bench Fixture;
+  auto Caller = Fixture.guide(true);
+  BOOST_TEST(pumpUntil([&] { return !Fixture.m_Placement.m_Waiting.empty(); }));
   Caller.reset();
-  BOOST_TEST(pumpUntil([&] { return It.m_Placement.m_Waiting.empty(); }));
+  BOOST_TEST(pumpUntil([&] { return Fixture.m_Placement.m_Waiting.empty(); }));
 }
 
 // A more urgent request preempts the slot. The call is cancelled, the request
 // bids again with the tokens that the caller has, and another engine resumes
 // the answer.
 BOOST_AUTO_TEST_CASE(PreemptedStreamGoesOn) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream First, Second;
-  It.m_Placement.grantAt(First.m_Address);
-  const auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(First.m_Address);
+  const auto Caller = Fixture.guide(true);
   Peer *Call = First.next();
   BOOST_REQUIRE(Call != nullptr);
   Call->send(streamHead() + chunk(tokenEvent("one")));
   BOOST_TEST(pumpUntil([&] { return Caller->has("one"); }));
-  It.m_Placement.m_Holder->slotPreempted(UpstreamId(First.m_Address.m_Port));
+  Fixture.m_Placement.m_Holder->slotPreempted(
+      UpstreamId(First.m_Address.m_Port));
   BOOST_TEST(pumpUntil([&] { return Call->closed(); }));
-  BOOST_TEST(
-      (It.m_Placement.m_Released.at(0).m_End == decision::WorkEnd::Preempted));
-  It.m_Placement.grantAt(Second.m_Address);
+  BOOST_TEST((Fixture.m_Placement.m_Released.at(0).m_End ==
+              decision::WorkEnd::Preempted));
+  Fixture.m_Placement.grantAt(Second.m_Address);
   Peer *Again = Second.next();
   BOOST_REQUIRE(Again != nullptr);
   BOOST_TEST(Again->has(R"("resume_tokens":1)"));
@@ -293,10 +296,10 @@
 // kept-alive connection, or follows a redirect: only the request's own retry
 // may send it again.
 BOOST_AUTO_TEST_CASE(LibraryNeitherResendsNorRedirects) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Desk, Other;
-  It.m_Placement.grantAt(Desk.m_Address);
-  const auto First = It.send(
+  Fixture.m_Placement.grantAt(Desk.m_Address);
+  const auto First = Fixture.send(
       Bench::text("/v1/services/pass-desk/check", "check", R"({"pass":1})"));
   Peer *Call = Desk.next();
   BOOST_REQUIRE(Call != nullptr);
@@ -304,9 +307,9 @@
              "/elsewhere\r\nContent-Length: 0\r\n\r\n");
   BOOST_TEST(pumpUntil([&] { return First->has("HTTP/1.1 303"); }));
   BOOST_TEST(Other.accept() == 0U);
-  It.m_Placement.grantAt(Desk.m_Address);
-  It.m_Placement.grantAt(Other.m_Address);
-  const auto Second = It.send(
+  Fixture.m_Placement.grantAt(Desk.m_Address);
+  Fixture.m_Placement.grantAt(Other.m_Address);
+  const auto Second = Fixture.send(
       Bench::text("/v1/services/pass-desk/check", "check", R"({"pass":2})"));
   BOOST_TEST(pumpUntil([&] { return Call->has(R"({"pass":2})"); }));
   Call->close();
@@ -321,10 +324,10 @@
 // engine, so that its memory use stays bounded. When the caller reads on, it
 // gets the complete answer.
 BOOST_AUTO_TEST_CASE(SlowCallerHoldsBackTheEngine) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Engine;
-  It.m_Placement.grantAt(Engine.m_Address);
-  const auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(Engine.m_Address);
+  const auto Caller = Fixture.guide(true);
   Peer *Call = Engine.next();
   BOOST_REQUIRE(Call != nullptr);
   constexpr std::size_t TextSize = 8000;
@@ -352,30 +355,30 @@
     return static_cast<std::size_t>(
         std::count(All.begin() + Head, All.end(), 'x'));
   };
-  const std::size_t Whole = Written / Event.size();
-  BOOST_TEST(pumpUntil([&] { return Text() >= Whole * TextSize; }));
+  const std::size_t CompleteEvents = Written / Event.size();
+  BOOST_TEST(pumpUntil([&] { return Text() >= CompleteEvents * TextSize; }));
   Call->send(Event.substr(Written % Event.size()) + streamEnd());
   BOOST_TEST(pumpUntil([&] { return Caller->has("[DONE]"); }));
-  BOOST_TEST(Text() == (Whole + 1) * TextSize);
+  BOOST_TEST(Text() == (CompleteEvents + 1) * TextSize);
 }
 
 // The entry is stopped while an answer streams. Health checks fail and new
 // requests are refused at once, but the answer in progress is completed.
 BOOST_AUTO_TEST_CASE(ShutdownCutsNothing) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Engine;
-  It.m_Placement.grantAt(Engine.m_Address);
-  const auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(Engine.m_Address);
+  const auto Caller = Fixture.guide(true);
   Peer *Call = Engine.next();
   BOOST_REQUIRE(Call != nullptr);
   Call->send(streamHead() + chunk(tokenEvent("one")));
   BOOST_TEST(pumpUntil([&] { return Caller->has("one"); }));
   bool Stopped = false;
-  It.m_Service.stop([&] { Stopped = true; });
-  const auto Late = It.guide(true);
+  Fixture.m_Service.stop([&] { Stopped = true; });
+  const auto Late = Fixture.guide(true);
   BOOST_TEST(pumpUntil([&] { return Late->has("shutting_down"); }));
   BOOST_TEST(Late->has("Retry-After: 1"));
-  const auto Health = It.send("GET /healthz HTTP/1.1\r\nHost: e\r\n\r\n");
+  const auto Health = Fixture.send("GET /healthz HTTP/1.1\r\nHost: e\r\n\r\n");
   BOOST_TEST(pumpUntil([&] { return Health->has("HTTP/1.1 503"); }));
   BOOST_TEST(!Stopped);
   Call->send(chunk(tokenEvent("two")) + streamEnd());
@@ -384,9 +387,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(RefusalIsFinalAtOnce) {
-  Bench It;
-  It.m_Placement.refuseNext(RefusalReason::QueueFull, 1500ms);
-  const auto Caller = It.guide(false);
+  Bench Fixture;
+  Fixture.m_Placement.refuseNext(RefusalReason::QueueFull, 1500ms);
+  const auto Caller = Fixture.guide(false);
   BOOST_TEST(pumpUntil([&] { return Caller->has("queue_full"); }));
   BOOST_TEST(Caller->has("HTTP/1.1 429"));
   BOOST_TEST(Caller->has("Retry-After: 2"));
--- a/tests/unit/entry_harness.h
+++ b/tests/unit/entry_harness.h
@@ -32,15 +32,15 @@
   }
   void withdraw(BidNumber Bid) override { m_Waiting.erase(Bid.value()); }
   void firstToken(BidNumber, Duration) override { ++m_FirstTokens; }
-  void release(BidNumber, const ReleaseSlot &How) override {
-    m_Released.push_back(How);
+  void release(BidNumber, const ReleaseSlot &Release) override {
+    m_Released.push_back(Release);
   }
-  /// Lets the next bid be granted at \p Where.
-  void grantAt(const Address &Where, Duration ValidFor = 2s,
+  /// Grants the next bid a slot at \p Target.
+  void grantAt(const Address &Target, Duration ValidFor = 2s,
                bool Resumes = true) {
     GrantedSlot Slot;
-    Slot.m_Upstream = UpstreamId(Where.m_Port);
-    Slot.m_Address = Where;
+    Slot.m_Upstream = UpstreamId(Target.m_Port);
+    Slot.m_Address = Target;
     Slot.m_Priority = 3;
     Slot.m_Resumes = Resumes;
     Slot.m_ValidFor = ValidFor;
@@ -61,18 +61,18 @@
   void serve() {
     if (m_Waiting.empty() || (m_Grants.empty() && !m_Refusal))
       return;
-    PlacementListener *To = m_Waiting.begin()->second;
+    PlacementListener *Listener = m_Waiting.begin()->second;
     m_Waiting.erase(m_Waiting.begin());
     if (m_Refusal) {
-      const auto Told = *m_Refusal;
+      const auto Refusal = *m_Refusal;
       m_Refusal.reset();
-      To->bidRefused(Told.first, Told.second);
+      Listener->bidRefused(Refusal.first, Refusal.second);
       return;
     }
     const GrantedSlot Slot = m_Grants.front();
     m_Grants.pop_front();
-    m_Holder = To;
-    To->slotGranted(Slot);
+    m_Holder = Listener;
+    Listener->slotGranted(Slot);
   }
 
   Scheduler &m_Timers;
@@ -90,14 +90,13 @@
              const claim::AttemptId &Attempt, Duration, Done OnDone) override {
     ++m_Claims;
     if (m_Next) {
-      const claim::ClaimStatus Told = *m_Next;
+      const claim::ClaimStatus Status = *m_Next;
       m_Next.reset();
-      later(std::move(OnDone), {Told, {}});
+      later(std::move(OnDone), {Status, {}});
       return;
     }
-    Row &Present =
-        m_Rows.try_emplace(Key, Row{BodyHash, Attempt}).first->second;
-    later(std::move(OnDone), seen(Present, BodyHash, Attempt));
+    Row &Stored = m_Rows.try_emplace(Key, Row{BodyHash, Attempt}).first->second;
+    later(std::move(OnDone), seen(Stored, BodyHash, Attempt));
   }
   void recordNotRun(const claim::ClaimKey &Key, const claim::AttemptId &,
                     Done OnDone) override {
@@ -129,14 +128,14 @@
     claim::AttemptId m_Owner;
     std::optional<claim::KeptAnswer> m_Answer;
   };
-  static claim::ClaimOutcome seen(const Row &Present, std::uint64_t BodyHash,
+  static claim::ClaimOutcome seen(const Row &Stored, std::uint64_t BodyHash,
                                   const claim::AttemptId &Attempt) {
-    if (Present.m_BodyHash != BodyHash)
+    if (Stored.m_BodyHash != BodyHash)
       return {claim::ClaimStatus::OtherBody, {}};
-    if (Present.m_Answer)
-      return {claim::ClaimStatus::Ran, *Present.m_Answer};
-    return {Present.m_Owner == Attempt ? claim::ClaimStatus::Owned
-                                       : claim::ClaimStatus::InProgress,
+    if (Stored.m_Answer)
+      return {claim::ClaimStatus::Ran, *Stored.m_Answer};
+    return {Stored.m_Owner == Attempt ? claim::ClaimStatus::Owned
+                                      : claim::ClaimStatus::InProgress,
             {}};
   }
   void later(Done OnDone, claim::ClaimOutcome Outcome) {
@@ -196,11 +195,12 @@
   static Address freeAddress() { return FakeUpstream().m_Address; }
 
   static std::string text(const std::string &Path, const std::string &Class,
-                          const std::string &Body, const std::string &More = "",
+                          const std::string &Body,
+                          const std::string &ExtraHeaders = "",
                           const std::string &Key = "alpha") {
     return "POST " + Path + " HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer " +
            Key + "\r\nCrowstep-Class: " + Class +
-           "\r\nContent-Type: application/json\r\n" + More +
+           "\r\nContent-Type: application/json\r\n" + ExtraHeaders +
            "Content-Length: " + std::to_string(Body.size()) + "\r\n\r\n" + Body;
   }
   std::unique_ptr<Peer> send(const std::string &Text) const {
--- a/tests/unit/entry_input_test.cpp
+++ b/tests/unit/entry_input_test.cpp
@@ -16,18 +16,18 @@
 
 /// Sends \p Text and checks status and reason of the refusal, and that no bid
 /// was placed.
-void refused(Bench &It, const std::string &Text, const std::string &Status,
-             const std::string &Reason) {
+void expectRefusal(Bench &Fixture, const std::string &Text,
+                   const std::string &Status, const std::string &Reason) {
   BOOST_TEST_CONTEXT(Reason << " for " << Text.substr(0, 200)) {
-    const auto Caller = It.send(Text);
+    const auto Caller = Fixture.send(Text);
     BOOST_TEST(pumpUntil([&] { return Caller->has("\"code\":\"" + Reason); }));
     BOOST_TEST(Caller->has("HTTP/1.1 " + Status));
     BOOST_TEST(Caller->has("Crowstep-Run: not-run"));
-    BOOST_TEST(It.m_Placement.m_Bids.empty());
+    BOOST_TEST(Fixture.m_Placement.m_Bids.empty());
   }
 }
 
-std::string without(std::string Text, const std::string &Header) {
+std::string withoutHeader(std::string Text, const std::string &Header) {
   const std::size_t Begin = Text.find(Header);
   return Text.erase(Begin, Text.find("\r\n", Begin) + 2 - Begin);
 }
@@ -35,7 +35,7 @@
 } // namespace
 
 BOOST_AUTO_TEST_CASE(EveryBadInputIsATypedRefusal) {
-  Bench It;
+  Bench Fixture;
   const auto Guide = [](const std::string &Body) {
     return Bench::text(Chat, "guide", Body);
   };
@@ -43,69 +43,76 @@
        {"", "{", "[]", "null", R"({"messages":[]})", R"({"messages":[1]})",
         R"({"messages":"x"})", R"({"messages":[{"role":"user"}]})",
         "{\"messages\":[{\"content\":\"\xff\"}]}"})
-    refused(It, Guide(Body), "400", "malformed_body");
+    expectRefusal(Fixture, Guide(Body), "400", "malformed_body");
   for (const char *Field :
        {R"("stream":1)", R"("max_tokens":0)", R"("max_tokens":-1)",
         R"("max_tokens":"7")", R"("max_tokens":1.5)"})
-    refused(
-        It,
+    expectRefusal(
+        Fixture,
         Guide(R"({"messages":[{"content":"x"}],)" + std::string(Field) + "}"),
         "400", "malformed_body");
-  refused(It, Bench::text("/v1/completions", "guide", R"({"prompt":[1]})"),
-          "400", "malformed_body");
-  refused(It, Bench::text(Chat, "none", GoodBody), "404", "unknown_class");
-  refused(It, Bench::text("/v1/other", "guide", GoodBody), "404",
-          "unknown_path");
-  refused(It, Bench::text("/v1/services/other/x", "check", "{}"), "404",
-          "unknown_path");
-  refused(It, "GET /v1/completions HTTP/1.1\r\nHost: e\r\n\r\n", "404",
-          "unknown_path");
-  refused(It, without(Guide(GoodBody), "Authorization"), "401", "missing_key");
-  refused(It, Bench::text(Chat, "guide", GoodBody, "", "wrong"), "401",
-          "unknown_key");
-  refused(It, without(Guide(GoodBody), "Content-Type"), "415",
-          "wrong_content_type");
-  refused(It, Bench::text("/v1/services/pass-desk/hold", "hold", "{}"), "400",
-          "key_required");
-  It.m_Right = false;
-  refused(It, Guide(GoodBody), "503", "not_in_force");
+  expectRefusal(Fixture,
+                Bench::text("/v1/completions", "guide", R"({"prompt":[1]})"),
+                "400", "malformed_body");
+  expectRefusal(Fixture, Bench::text(Chat, "none", GoodBody), "404",
+                "unknown_class");
+  expectRefusal(Fixture, Bench::text("/v1/other", "guide", GoodBody), "404",
+                "unknown_path");
+  expectRefusal(Fixture, Bench::text("/v1/services/other/x", "check", "{}"),
+                "404", "unknown_path");
+  expectRefusal(Fixture, "GET /v1/completions HTTP/1.1\r\nHost: e\r\n\r\n",
+                "404", "unknown_path");
+  expectRefusal(Fixture, withoutHeader(Guide(GoodBody), "Authorization"), "401",
+                "missing_key");
+  expectRefusal(Fixture, Bench::text(Chat, "guide", GoodBody, "", "wrong"),
+                "401", "unknown_key");
+  expectRefusal(Fixture, withoutHeader(Guide(GoodBody), "Content-Type"), "415",
+                "wrong_content_type");
+  expectRefusal(Fixture,
+                Bench::text("/v1/services/pass-desk/hold", "hold", "{}"), "400",
+                "key_required");
+  Fixture.m_Right = false;
+  expectRefusal(Fixture, Guide(GoodBody), "503", "not_in_force");
 }
 
 BOOST_AUTO_TEST_CASE(DeepNestingDoesNotEndTheProcess) {
-  Bench It;
-  refused(
-      It,
+  Bench Fixture;
+  expectRefusal(
+      Fixture,
       Bench::text(Chat, "guide", R"({"messages":)" + std::string(30000, '[')),
       "400", "malformed_body");
   const std::string Deep = R"({"messages":[{"content":"[\""}],"x":)" +
                            std::string(30000, '[') + std::string(30000, ']') +
                            "}";
-  refused(It, Bench::text(Chat, "guide", Deep), "400", "malformed_body");
+  expectRefusal(Fixture, Bench::text(Chat, "guide", Deep), "400",
+                "malformed_body");
 }
 
 BOOST_AUTO_TEST_CASE(SizesAndTimesAreLimited) {
-  Bench It;
+  Bench Fixture;
   // Refused by Content-Length, before the body is sent.
-  refused(It,
-          "POST " + Chat +
-              " HTTP/1.1\r\nHost: e\r\nContent-Length: 70000\r\n\r\n",
-          "413", "body_too_large");
+  expectRefusal(Fixture,
+                "POST " + Chat +
+                    " HTTP/1.1\r\nHost: e\r\nContent-Length: 70000\r\n\r\n",
+                "413", "body_too_large");
   // Without Content-Length, the limit is checked while the body is received.
   std::string Chunked =
-      without(Bench::text(Chat, "guide", ""), "Content-Length");
+      withoutHeader(Bench::text(Chat, "guide", ""), "Content-Length");
   Chunked.insert(Chunked.find("\r\n\r\n"), "\r\nTransfer-Encoding: chunked");
   for (int Times = 0; Times < 20; ++Times)
     Chunked += chunk(std::string(4096, ' '));
-  refused(It, Chunked + "0\r\n\r\n", "413", "body_too_large");
-  refused(It, Bench::text(Chat, "guide", GoodBody, "", std::string(600, 'k')),
-          "431", "header_too_large");
-  refused(It,
-          Bench::text("/v1/services/pass-desk/hold", "hold", "{}",
-                      "Idempotency-Key: " + std::string(300, 'k') + "\r\n"),
-          "431", "header_too_large");
+  expectRefusal(Fixture, Chunked + "0\r\n\r\n", "413", "body_too_large");
+  expectRefusal(Fixture,
+                Bench::text(Chat, "guide", GoodBody, "", std::string(600, 'k')),
+                "431", "header_too_large");
+  expectRefusal(
+      Fixture,
+      Bench::text("/v1/services/pass-desk/hold", "hold", "{}",
+                  "Idempotency-Key: " + std::string(300, 'k') + "\r\n"),
+      "431", "header_too_large");
   // The body is never complete.
-  refused(It, Bench::text(Chat, "guide", GoodBody).substr(0, 160), "408",
-          "slow_caller");
+  expectRefusal(Fixture, Bench::text(Chat, "guide", GoodBody).substr(0, 160),
+                "408", "slow_caller");
 }
 
 BOOST_AUTO_TEST_CASE(PrefixesGrowInSteps) {
--- a/tests/unit/entry_placement_test.cpp
+++ b/tests/unit/entry_placement_test.cpp
@@ -18,8 +18,8 @@
 /// Records the dialled addresses and the frames to be sent.
 class FakeLinks final : public link::Links {
 public:
-  void dial(const Address &Where) override { m_Dialled.insert(Where); }
-  void hangUp(const Address &Where) override { m_Dialled.erase(Where); }
+  void dial(const Address &Target) override { m_Dialled.insert(Target); }
+  void hangUp(const Address &Target) override { m_Dialled.erase(Target); }
   wire::FrameT &outbox(LinkId Link) override { return m_Out[Link.value()]; }
   void close(LinkId) override {}
 
@@ -71,9 +71,9 @@
   void down(std::uint64_t Link, const std::string &Name) {
     m_Fleet.linkDown(LinkId(Link), peer(Name), link::CloseReason::PeerClosed);
   }
-  void frame(std::uint64_t Link, const wire::FrameT &What) {
+  void frame(std::uint64_t Link, const wire::FrameT &Frame) {
     flatbuffers::FlatBufferBuilder Builder;
-    Builder.Finish(wire::Frame::Pack(Builder, &What));
+    Builder.Finish(wire::Frame::Pack(Builder, &Frame));
     m_Fleet.linkFrame(LinkId(Link),
                       *wire::GetFrame(Builder.GetBufferPointer()));
   }
@@ -99,11 +99,11 @@
     Row->slots = 8;
     Row->engine = true;
     Out.attachment->upstreams.push_back(std::move(Row));
-    if (m_TellsWorkspaces) {
-      auto Customer = std::make_unique<wire::WorkspaceInfoT>();
-      Customer->id = 1;
-      Customer->key_hash = sha256Hex("alpha");
-      Out.attachment->workspaces.push_back(std::move(Customer));
+    if (m_SendsWorkspaces) {
+      auto Workspace = std::make_unique<wire::WorkspaceInfoT>();
+      Workspace->id = 1;
+      Workspace->key_hash = sha256Hex("alpha");
+      Out.attachment->workspaces.push_back(std::move(Workspace));
     }
     ContractTable Table;
     Contract Guide;
@@ -141,182 +141,188 @@
     Terms.m_Ask.m_UntilLimit = 60s;
     return m_Placement.bid(Terms, m_Listener);
   }
-  /// Returns the link to the owner of the pool; other() returns the other one.
+  /// Returns the link to the owner of the pool.
   std::uint64_t owner() const {
     return m_Fleet.linkToOwner(poolIdOf("guide-writer", 0)).value();
   }
   std::uint64_t other() const { return 3 - owner(); }
   /// Simulates a pause of the process: time advances, but no timer runs.
-  void freeze(Duration Length) { m_Clock.advance(Length); }
+  void pause(Duration Length) { m_Clock.advance(Length); }
 
   ManualClock m_Clock;
   ManualScheduler m_Timers{m_Clock};
-  Directory m_Known;
+  Directory m_Directory;
   FakeLinks m_Links;
   FakeListener m_Listener;
   std::uint64_t m_Sequence = 0;
-  bool m_TellsWorkspaces = true;
+  bool m_SendsWorkspaces = true;
   PauseGuard m_Guard{m_Clock, m_Timers};
-  Fleet m_Fleet{
-      {peer("a").m_Address, peer("b").m_Address}, m_Clock, m_Timers, m_Known};
-  LocalPlacement m_Alone{
-      {{}, InstanceId(1), {}, [] { return 2U; }}, m_Known, m_Clock, m_Timers};
-  DispatcherPlacement m_Placement{m_Fleet, m_Alone,  m_Guard,
+  Fleet m_Fleet{{peer("a").m_Address, peer("b").m_Address},
+                m_Clock,
+                m_Timers,
+                m_Directory};
+  LocalPlacement m_Local{{{}, InstanceId(1), {}, [] { return 2U; }},
+                         m_Directory,
+                         m_Clock,
+                         m_Timers};
+  DispatcherPlacement m_Placement{m_Fleet, m_Local,  m_Guard,
                                   m_Clock, m_Timers, 1000};
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_CASE(BidGoesToTheOwnerAndIsGranted) {
-  Bench It;
-  const BidNumber Bid = It.bid();
-  BOOST_REQUIRE(It.m_Links.m_Out[It.owner()].bids.size() == 1U);
-  It.grant(It.owner(), Bid);
-  BOOST_REQUIRE(It.m_Listener.m_Slots.size() == 1U);
-  BOOST_TEST(toString(It.m_Listener.m_Slots[0].m_Address) == "127.0.0.1:4000");
-  It.m_Placement.release(Bid,
-                         {UpstreamId(99), decision::WorkEnd::Finished, 5, 1ms});
-  BOOST_TEST(It.m_Links.m_Out[It.owner()].work_ends.size() == 1U);
+  Bench Fixture;
+  const BidNumber Bid = Fixture.bid();
+  BOOST_REQUIRE(Fixture.m_Links.m_Out[Fixture.owner()].bids.size() == 1U);
+  Fixture.grant(Fixture.owner(), Bid);
+  BOOST_REQUIRE(Fixture.m_Listener.m_Slots.size() == 1U);
+  BOOST_TEST(toString(Fixture.m_Listener.m_Slots[0].m_Address) ==
+             "127.0.0.1:4000");
+  Fixture.m_Placement.release(
+      Bid, {UpstreamId(99), decision::WorkEnd::Finished, 5, 1ms});
+  BOOST_TEST(Fixture.m_Links.m_Out[Fixture.owner()].work_ends.size() == 1U);
 }
 
 // Two dispatchers consider themselves owner of the pool. Only the first grant
 // from the one that has the bid is used.
 BOOST_AUTO_TEST_CASE(GrantFromElsewhereIsIgnored) {
-  Bench It;
-  const BidNumber Bid = It.bid();
-  It.grant(It.other(), Bid);
-  BOOST_TEST(It.m_Listener.m_Slots.empty());
-  It.grant(It.owner(), Bid);
-  It.grant(It.owner(), Bid);
-  BOOST_TEST(It.m_Listener.m_Slots.size() == 1U);
+  Bench Fixture;
+  const BidNumber Bid = Fixture.bid();
+  Fixture.grant(Fixture.other(), Bid);
+  BOOST_TEST(Fixture.m_Listener.m_Slots.empty());
+  Fixture.grant(Fixture.owner(), Bid);
+  Fixture.grant(Fixture.owner(), Bid);
+  BOOST_TEST(Fixture.m_Listener.m_Slots.size() == 1U);
 }
 
 // The owner fails while a bid waits and a call runs. Both are sent to the next
 // owner: the bid as a bid, the call as running, with its tokens.
 BOOST_AUTO_TEST_CASE(NewOwnerHearsOfEverything) {
-  Bench It;
-  It.attach(1, "b");
-  const BidNumber Running = It.bid();
-  It.grant(2, Running);
-  It.bid();
-  It.down(2, "b");
-  It.attach(1, "a");
-  BOOST_REQUIRE(It.m_Links.m_Out[1].running.size() == 1U);
-  BOOST_TEST(It.m_Links.m_Out[1].running[0]->tokens == 7U);
-  BOOST_TEST(It.m_Links.m_Out[1].running[0]->upstream == 99U);
-  BOOST_TEST(It.m_Links.m_Out[1].bids.size() == 1U);
+  Bench Fixture;
+  Fixture.attach(1, "b");
+  const BidNumber Running = Fixture.bid();
+  Fixture.grant(2, Running);
+  Fixture.bid();
+  Fixture.down(2, "b");
+  Fixture.attach(1, "a");
+  BOOST_REQUIRE(Fixture.m_Links.m_Out[1].running.size() == 1U);
+  BOOST_TEST(Fixture.m_Links.m_Out[1].running[0]->tokens == 7U);
+  BOOST_TEST(Fixture.m_Links.m_Out[1].running[0]->upstream == 99U);
+  BOOST_TEST(Fixture.m_Links.m_Out[1].bids.size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(NotOwnerIsBidAgainSoon) {
-  Bench It;
-  const BidNumber Bid = It.bid();
+  Bench Fixture;
+  const BidNumber Bid = Fixture.bid();
   wire::FrameT Out;
   Out.not_owner.emplace_back(Bid.value(), 0);
-  It.frame(It.owner(), Out);
-  BOOST_TEST(It.m_Links.m_Out[It.owner()].bids.size() == 1U);
-  It.m_Timers.advance(200ms);
-  BOOST_TEST(It.m_Links.m_Out[It.owner()].bids.size() == 2U);
+  Fixture.frame(Fixture.owner(), Out);
+  BOOST_TEST(Fixture.m_Links.m_Out[Fixture.owner()].bids.size() == 1U);
+  Fixture.m_Timers.advance(200ms);
+  BOOST_TEST(Fixture.m_Links.m_Out[Fixture.owner()].bids.size() == 2U);
 }
 
 // No owner can be reached for a second: the entry places locally, on its share
 // of the slots (8 for 2 members). Bids that still wait go to the owner later.
 BOOST_AUTO_TEST_CASE(WithoutOwnerTheEntryDecidesAlone) {
-  Bench It;
-  It.down(1, "a");
-  It.down(2, "b");
+  Bench Fixture;
+  Fixture.down(1, "a");
+  Fixture.down(2, "b");
   std::vector<BidNumber> Bids;
   Bids.reserve(6);
   for (int Count = 0; Count < 6; ++Count)
-    Bids.push_back(It.bid());
-  It.m_Timers.advance(900ms);
-  BOOST_TEST(It.m_Listener.m_Slots.empty());
-  It.m_Timers.advance(400ms);
-  BOOST_TEST(It.m_Listener.m_Slots.size() == 4U);
-  It.up(3, "a");
-  It.up(4, "b");
-  It.m_Timers.advance(200ms);
-  BOOST_TEST(
-      It.m_Links.m_Out[3].bids.size() + It.m_Links.m_Out[4].bids.size() == 2U);
+    Bids.push_back(Fixture.bid());
+  Fixture.m_Timers.advance(900ms);
+  BOOST_TEST(Fixture.m_Listener.m_Slots.empty());
+  Fixture.m_Timers.advance(400ms);
+  BOOST_TEST(Fixture.m_Listener.m_Slots.size() == 4U);
+  Fixture.up(3, "a");
+  Fixture.up(4, "b");
+  Fixture.m_Timers.advance(200ms);
+  BOOST_TEST(Fixture.m_Links.m_Out[3].bids.size() +
+                 Fixture.m_Links.m_Out[4].bids.size() ==
+             2U);
 }
 
 // The process is paused for longer than a grant is valid. Afterwards the grant
 // in its socket looks new, but the upstream may have been removed. The grant is
 // returned unused, and the bid is sent again when the sockets are read.
 BOOST_AUTO_TEST_CASE(GrantReadAfterAFreezeIsGivenBack) {
-  Bench It;
-  const BidNumber Bid = It.bid();
-  It.freeze(5s);
-  It.grant(It.owner(), Bid);
-  BOOST_TEST(It.m_Listener.m_Slots.empty());
-  BOOST_TEST(It.m_Links.m_Out[It.owner()].bids.size() == 1U);
-  It.m_Timers.advance(300ms);
-  BOOST_TEST(It.m_Links.m_Out[It.owner()].bids.size() == 2U);
-  It.grant(It.owner(), Bid);
-  BOOST_TEST(It.m_Listener.m_Slots.size() == 1U);
+  Bench Fixture;
+  const BidNumber Bid = Fixture.bid();
+  Fixture.pause(5s);
+  Fixture.grant(Fixture.owner(), Bid);
+  BOOST_TEST(Fixture.m_Listener.m_Slots.empty());
+  BOOST_TEST(Fixture.m_Links.m_Out[Fixture.owner()].bids.size() == 1U);
+  Fixture.m_Timers.advance(300ms);
+  BOOST_TEST(Fixture.m_Links.m_Out[Fixture.owner()].bids.size() == 2U);
+  Fixture.grant(Fixture.owner(), Bid);
+  BOOST_TEST(Fixture.m_Listener.m_Slots.size() == 1U);
 }
 
 // A grant that was received before a pause but not used yet is reported as
 // suspect, so that the request checks it again before it sends the call.
 BOOST_AUTO_TEST_CASE(HeldGrantIsSuspectAfterAFreeze) {
-  Bench It;
-  It.grant(It.owner(), It.bid());
-  It.freeze(5s);
-  It.m_Timers.advance(100ms);
-  BOOST_TEST(It.m_Listener.m_Suspect == 1);
+  Bench Fixture;
+  Fixture.grant(Fixture.owner(), Fixture.bid());
+  Fixture.pause(5s);
+  Fixture.m_Timers.advance(100ms);
+  BOOST_TEST(Fixture.m_Listener.m_Suspect == 1);
 }
 
 // The right to serve is counted from the sending of the acknowledgement that is
 // echoed. Attachments that were in the socket during a pause bring old echoes,
 // which must not extend the right.
 BOOST_AUTO_TEST_CASE(RightRunsFromTheOwnAcknowledgement) {
-  Bench It;
-  BOOST_TEST(!It.m_Fleet.rightToServe()); // Nothing is echoed yet.
-  const std::uint64_t Acked = It.m_Sequence;
-  It.m_Timers.advance(500ms);
-  It.echo(1, Acked);
-  BOOST_TEST(It.m_Fleet.rightToServe());
-  It.freeze(EntryRightToServe - 600ms);
-  BOOST_TEST(It.m_Fleet.rightToServe());
-  It.freeze(5s);
-  BOOST_TEST(!It.m_Fleet.rightToServe());
-  It.echo(1, Acked); // An old echo from the socket.
-  BOOST_TEST(!It.m_Fleet.rightToServe());
-  const std::uint64_t Fresh = It.m_Sequence;
-  It.m_Timers.advance(10ms);
-  It.echo(1, Fresh);
-  BOOST_TEST(It.m_Fleet.rightToServe());
+  Bench Fixture;
+  BOOST_TEST(!Fixture.m_Fleet.rightToServe()); // Nothing is echoed yet.
+  const std::uint64_t Acked = Fixture.m_Sequence;
+  Fixture.m_Timers.advance(500ms);
+  Fixture.echo(1, Acked);
+  BOOST_TEST(Fixture.m_Fleet.rightToServe());
+  Fixture.pause(EntryRightToServe - 600ms);
+  BOOST_TEST(Fixture.m_Fleet.rightToServe());
+  Fixture.pause(5s);
+  BOOST_TEST(!Fixture.m_Fleet.rightToServe());
+  Fixture.echo(1, Acked); // An old echo from the socket.
+  BOOST_TEST(!Fixture.m_Fleet.rightToServe());
+  const std::uint64_t Latest = Fixture.m_Sequence;
+  Fixture.m_Timers.advance(10ms);
+  Fixture.echo(1, Latest);
+  BOOST_TEST(Fixture.m_Fleet.rightToServe());
 }
 
 // The table service is down and the home knows no workspaces yet. The entry
 // would refuse every request for an unknown key, so it does not serve.
 BOOST_AUTO_TEST_CASE(NoRightWithoutWorkspaces) {
-  Bench It;
-  It.m_Known.setWorkspaces({});
-  It.echo(1, It.m_Sequence);
-  BOOST_TEST(!It.m_Fleet.rightToServe());
-  It.attach(1);
-  BOOST_TEST(It.m_Fleet.rightToServe());
+  Bench Fixture;
+  Fixture.m_Directory.setWorkspaces({});
+  Fixture.echo(1, Fixture.m_Sequence);
+  BOOST_TEST(!Fixture.m_Fleet.rightToServe());
+  Fixture.attach(1);
+  BOOST_TEST(Fixture.m_Fleet.rightToServe());
 }
 
 BOOST_AUTO_TEST_CASE(TableNeverGoesBack) {
-  Bench It;
-  It.attach(2, "ab", 0, 4);
-  BOOST_TEST(It.m_Known.table().m_Version.value() == 5U);
-  BOOST_TEST(It.m_Links.m_Out[2].attachment_ack->table_version == 5U);
-  It.attach(2, "ab", 0, 6);
-  BOOST_TEST(It.m_Known.table().m_Version.value() == 6U);
+  Bench Fixture;
+  Fixture.attach(2, "ab", 0, 4);
+  BOOST_TEST(Fixture.m_Directory.table().m_Version.value() == 5U);
+  BOOST_TEST(Fixture.m_Links.m_Out[2].attachment_ack->table_version == 5U);
+  Fixture.attach(2, "ab", 0, 6);
+  BOOST_TEST(Fixture.m_Directory.table().m_Version.value() == 6U);
 }
 
 // The link to the home is down for longer than HomeTimeout: the next home is
 // dialled.
 BOOST_AUTO_TEST_CASE(LostHomeIsReplaced) {
-  Bench It;
-  It.attach(1, "a"); // Owner of all pools: only it is dialled.
-  BOOST_TEST(!It.m_Links.m_Dialled.contains(Bench::peer("b").m_Address));
-  It.down(1, "a");
-  It.down(2, "b");
-  It.m_Timers.advance(HomePatience - 10ms);
-  BOOST_TEST(!It.m_Links.m_Dialled.contains(Bench::peer("b").m_Address));
-  It.m_Timers.advance(20ms);
-  BOOST_TEST(It.m_Links.m_Dialled.contains(Bench::peer("b").m_Address));
+  Bench Fixture;
+  Fixture.attach(1, "a"); // Owner of all pools: only it is dialled.
+  BOOST_TEST(!Fixture.m_Links.m_Dialled.contains(Bench::peer("b").m_Address));
+  Fixture.down(1, "a");
+  Fixture.down(2, "b");
+  Fixture.m_Timers.advance(HomePatience - 10ms);
+  BOOST_TEST(!Fixture.m_Links.m_Dialled.contains(Bench::peer("b").m_Address));
+  Fixture.m_Timers.advance(20ms);
+  BOOST_TEST(Fixture.m_Links.m_Dialled.contains(Bench::peer("b").m_Address));
 }
