--- a/src/entry/local_placement.h
+++ b/src/entry/local_placement.h
@@ -23,7 +23,8 @@
   InstanceId m_Self;                ///< Id of this entry.
   AvailabilityZone m_Zone;          ///< Zone of this entry.
   /// Returns the number by which the slots of each upstream are divided. Other
-  /// entries may place locally at the same time, so each uses only a share.
+  /// entries may place locally at the same time, so each uses only a share;
+  /// 0 counts as 1.
   std::function<std::uint32_t()> m_Divisor;
 };
 
