--- a/src/entry/request.cpp
+++ b/src/entry/request.cpp
@@ -304,9 +304,9 @@
   handle(TokensArrived{Batch.m_Tokens});
   if (!m_What.streamed())
     return;
-  CallerAnswer Header;
-  Header.m_ContentType = EventStreamType;
-  m_Caller->beginStream(Header);
+  CallerAnswer StreamHeaders;
+  StreamHeaders.m_ContentType = EventStreamType;
+  m_Caller->beginStream(StreamHeaders);
   m_Caller->append(Batch.m_Events);
   if (!m_What.m_ClaimKey.empty())
     m_KeptEvents += Batch.m_Events;
--- a/tests/unit/entry_call_test.cpp
+++ b/tests/unit/entry_call_test.cpp
@@ -110,8 +110,8 @@
   Bench Fixture;
   FakeUpstream Closed, Draining, Busy, Good;
   Closed.stopListening();
-  for (const FakeUpstream *Upstream : {&Closed, &Draining, &Busy, &Good})
-    Fixture.m_Placement.grantAt(Upstream->m_Address);
+  for (const FakeUpstream *Target : {&Closed, &Draining, &Busy, &Good})
+    Fixture.m_Placement.grantAt(Target->m_Address);
   const auto Caller = Fixture.hold();
   Peer *Call = Draining.next();
   BOOST_REQUIRE(Call != nullptr);
--- a/tests/unit/entry_placement_test.cpp
+++ b/tests/unit/entry_placement_test.cpp
@@ -100,10 +100,10 @@
     Row->engine = true;
     Out.attachment->upstreams.push_back(std::move(Row));
     if (m_SendsWorkspaces) {
-      auto Workspace = std::make_unique<wire::WorkspaceInfoT>();
-      Workspace->id = 1;
-      Workspace->key_hash = sha256Hex("alpha");
-      Out.attachment->workspaces.push_back(std::move(Workspace));
+      auto Info = std::make_unique<wire::WorkspaceInfoT>();
+      Info->id = 1;
+      Info->key_hash = sha256Hex("alpha");
+      Out.attachment->workspaces.push_back(std::move(Info));
     }
     ContractTable Table;
     Contract Guide;
