--- a/src/entry/caller_request.cpp
+++ b/src/entry/caller_request.cpp
@@ -1,4 +1,4 @@
-/// Reading and checking what a caller sent.
+/// Parsing and validation of callers' requests.
 #include "entry/caller_request.h"
 
 #include <algorithm>
@@ -32,10 +32,10 @@
   return Type == "application/json" || Type == "application/json ";
 }
 
-/// Tells whether brackets nest deeper than MaxNesting outside of strings. The
-/// JSON library writes a document by recursion: a body of brackets would end
-/// the process by its stack. A scan before the parse is enough, as nothing
-/// that passes it can nest deeper.
+/// Returns whether brackets outside of strings nest deeper than MaxNesting. The
+/// JSON library serialises by recursion, so a body of brackets would overflow
+/// the stack. A scan before the parse is enough, as no document that passes it
+/// nests deeper.
 bool nestsTooDeep(const std::string &Text) {
   std::size_t Depth = 0;
   bool InString = false;
@@ -53,7 +53,8 @@
   return false;
 }
 
-/// Appends the text of one message's content, a string or typed parts.
+/// Appends the text of a message's content, which is a string or an array of
+/// typed parts.
 void appendContent(const Json &Content, std::string &Out) {
   if (Content.is_string())
     Out += Content.get_ref<const std::string &>();
@@ -63,7 +64,7 @@
         Out += Part["text"].get_ref<const std::string &>();
 }
 
-/// Returns the prompt's text, or nothing where the body has none.
+/// Returns the text of the prompt, or nothing if the body has no valid one.
 std::optional<std::string> promptOf(const Json &Body, bool Chat) {
   std::string Result;
   if (!Chat) {
@@ -83,19 +84,21 @@
   return Result;
 }
 
-/// Reads an optional whole number; nothing where it is of another kind.
-std::optional<std::uint32_t> maxTokensOf(const Json &Body, std::uint32_t Most) {
+/// Returns the limit on the output: the caller's, but at most \p Max, or \p Max
+/// if the caller sets none. 0 for \p Max means no limit. Returns nothing if the
+/// caller's value is not a positive integer.
+std::optional<std::uint32_t> maxTokensOf(const Json &Body, std::uint32_t Max) {
   for (const char *Name : {"max_completion_tokens", "max_tokens"}) {
     const auto Field = Body.find(Name);
     if (Field == Body.end() || Field->is_null())
       continue;
     if (!Field->is_number_unsigned() || *Field == 0U)
       return std::nullopt;
-    const auto Asked = Field->get<std::uint64_t>();
-    const std::uint64_t Limit = Most == 0 ? UINT32_MAX : Most;
-    return static_cast<std::uint32_t>(std::min(Asked, Limit));
+    const auto Requested = Field->get<std::uint64_t>();
+    const std::uint64_t Limit = Max == 0 ? UINT32_MAX : Max;
+    return static_cast<std::uint32_t>(std::min(Requested, Limit));
   }
-  return Most;
+  return Max;
 }
 
 bool readEngineCall(const RawRequest &Raw, CallerRequest &Out) {
@@ -136,7 +139,8 @@
   return RefusalReason::None;
 }
 
-/// Hashes workspace and key together: a workspace can't name another's claim.
+/// Returns a hash of workspace and key, so that a workspace can't address the
+/// claim of another one.
 claim::ClaimKey claimKeyOf(WorkspaceId Workspace, const std::string &Key) {
   const std::string Text = std::to_string(Workspace.value()) + "/" + Key;
   const XXH128_hash_t Hash = XXH3_128bits(Text.data(), Text.size());
@@ -151,7 +155,7 @@
   return Path == ChatPath || Path == CompletionPath;
 }
 
-RefusalReason readEnvelope(const RawRequest &Raw, const Directory &Known,
+RefusalReason readEnvelope(const RawRequest &Raw, const Directory &Dir,
                            CallerRequest &Out) {
   if (Raw.m_Method != "POST" ||
       (!isEnginePath(Raw.m_Path) && Raw.m_Path.rfind(ServicePrefix, 0) != 0))
@@ -159,11 +163,11 @@
   const std::string Key = bearerKey(Raw.m_Authorization);
   if (Key.empty())
     return RefusalReason::MissingKey;
-  const std::optional<WorkspaceId> Workspace = Known.workspaceOf(Key);
+  const std::optional<WorkspaceId> Workspace = Dir.workspaceOf(Key);
   if (!Workspace)
     return RefusalReason::UnknownKey;
   Out.m_Workspace = *Workspace;
-  const Contract *Row = Known.contract(Raw.m_Class);
+  const Contract *Row = Dir.contract(Raw.m_Class);
   if (Row == nullptr)
     return RefusalReason::UnknownClass;
   Out.m_Contract = *Row;
@@ -204,15 +208,15 @@
   return Result;
 }
 
-Outcome readCallerRequest(const RawRequest &Raw, const Directory &Known) {
+Outcome readCallerRequest(const RawRequest &Raw, const Directory &Dir) {
   CallerRequest Result;
-  RefusalReason Why = readEnvelope(Raw, Known, Result);
-  if (Why == RefusalReason::None)
-    Why = readClaim(Raw, Result);
-  if (Why == RefusalReason::None)
-    Why = readCall(Raw, Result);
-  if (Why != RefusalReason::None)
-    return ReadRefusal{Why, Result.m_Contract.m_Name};
+  RefusalReason Reason = readEnvelope(Raw, Dir, Result);
+  if (Reason == RefusalReason::None)
+    Reason = readClaim(Raw, Result);
+  if (Reason == RefusalReason::None)
+    Reason = readCall(Raw, Result);
+  if (Reason != RefusalReason::None)
+    return ReadRefusal{Reason, Result.m_Contract.m_Name};
   return Result;
 }
 
--- a/src/entry/request.h
+++ b/src/entry/request.h
@@ -1,4 +1,5 @@
-/// One request: its state machine between caller, placement and upstream.
+/// One request: drives its state machine with events from the caller, the
+/// placement and the upstream.
 #ifndef CROWSTEP_ENTRY_REQUEST_H
 #define CROWSTEP_ENTRY_REQUEST_H
 
@@ -18,32 +19,32 @@
 
 namespace crowstep::entry {
 
-/// HTTP status under which a claim keeps that a call's outcome is unknown; no
-/// upstream's answer is recorded with it.
+/// HTTP status of a recorded answer that stands for an unknown outcome. Answers
+/// of upstreams are never recorded with it.
 inline constexpr std::uint16_t OutcomeUnknownStatus = 599;
 
-/// What every request needs; outlives them all.
+/// Dependencies of requests; outlives all of them.
 struct RequestWorld {
-  const Clock &m_Clock;       ///< For all ages.
-  Scheduler &m_Timers;        ///< For limits and pauses.
-  Placement &m_Placement;     ///< Source of slots.
-  claim::Claims &m_Claims;    ///< For calls that may not be repeated.
-  UpstreamCaller &m_Upstream; ///< Streamed calls.
-  HttpCaller &m_Http;         ///< Orders to cancel.
+  const Clock &m_Clock;       ///< Clock of the event loop.
+  Scheduler &m_Timers;        ///< For limits and waits.
+  Placement &m_Placement;     ///< Grants slots.
+  claim::Claims &m_Claims;    ///< For calls that are not repeatable.
+  UpstreamCaller &m_Upstream; ///< Sends calls to upstreams.
+  HttpCaller &m_Http;         ///< Sends orders to cancel calls.
   RequestLimits m_Limits;     ///< From the settings.
 };
 
 class Request final : private PlacementListener, private UpstreamListener {
 public:
-  /// \p Ended runs once nothing is left to do; the request may be destroyed
-  /// from then on, but not from within.
-  Request(RequestWorld &World, ClassStats &Stats, CallerRequest What,
-          std::unique_ptr<Caller> Client, std::function<void()> Ended);
+  /// \p OnEnded is called once when no action is outstanding any more. The
+  /// request may be destroyed after that call, but not within it.
+  Request(RequestWorld &Context, ClassStats &Stats, CallerRequest Parsed,
+          std::unique_ptr<Caller> Client, std::function<void()> OnEnded);
   ~Request() override;
   Request(const Request &) = delete;
   Request &operator=(const Request &) = delete;
 
-  /// Begins; before this nothing has happened.
+  /// Starts the request; the constructor has no effects outside of it.
   void start();
 
 private:
@@ -56,31 +57,31 @@
 
   void upstreamHeaders(unsigned Status, const HeaderList &Headers) override;
   void upstreamBytes(std::string_view Bytes) override;
-  void upstreamEnded(TransportEnd How) override;
+  void upstreamEnded(TransportEnd End) override;
 
-  void handle(const RequestEvent &What);
-  void carryOut(const PlaceBid &What);
-  void carryOut(const WithdrawBid &What);
-  void carryOut(const ReportFirstToken &What);
-  void carryOut(const ReleaseSlot &What);
-  void carryOut(const AskClaim &What);
-  void carryOut(const ReadClaim &What);
-  void carryOut(const RecordNotRun &What);
-  void carryOut(const RecordRan &What);
-  void carryOut(const SendCall &What);
-  void carryOut(const CancelCall &What);
-  void carryOut(const WakeAfter &What);
-  void carryOut(const Refuse &What);
-  void carryOut(const ReplayAnswer &What);
-  void carryOut(const FinishAnswer &What);
-  void carryOut(const CutAnswer &What);
-  void carryOut(const DropAnswer &What);
-  void carryOut(const CountRetry &What);
+  void handle(const RequestEvent &Event);
+  void carryOut(const PlaceBid &Action);
+  void carryOut(const WithdrawBid &Action);
+  void carryOut(const ReportFirstToken &Action);
+  void carryOut(const ReleaseSlot &Action);
+  void carryOut(const AskClaim &Action);
+  void carryOut(const ReadClaim &Action);
+  void carryOut(const RecordNotRun &Action);
+  void carryOut(const RecordRan &Action);
+  void carryOut(const SendCall &Action);
+  void carryOut(const CancelCall &Action);
+  void carryOut(const WakeAfter &Action);
+  void carryOut(const Refuse &Action);
+  void carryOut(const ReplayAnswer &Action);
+  void carryOut(const FinishAnswer &Action);
+  void carryOut(const CutAnswer &Action);
+  void carryOut(const DropAnswer &Action);
+  void carryOut(const CountRetry &Action);
 
   void takeEvents(std::string_view Bytes);
   void relay(const EventBatch &Batch);
   void countTokens(std::uint32_t Count);
-  void endCall(CallEnd How);
+  void endCall(CallEnd End);
   [[nodiscard]] CallEnd wholeOrRefused() const;
   [[nodiscard]] CallerAnswer wholeAnswer() const;
   [[nodiscard]] claim::Claims::Done whenClaimed();
@@ -88,36 +89,36 @@
   void count(RefusalReason Reason);
 
   RequestWorld &m_World;             ///< Outlives the request.
-  ClassStats &m_Stats;               ///< Of the class.
-  CallerRequest m_What;              ///< As read.
+  ClassStats &m_Stats;               ///< Metrics of the class.
+  CallerRequest m_What;              ///< As parsed.
   std::unique_ptr<Caller> m_Caller;  ///< Never null.
-  std::function<void()> m_Ended;     ///< Runs once.
-  RequestCore m_Core;                ///< Decides.
-  bool m_Busy = false;               ///< Within handle().
-  bool m_Told = false;               ///< m_Ended has run.
-  std::deque<RequestEvent> m_Events; ///< Waiting for the one at hand.
-  std::shared_ptr<bool> m_Alive;     ///< False once destroyed; for claims.
+  std::function<void()> m_Ended;     ///< Called once.
+  RequestCore m_Core;                ///< State machine.
+  bool m_Busy = false;               ///< handle() is on the stack.
+  bool m_Told = false;               ///< m_OnEnded has been called.
+  std::deque<RequestEvent> m_Events; ///< Not yet handled.
+  std::shared_ptr<bool> m_Alive;     ///< False once destroyed.
   TimePoint m_Begin;                 ///< When the request was read.
-  Timer m_Limit;                     ///< The class's longest wait.
+  Timer m_Limit;                     ///< Total time limit of the class.
   Timer m_Pause;                     ///< For WakeAfter.
   claim::AttemptId m_Attempt;        ///< Random; empty for repeatable classes.
-  unsigned m_Calls = 0;              ///< Calls so far.
-  std::string m_CallId;              ///< Names the present call at its engine.
-  std::string m_RequestId;           ///< Random; calls are named after it.
-  BidNumber m_Bid;                   ///< The present one.
-  GrantedSlot m_Slot;                ///< Of the present call.
+  unsigned m_Calls = 0;              ///< Calls to engines so far.
+  std::string m_CallId;              ///< Id of the current call at its engine.
+  std::string m_RequestId;           ///< Random; prefix of the call ids.
+  BidNumber m_Bid;                   ///< Of the current bid.
+  GrantedSlot m_Slot;                ///< Of the current call.
 
-  std::unique_ptr<UpstreamCall> m_Call; ///< Null while none is under way.
+  std::unique_ptr<UpstreamCall> m_Call; ///< Null while none is in progress.
   unsigned m_Status = 0;                ///< Of the upstream's answer.
   std::string m_ContentType;            ///< Of the upstream's answer.
-  std::string m_Body;          ///< Of answers that aren't relayed as they come.
-  EventSplitter m_Splitter;    ///< Of the present call.
-  AnswerAssembler m_Assembler; ///< Of a plain answer.
-  std::string m_KeptEvents;    ///< Relayed events, for the claim.
-  bool m_Done = false;         ///< The engine said that the answer is whole.
-  std::uint32_t m_CallTokens = 0; ///< Of the present call.
+  std::string m_Body;             ///< Of answers other than an engine's stream.
+  EventSplitter m_Splitter;       ///< Of the current call.
+  AnswerAssembler m_Assembler;    ///< For an answer without streaming.
+  std::string m_KeptEvents;       ///< Relayed events, for the claim.
+  bool m_Done = false;            ///< The engine has sent [DONE].
+  std::uint32_t m_CallTokens = 0; ///< Of the current call.
   std::uint32_t m_Tokens = 0;     ///< Of the answer.
-  TimePoint m_LastToken;          ///< For the gaps.
+  TimePoint m_LastToken;          ///< For the gaps between tokens.
 };
 
 } // namespace crowstep::entry
--- a/src/entry/request_core.cpp
+++ b/src/entry/request_core.cpp
@@ -1,4 +1,4 @@
-/// The request's state machine.
+/// State machine of a request: placement, calls and final answers.
 #include "entry/request_core.h"
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 
 using decision::WorkEnd;
 
-WorkEnd workEndOf(CallEnd How) {
-  switch (How) {
+WorkEnd workEndOf(CallEnd End) {
+  switch (End) {
   case CallEnd::Whole:
     return WorkEnd::Finished;
   case CallEnd::ConnectFailed:
@@ -28,8 +28,8 @@
   return WorkEnd::Failed;
 }
 
-RetryReason retryReasonOf(CallEnd How) {
-  switch (How) {
+RetryReason retryReasonOf(CallEnd End) {
+  switch (End) {
   case CallEnd::ConnectFailed:
     return RetryReason::ConnectFailed;
   case CallEnd::TooOld:
@@ -52,15 +52,15 @@
 RequestCore::RequestCore(const RequestTerms &Terms, TimePoint Now)
     : m_Terms(Terms), m_Begin(Now), m_Now(Now) {}
 
-void RequestCore::handle(const RequestEvent &What, TimePoint Now,
+void RequestCore::handle(const RequestEvent &Event, TimePoint Now,
                          Actions &Out) {
   m_Now = Now;
   if (m_State == State::Ended)
     return;
-  std::visit([&](const auto &Event) { on(Event, Out); }, What);
+  std::visit([&](const auto &Typed) { on(Typed, Out); }, Event);
 }
 
-// ---- Placing ----------------------------------------------------------------
+// ---- Placement --------------------------------------------------------------
 
 void RequestCore::on(const Admitted &, Actions &Out) {
   if (m_State == State::New)
@@ -79,17 +79,17 @@
                             Left(m_Terms.m_TotalLimit)});
 }
 
-void RequestCore::on(const Granted &What, Actions &Out) {
+void RequestCore::on(const Granted &Event, Actions &Out) {
   if (m_State != State::Bidding)
     return;
-  m_Slot = What.m_Slot;
+  m_Slot = Event.m_Slot;
   m_SlotHeld = true;
   m_SlotSuspect = false;
   m_GrantedAt = m_Now;
   if (m_Tokens > 0 && !m_Slot.m_Resumes) {
     if (m_StreamBegun) {
-      // Tokens that the caller has can't be taken back, and this engine would
-      // begin again: the caller would read the beginning twice.
+      // The engine would start from the beginning, but the tokens that were
+      // relayed can't be taken back: the caller would get them twice.
       release(WorkEnd::Unused, Out);
       refuse(RefusalReason::UpstreamFailed, Duration::zero(), Out);
       return;
@@ -108,14 +108,14 @@
 }
 
 void RequestCore::on(const GrantSuspect &, Actions &) {
-  // A frozen process reads an old grant from its socket as if it were new; it
-  // is checked again where it would be used.
+  // After a pause the process reads an old grant from its socket as if it were
+  // new. The flag is checked again before the grant is used.
   m_SlotSuspect = true;
 }
 
-void RequestCore::on(const BidRefused &What, Actions &Out) {
+void RequestCore::on(const BidRefused &Event, Actions &Out) {
   if (m_State == State::Bidding)
-    refuse(What.m_Reason, What.m_RetryAfter, Out);
+    refuse(Event.m_Reason, Event.m_RetryAfter, Out);
 }
 
 bool RequestCore::slotStale() const {
@@ -138,13 +138,13 @@
   m_FirstToken = false;
   m_CallTokens = 0;
   ++m_Attempts;
-  TimePoint Before = m_GrantedAt + m_Slot.m_ValidFor;
+  TimePoint SendDeadline = m_GrantedAt + m_Slot.m_ValidFor;
   if (!m_Terms.m_Repeatable)
-    Before = std::min(Before, m_ClaimedAt + MaxClaimAge);
-  Out.emplace_back(SendCall{m_Slot, Before, m_Tokens});
+    SendDeadline = std::min(SendDeadline, m_ClaimedAt + MaxClaimAge);
+  Out.emplace_back(SendCall{m_Slot, SendDeadline, m_Tokens});
 }
 
-void RequestCore::on(const TokensArrived &What, Actions &Out) {
+void RequestCore::on(const TokensArrived &Event, Actions &Out) {
   if (m_State != State::Calling)
     return;
   m_StreamBegun |= m_Terms.m_Streamed;
@@ -152,15 +152,15 @@
     m_FirstToken = true;
     Out.emplace_back(ReportFirstToken{m_Now - m_GrantedAt});
   }
-  m_Tokens += What.m_Count;
-  m_CallTokens += What.m_Count;
+  m_Tokens += Event.m_Count;
+  m_CallTokens += Event.m_Count;
 }
 
-void RequestCore::on(const CallEnded &What, Actions &Out) {
+void RequestCore::on(const CallEnded &Event, Actions &Out) {
   if (m_State != State::Calling)
     return;
-  release(workEndOf(What.m_End), Out);
-  switch (What.m_End) {
+  release(workEndOf(Event.m_End), Out);
+  switch (Event.m_End) {
   case CallEnd::Whole:
     if (m_Terms.m_Repeatable) {
       finish(FinishAnswer{}, Out);
@@ -172,33 +172,33 @@
   case CallEnd::TooOld:
   case CallEnd::Busy:
   case CallEnd::Leaving:
-    neverRan(What.m_End, Out);
+    neverRan(Event.m_End, Out);
     return;
   case CallEnd::ClosedBeforeByte:
   case CallEnd::ClosedMidStream:
-    mayHaveRun(What.m_End, Out);
+    mayHaveRun(Event.m_End, Out);
     return;
   }
 }
 
-void RequestCore::neverRan(CallEnd How, Actions &Out) {
+void RequestCore::neverRan(CallEnd End, Actions &Out) {
   if (m_CallerGone || m_Answered) {
     refuse(RefusalReason::CallerGone, Duration::zero(), Out);
     return;
   }
-  const bool Fault = How != CallEnd::TooOld;
-  retry(retryReasonOf(How), Fault,
+  const bool Fault = End != CallEnd::TooOld;
+  retry(retryReasonOf(End), Fault,
         Fault ? std::optional(m_Slot.m_Upstream) : std::nullopt, Out);
 }
 
-void RequestCore::mayHaveRun(CallEnd How, Actions &Out) {
+void RequestCore::mayHaveRun(CallEnd End, Actions &Out) {
   m_MayHaveRun = true;
   if (m_Terms.m_Repeatable) {
-    retry(retryReasonOf(How), true, m_Slot.m_Upstream, Out);
+    retry(retryReasonOf(End), true, m_Slot.m_Upstream, Out);
     return;
   }
-  // Never sent again: a second call could seat the rider twice. The claim
-  // stays with this attempt, and the key's repetition is told "unknown".
+  // Not sent again: a second call could reserve two seats. The claim stays with
+  // this attempt, and further requests with the key are answered "unknown".
   keep(false, Out);
 }
 
@@ -206,38 +206,39 @@
   m_State = State::Keeping;
   m_OutcomeKnown = OutcomeKnown;
   Out.emplace_back(RecordRan{OutcomeKnown});
-  // The answer is there: an outage of the table service does not hold it for
-  // longer. Until the record is written a repetition is told "in progress".
+  // An outage of the table service must not delay the answer for longer. Until
+  // the record is written, further requests with the key are answered "in
+  // progress".
   Out.emplace_back(WakeAfter{KeepPatience});
 }
 
-void RequestCore::retry(RetryReason Why, bool IsRetry,
+void RequestCore::retry(RetryReason Reason, bool IsRetry,
                         std::optional<UpstreamId> Avoid, Actions &Out) {
   const bool TimeLeft = m_Tokens > 0 || m_Now - m_Begin < m_Terms.m_TotalLimit;
   if (m_Attempts >= m_Terms.m_MaxAttempts || !TimeLeft) {
     refuse(RefusalReason::UpstreamFailed, Duration::zero(), Out);
     return;
   }
-  Out.emplace_back(CountRetry{Why});
+  Out.emplace_back(CountRetry{Reason});
   bid(IsRetry, Avoid, Out);
 }
 
-void RequestCore::on(const PreemptOrdered &What, Actions &Out) {
-  if (!m_SlotHeld || m_Slot.m_Upstream != What.m_Upstream)
+void RequestCore::on(const PreemptOrdered &Event, Actions &Out) {
+  if (!m_SlotHeld || m_Slot.m_Upstream != Event.m_Upstream)
     return;
   if (m_State == State::Claiming || m_State == State::ClaimPause) {
     m_SlotSuspect = true;
     return;
   }
-  // A call that may not be repeated is never stopped: whether it ran would no
-  // longer be known.
+  // A call that is not repeatable is never cancelled, as it would no longer be
+  // known whether it ran.
   if (m_State != State::Calling || !m_Terms.m_Repeatable)
     return;
   m_MayHaveRun = true;
   Out.emplace_back(CancelCall{});
   release(WorkEnd::Preempted, Out);
   Out.emplace_back(CountRetry{RetryReason::Preempted});
-  --m_Attempts; // Not the upstream's failure.
+  --m_Attempts; // Preemption does not use up an attempt.
   bid(false, std::nullopt, Out);
 }
 
@@ -258,8 +259,8 @@
     refuse(RefusalReason::CallerGone, Duration::zero(), Out);
     return;
   case State::Calling:
-    // A call that may not be repeated runs to its end, and its answer is kept
-    // for the key's repetition; only repeatable work is cancelled.
+    // A call that is not repeatable runs to its end, and its answer is recorded
+    // for further requests with the key. Only repeatable calls are cancelled.
     if (!m_Terms.m_Repeatable)
       return;
     Out.emplace_back(CancelCall{});
@@ -271,7 +272,7 @@
   case State::GivingBack:
   case State::Keeping:
   case State::Ended:
-    return; // The claim's fate must be settled first.
+    return; // The state of the claim must be settled first.
   }
 }
 
@@ -280,7 +281,7 @@
   case State::New:
   case State::Bidding:
     if (m_StreamBegun)
-      return; // Preempted or resumed: the rest is still worth waiting for.
+      return; // Preempted or resumed: the rest is still waited for.
     Out.emplace_back(WithdrawBid{});
     refuse(RefusalReason::TargetUnreachable, Duration::zero(), Out);
     return;
@@ -298,9 +299,10 @@
     return;
   case State::Calling:
     if (m_FirstToken || m_StreamBegun || m_Answered || m_CallerGone)
-      return; // The answer has begun and runs to its end.
+      return; // An answer that has begun runs to its end.
     if (!m_Terms.m_Repeatable) {
-      // The call goes on and its answer is kept; the caller must not wait.
+      // The call goes on and its answer is recorded, but the caller does not
+      // wait for it.
       m_Answered = true;
       Out.emplace_back(Refuse{RefusalReason::OutcomeUnknown, RunState::Unknown,
                               ClaimRetryAfter});
@@ -314,7 +316,7 @@
   case State::Claiming:
   case State::Keeping:
   case State::Ended:
-    return; // These end by themselves.
+    return; // These states end without the limit.
   }
 }
 
@@ -322,11 +324,13 @@
   return m_MayHaveRun || m_OtherHolds ? RunState::Unknown : RunState::NotRun;
 }
 
-void RequestCore::refuse(RefusalReason Why, Duration RetryAfter, Actions &Out) {
-  m_Final = Refuse{Why, runState(), RetryAfter};
+void RequestCore::refuse(RefusalReason Reason, Duration RetryAfter,
+                         Actions &Out) {
+  m_Final = Refuse{Reason, runState(), RetryAfter};
   if (m_ClaimAsked) {
-    // "Not run" is said only after the claim is given back: else the key's
-    // repetition would find it taken and be told that it may have run.
+    // "Not run" is only answered once the claim is released. Otherwise a
+    // request with the same key would find the claim taken and be answered
+    // that the call may have run.
     m_State = State::GivingBack;
     Out.emplace_back(RecordNotRun{});
     return;
@@ -335,8 +339,8 @@
 }
 
 void RequestCore::giveUpRecord(Actions &Out) {
-  // The caller must not wait for the table service any longer. The record
-  // itself stays with the claims' client, which goes on trying.
+  // The caller does not wait for the table service any longer. The claim client
+  // keeps retrying the write of the record.
   m_Final.m_State = RunState::Unknown;
   sayFinal(Out);
 }
@@ -350,11 +354,11 @@
     finish(m_Final, Out);
 }
 
-void RequestCore::on(const EndRecorded &What, Actions &Out) {
+void RequestCore::on(const EndRecorded &Event, Actions &Out) {
   if (m_State == State::Keeping) {
     answerRan(Out);
   } else if (m_State == State::GivingBack) {
-    if (!What.m_Certain)
+    if (!Event.m_Certain)
       m_Final.m_State = RunState::Unknown;
     sayFinal(Out);
   }
--- a/src/entry/request_core_claim.cpp
+++ b/src/entry/request_core_claim.cpp
@@ -1,4 +1,4 @@
-/// The request's state machine: the claim of a call that may not be repeated.
+/// State machine of a request: the claim of a call that is not repeatable.
 #include "entry/request_core.h"
 
 #include <algorithm>
@@ -12,25 +12,26 @@
 } // namespace
 
 void RequestCore::askClaim(Actions &Out) {
-  // An outage of the table service must not hold the slot for longer than the
-  // grant can be used, nor the caller for longer than its limit.
-  const Duration Left = m_Terms.m_TotalLimit - (m_Now - m_Begin);
-  const Duration Limit = m_SlotHeld ? std::min(m_Slot.m_ValidFor, Left) : Left;
-  Out.emplace_back(AskClaim{std::max(Limit, Duration::zero())});
+  // During an outage of the table service, the slot must not be held for longer
+  // than the grant is valid, nor the caller wait beyond the limit.
+  const Duration TimeLeft = m_Terms.m_TotalLimit - (m_Now - m_Begin);
+  const Duration Timeout =
+      m_SlotHeld ? std::min(m_Slot.m_ValidFor, TimeLeft) : TimeLeft;
+  Out.emplace_back(AskClaim{std::max(Timeout, Duration::zero())});
 }
 
-void RequestCore::on(const ClaimAnswered &What, Actions &Out) {
-  const bool Asked = m_State == State::Claiming;
-  if (!Asked && m_State != State::KeyRead)
+void RequestCore::on(const ClaimAnswered &Event, Actions &Out) {
+  const bool Requested = m_State == State::Claiming;
+  if (!Requested && m_State != State::KeyRead)
     return;
-  switch (What.m_Outcome.m_Status) {
+  switch (Event.m_Outcome.m_Status) {
   case claim::ClaimStatus::Owned:
     claimOwned(Out);
     return;
   case claim::ClaimStatus::Ran:
     release(WorkEnd::Unused, Out);
     m_ClaimAsked = false;
-    finish(ReplayAnswer{What.m_Outcome.m_Answer}, Out);
+    finish(ReplayAnswer{Event.m_Outcome.m_Answer}, Out);
     return;
   case claim::ClaimStatus::InProgress:
     keyHeldElsewhere(Out);
@@ -41,26 +42,26 @@
     refuse(RefusalReason::KeyReused, Duration::zero(), Out);
     return;
   case claim::ClaimStatus::Done:
-    if (!Asked) // The other call provably never ran: the key is free.
+    if (!Requested) // The other call provably never ran: the key is free.
       bid(false, std::nullopt, Out);
     return;
   case claim::ClaimStatus::Unavailable:
-    if (!Asked) {
+    if (!Requested) {
       keyHeldElsewhere(Out);
       return;
     }
-    // Nothing was written now, but an earlier ask of this attempt whose
-    // outcome was uncertain may have been.
+    // Nothing was written now, but an earlier request of this attempt with an
+    // uncertain outcome may have been.
     m_ClaimAsked = m_ClaimMayStand;
     release(WorkEnd::Unused, Out);
     refuse(RefusalReason::ClaimUnavailable, ClaimRetryAfter, Out);
     return;
   case claim::ClaimStatus::Uncertain:
-    // The row may name this attempt. Asking again with the same attempt finds
-    // out; nothing is sent before, and the slot is not held meanwhile.
+    // The row may name this attempt; another request with the same attempt id
+    // finds out. Nothing is sent before, and the slot is released meanwhile.
     release(WorkEnd::Unused, Out);
-    m_ClaimMayStand = m_ClaimMayStand || Asked;
-    m_State = Asked ? State::ClaimPause : State::KeyWait;
+    m_ClaimMayStand = m_ClaimMayStand || Requested;
+    m_State = Requested ? State::ClaimPause : State::KeyWait;
     Out.emplace_back(WakeAfter{ClaimPoll});
     return;
   }
@@ -68,7 +69,7 @@
 
 void RequestCore::claimOwned(Actions &Out) {
   m_ClaimOwned = true;
-  m_OtherHolds = false; // It gave the key back before.
+  m_OtherHolds = false; // The other attempt has released the key.
   if (m_CallerGone) {
     release(WorkEnd::Unused, Out);
     refuse(RefusalReason::CallerGone, Duration::zero(), Out);
@@ -83,7 +84,7 @@
 }
 
 void RequestCore::keyHeldElsewhere(Actions &Out) {
-  // The slot is of no use while another call holds the key.
+  // The slot can't be used while another call holds the key.
   release(WorkEnd::Unused, Out);
   m_OtherHolds = true;
   m_ClaimAsked = false;
--- a/tests/unit/entry_call_test.cpp
+++ b/tests/unit/entry_call_test.cpp
@@ -1,5 +1,4 @@
-/// Calls through the entry's HTTP sides, with failures of upstreams and
-/// callers.
+/// Calls through an entry over HTTP, with failures of upstreams and callers.
 #define BOOST_TEST_MODULE entry_call
 #include "unit/entry_harness.h"
 
@@ -11,10 +10,10 @@
 using namespace crowstep::entry::test;
 
 BOOST_AUTO_TEST_CASE(StreamIsRelayedAsItComes) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Engine;
-  It.m_Placement.grantAt(Engine.m_Address);
-  const auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(Engine.m_Address);
+  const auto Caller = Fixture.guide(true);
   Peer *Call = Engine.next();
   BOOST_REQUIRE(Call != nullptr);
   BOOST_TEST(Call->has(R"("stream":true)"));
@@ -27,18 +26,19 @@
   BOOST_TEST(!Caller->has("two"));
   Call->send(chunk(tokenEvent("two")) + streamEnd());
   BOOST_TEST(pumpUntil([&] { return Caller->has("[DONE]"); }));
-  BOOST_TEST(pumpUntil([&] { return !It.m_Placement.m_Released.empty(); }));
   BOOST_TEST(
-      (It.m_Placement.m_Released[0].m_End == decision::WorkEnd::Finished));
-  BOOST_TEST(It.m_Placement.m_Released[0].m_Tokens == 2U);
-  BOOST_TEST(It.m_Placement.m_FirstTokens == 1);
+      pumpUntil([&] { return !Fixture.m_Placement.m_Released.empty(); }));
+  BOOST_TEST(
+      (Fixture.m_Placement.m_Released[0].m_End == decision::WorkEnd::Finished));
+  BOOST_TEST(Fixture.m_Placement.m_Released[0].m_Tokens == 2U);
+  BOOST_TEST(Fixture.m_Placement.m_FirstTokens == 1);
 }
 
 BOOST_AUTO_TEST_CASE(PlainAnswerIsAssembled) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Engine;
-  It.m_Placement.grantAt(Engine.m_Address);
-  const auto Caller = It.guide(false);
+  Fixture.m_Placement.grantAt(Engine.m_Address);
+  const auto Caller = Fixture.guide(false);
   Peer *Call = Engine.next();
   BOOST_REQUIRE(Call != nullptr);
   Call->send(streamHead() + chunk(tokenEvent("one ") + tokenEvent("two")) +
@@ -48,28 +48,28 @@
   BOOST_TEST(Caller->has(R"("completion_tokens":2)"));
 }
 
-/// Guards against a call that begins for a caller that has left: the process
-/// gets to the upstream's socket before it gets to the caller's.
+// Guards against a call that is sent for a caller that has closed its
+// connection: the process may serve the upstream's socket before the caller's.
 BOOST_AUTO_TEST_CASE(NothingIsSentForACallerThatHasLeft) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Engine;
-  It.m_Placement.grantAt(Engine.m_Address);
-  const auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(Engine.m_Address);
+  const auto Caller = Fixture.guide(true);
   BOOST_REQUIRE(pumpUntil([&] { return Engine.accept() == 1; }));
   Caller->close();
   pumpFor(50ms);
   BOOST_TEST(Engine.peer(0).received().empty());
 }
 
-// An engine closes in the middle of a stream. The caller sees one answer
-// without gap or repetition: the next engine is given the number of tokens
-// that the caller has, and half an event of the first is never passed on.
+// An engine closes in the middle of a stream. The caller gets one answer
+// without a gap or duplicate: the next engine is sent the number of tokens that
+// the caller has, and a partial event of the first engine is not relayed.
 BOOST_AUTO_TEST_CASE(StreamIsResumedElsewhere) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream First, Second;
-  It.m_Placement.grantAt(First.m_Address);
-  It.m_Placement.grantAt(Second.m_Address);
-  const auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(First.m_Address);
+  Fixture.m_Placement.grantAt(Second.m_Address);
+  const auto Caller = Fixture.guide(true);
   Peer *Call = First.next();
   BOOST_REQUIRE(Call != nullptr);
   Call->send(streamHead() + chunk(tokenEvent("one") + R"(data: {"choi)"));
@@ -78,22 +78,22 @@
   Peer *Again = Second.next();
   BOOST_REQUIRE(Again != nullptr);
   BOOST_TEST(Again->has(R"("resume_tokens":1)"));
-  BOOST_TEST(It.m_Placement.m_Bids[1].m_Ask.m_IsRetry);
-  BOOST_TEST(It.m_Placement.m_Bids[1].m_Ask.m_DoneTokens == 1U);
+  BOOST_TEST(Fixture.m_Placement.m_Bids[1].m_Ask.m_IsRetry);
+  BOOST_TEST(Fixture.m_Placement.m_Bids[1].m_Ask.m_DoneTokens == 1U);
   Again->send(streamHead() + chunk(tokenEvent("two")) + streamEnd());
   BOOST_TEST(pumpUntil([&] { return Caller->has("[DONE]"); }));
   BOOST_TEST(!Caller->has("data: {\"choi\r\n"));
   BOOST_TEST(Caller->received().find("one") == Caller->received().rfind("one"));
 }
 
-// As above, but no engine resumes: the caller sees a typed end without [DONE],
-// because a second beginning would repeat what it has.
+// As above, but no engine can resume. The answer ends with an error event and
+// without [DONE], because a restart would duplicate what the caller has.
 BOOST_AUTO_TEST_CASE(StreamThatCannotResumeIsCut) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream First, Second;
-  It.m_Placement.grantAt(First.m_Address);
-  It.m_Placement.grantAt(Second.m_Address, 2s, false);
-  const auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(First.m_Address);
+  Fixture.m_Placement.grantAt(Second.m_Address, 2s, false);
+  const auto Caller = Fixture.guide(true);
   Peer *Call = First.next();
   BOOST_REQUIRE(Call != nullptr);
   Call->send(streamHead() + chunk(tokenEvent("one")));
@@ -104,16 +104,16 @@
   BOOST_TEST(Second.accept() == 0U);
 }
 
-// The first upstream refuses the connection, the second says that it is
-// leaving, the third is busy. The caller sees only the fourth's answer.
+// The first upstream refuses the connection, the second is draining, the third
+// is busy. The caller gets only the answer of the fourth.
 BOOST_AUTO_TEST_CASE(ProvableFailuresAreRetriedElsewhere) {
-  Bench It;
-  FakeUpstream Gone, Leaving, Busy, Good;
-  Gone.stopListening();
-  for (const FakeUpstream *Each : {&Gone, &Leaving, &Busy, &Good})
-    It.m_Placement.grantAt(Each->m_Address);
-  const auto Caller = It.hold();
-  Peer *Call = Leaving.next();
+  Bench Fixture;
+  FakeUpstream Closed, Draining, Busy, Good;
+  Closed.stopListening();
+  for (const FakeUpstream *Target : {&Closed, &Draining, &Busy, &Good})
+    Fixture.m_Placement.grantAt(Target->m_Address);
+  const auto Caller = Fixture.hold();
+  Peer *Call = Draining.next();
   BOOST_REQUIRE(Call != nullptr);
   Call->send(notRun("leaving"));
   Call = Busy.next();
@@ -123,26 +123,27 @@
   BOOST_REQUIRE(Call != nullptr);
   Call->send(plain(200, R"({"seat":"held"})"));
   BOOST_TEST(pumpUntil([&] { return Caller->has("held"); }));
-  const auto &Ends = It.m_Placement.m_Released;
+  const auto &Ends = Fixture.m_Placement.m_Released;
   BOOST_REQUIRE(Ends.size() == 4U);
   BOOST_TEST((Ends[0].m_End == decision::WorkEnd::ConnectFailed));
   BOOST_TEST((Ends[1].m_End == decision::WorkEnd::UpstreamLeaving));
   BOOST_TEST((Ends[2].m_End == decision::WorkEnd::UpstreamRefused));
-  BOOST_TEST(It.m_Claims.m_Claims == 1); // One claim for all four.
+  BOOST_TEST(Fixture.m_Claims.m_Claims == 1); // One claim for all four.
   BOOST_TEST(
-      It.m_Metrics.text().find(
+      Fixture.m_Metrics.text().find(
           R"(crowstep_retries_total{class="hold",reason="upstream_leaving"} 1)") !=
       std::string::npos);
 }
 
-// The service reads a hold and closes. The call may have run: it is not sent
-// again, the caller is told "unknown", and so is the key's repetition.
+// The service reads the call and closes. The call may have run, so it is not
+// sent again, and both the caller and a further request with the key get
+// "unknown".
 BOOST_AUTO_TEST_CASE(HoldIsNeverSentTwice) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Desk;
-  It.m_Placement.grantAt(Desk.m_Address);
-  It.m_Placement.grantAt(Desk.m_Address);
-  const auto Caller = It.hold();
+  Fixture.m_Placement.grantAt(Desk.m_Address);
+  Fixture.m_Placement.grantAt(Desk.m_Address);
+  const auto Caller = Fixture.hold();
   Peer *Call = Desk.next();
   BOOST_REQUIRE(Call != nullptr);
   BOOST_TEST(Call->has("Connection: close"));
@@ -150,96 +151,99 @@
   BOOST_TEST(pumpUntil([&] { return Caller->has("upstream_failed"); }));
   BOOST_TEST(Caller->has("502"));
   BOOST_TEST(Caller->has("Crowstep-Run: unknown"));
-  const auto Again = It.hold();
+  const auto Again = Fixture.hold();
   BOOST_TEST(pumpUntil([&] { return Again->has("outcome_unknown"); }));
   BOOST_TEST(Again->has("Crowstep-Run: unknown"));
   BOOST_TEST(Desk.accept() == 1U);
 }
 
-// The caller of a hold goes away while it runs. The hold runs to its end and
-// the key's repetition gets the kept answer, without a second call. The same
-// key with another body, or from another workspace, doesn't.
+// The caller closes its connection while a call that is not repeatable runs.
+// The call runs to its end, and a further request with the key gets the
+// recorded answer without a second call. A request with the same key but
+// another body or workspace does not.
 BOOST_AUTO_TEST_CASE(KeptAnswerIsReplayed) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Desk;
-  It.m_Placement.grantAt(Desk.m_Address);
-  auto Caller = It.hold();
+  Fixture.m_Placement.grantAt(Desk.m_Address);
+  auto Caller = Fixture.hold();
   Peer *Call = Desk.next();
   BOOST_REQUIRE(Call != nullptr);
   BOOST_TEST(Call->has("Idempotency-Key: k1"));
   Caller.reset();
   Call->send(plain(201, R"({"seat":"held"})"));
-  BOOST_TEST(pumpUntil([&] { return !It.m_Placement.m_Released.empty(); }));
+  BOOST_TEST(
+      pumpUntil([&] { return !Fixture.m_Placement.m_Released.empty(); }));
   for (int Times = 0; Times < 3; ++Times)
-    It.m_Placement.grantAt(Desk.m_Address);
-  const auto Again = It.hold();
+    Fixture.m_Placement.grantAt(Desk.m_Address);
+  const auto Again = Fixture.hold();
   BOOST_TEST(pumpUntil([&] { return Again->has("held"); }));
   BOOST_TEST(Again->has("HTTP/1.1 201"));
   BOOST_TEST(Again->has("Crowstep-Run: run"));
-  const auto Other = It.hold("k1", R"({"seat":5})");
+  const auto Other = Fixture.hold("k1", R"({"seat":5})");
   BOOST_TEST(pumpUntil([&] { return Other->has("key_reused"); }));
   BOOST_TEST(Other->has("HTTP/1.1 422"));
   BOOST_TEST(Desk.accept() == 1U);
-  const auto Foreign =
-      It.send(Bench::text("/v1/services/pass-desk/hold", "hold",
-                          R"({"seat":4})", "Idempotency-Key: k1\r\n", "beta"));
+  const auto Foreign = Fixture.send(
+      Bench::text("/v1/services/pass-desk/hold", "hold", R"({"seat":4})",
+                  "Idempotency-Key: k1\r\n", "beta"));
   BOOST_TEST(pumpUntil([&] { return Desk.accept() == 2U; }));
   BOOST_TEST(!Foreign->has("held"));
 }
 
-// A second caller sends the key while the first call runs: it waits, and is
-// told "unknown" at its limit; the first one's answer is its own.
+// A second caller sends the same key while the first call runs. It waits
+// until its limit and gets "unknown"; nothing is sent for it.
 BOOST_AUTO_TEST_CASE(KeyInProgressIsToldUnknown) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Desk;
-  It.m_Placement.grantAt(Desk.m_Address);
-  It.m_Placement.grantAt(Desk.m_Address);
-  const auto First = It.hold();
+  Fixture.m_Placement.grantAt(Desk.m_Address);
+  Fixture.m_Placement.grantAt(Desk.m_Address);
+  const auto First = Fixture.hold();
   BOOST_REQUIRE(Desk.next() != nullptr);
-  const auto Second = It.hold();
+  const auto Second = Fixture.hold();
   BOOST_TEST(pumpUntil([&] { return Second->has("key_in_progress"); }));
   BOOST_TEST(Second->has("HTTP/1.1 409"));
   BOOST_TEST(Second->has("Crowstep-Run: unknown"));
   BOOST_TEST(Desk.accept() == 1U);
 }
 
-// The table service is down: nothing is sent and the caller may come back.
+// The table service is down: nothing is sent and the caller may retry.
 BOOST_AUTO_TEST_CASE(HoldWithoutClaimIsNotSent) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Desk;
-  It.m_Placement.grantAt(Desk.m_Address);
-  It.m_Claims.m_Next = claim::ClaimStatus::Unavailable;
-  const auto Caller = It.hold();
+  Fixture.m_Placement.grantAt(Desk.m_Address);
+  Fixture.m_Claims.m_Next = claim::ClaimStatus::Unavailable;
+  const auto Caller = Fixture.hold();
   BOOST_TEST(pumpUntil([&] { return Caller->has("claim_unavailable"); }));
   BOOST_TEST(Caller->has("Crowstep-Run: not-run"));
   BOOST_TEST(Caller->has("Retry-After: 1"));
   BOOST_TEST(Desk.accept() == 0U);
 }
 
-// The grant lapses between its receipt and the connection. The last check
-// stops the call before a byte is written, and the request bids again.
+// The grant expires between its receipt and the connection. The last check
+// stops the call before a byte is sent, and the request bids again.
 BOOST_AUTO_TEST_CASE(LapsedGrantSendsNoByte) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Late, Good;
-  It.m_Placement.grantAt(Late.m_Address, 0s);
-  It.m_Placement.grantAt(Good.m_Address);
-  const auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(Late.m_Address, 0s);
+  Fixture.m_Placement.grantAt(Good.m_Address);
+  const auto Caller = Fixture.guide(true);
   Peer *Call = Good.next();
   BOOST_REQUIRE(Call != nullptr);
   BOOST_REQUIRE(Late.accept() == 1U);
   BOOST_TEST(pumpUntil([&] { return Late.peer(0).closed(); }));
   BOOST_TEST(Late.peer(0).received().empty());
-  BOOST_TEST(
-      (It.m_Placement.m_Released.at(0).m_End == decision::WorkEnd::Unused));
+  BOOST_TEST((Fixture.m_Placement.m_Released.at(0).m_End ==
+              decision::WorkEnd::Unused));
 }
 
-// The caller goes while its guide streams: the engine's connection is closed,
-// it is ordered to stop, and the slot is free.
+// The caller closes its connection while an answer streams: the engine's
+// connection is closed, the engine is ordered to stop, and the slot is
+// released.
 BOOST_AUTO_TEST_CASE(CallerGoneCancelsRepeatableWork) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Engine;
-  It.m_Placement.grantAt(Engine.m_Address);
-  auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(Engine.m_Address);
+  auto Caller = Fixture.guide(true);
   Peer *Call = Engine.next();
   BOOST_REQUIRE(Call != nullptr);
   Call->send(streamHead() + chunk(tokenEvent("one")));
@@ -249,35 +253,38 @@
   BOOST_REQUIRE(Order != nullptr);
   BOOST_TEST(Order->has("POST /v1/cancel"));
   BOOST_TEST(pumpUntil([&] { return Call->closed(); }));
-  BOOST_TEST(
-      (It.m_Placement.m_Released.at(0).m_End == decision::WorkEnd::Cancelled));
+  BOOST_TEST((Fixture.m_Placement.m_Released.at(0).m_End ==
+              decision::WorkEnd::Cancelled));
 }
 
-// A caller that leaves while its bid waits must not keep its queue place.
+// Guards against a bid that keeps its place in the queue after its caller has
+// closed the connection.
 BOOST_AUTO_TEST_CASE(CallerGoneWithdrawsBid) {
-  Bench It;
-  auto Caller = It.guide(true);
-  BOOST_TEST(pumpUntil([&] { return !It.m_Placement.m_Waiting.empty(); }));
+  Bench Fixture;
+  auto Caller = Fixture.guide(true);
+  BOOST_TEST(pumpUntil([&] { return !Fixture.m_Placement.m_Waiting.empty(); }));
   Caller.reset();
-  BOOST_TEST(pumpUntil([&] { return It.m_Placement.m_Waiting.empty(); }));
+  BOOST_TEST(pumpUntil([&] { return Fixture.m_Placement.m_Waiting.empty(); }));
 }
 
-// Urgent work needs the slot. The engine is stopped, the bid goes out again
-// with the tokens that the caller has, and the answer goes on elsewhere.
+// A more urgent request preempts the slot. The call is cancelled, the request
+// bids again with the tokens that the caller has, and another engine resumes
+// the answer.
 BOOST_AUTO_TEST_CASE(PreemptedStreamGoesOn) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream First, Second;
-  It.m_Placement.grantAt(First.m_Address);
-  const auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(First.m_Address);
+  const auto Caller = Fixture.guide(true);
   Peer *Call = First.next();
   BOOST_REQUIRE(Call != nullptr);
   Call->send(streamHead() + chunk(tokenEvent("one")));
   BOOST_TEST(pumpUntil([&] { return Caller->has("one"); }));
-  It.m_Placement.m_Holder->slotPreempted(UpstreamId(First.m_Address.m_Port));
+  Fixture.m_Placement.m_Holder->slotPreempted(
+      UpstreamId(First.m_Address.m_Port));
   BOOST_TEST(pumpUntil([&] { return Call->closed(); }));
-  BOOST_TEST(
-      (It.m_Placement.m_Released.at(0).m_End == decision::WorkEnd::Preempted));
-  It.m_Placement.grantAt(Second.m_Address);
+  BOOST_TEST((Fixture.m_Placement.m_Released.at(0).m_End ==
+              decision::WorkEnd::Preempted));
+  Fixture.m_Placement.grantAt(Second.m_Address);
   Peer *Again = Second.next();
   BOOST_REQUIRE(Again != nullptr);
   BOOST_TEST(Again->has(R"("resume_tokens":1)"));
@@ -285,13 +292,14 @@
   BOOST_TEST(pumpUntil([&] { return Caller->has("[DONE]"); }));
 }
 
-// An upstream that closes a kept-alive connection, or redirects, gets no
-// second copy of the call from libsoup: our own retry decides where it goes.
+// Guards against an HTTP client that resends a call by itself after a closed
+// kept-alive connection, or follows a redirect: only the request's own retry
+// may send it again.
 BOOST_AUTO_TEST_CASE(LibraryNeitherResendsNorRedirects) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Desk, Other;
-  It.m_Placement.grantAt(Desk.m_Address);
-  const auto First = It.send(
+  Fixture.m_Placement.grantAt(Desk.m_Address);
+  const auto First = Fixture.send(
       Bench::text("/v1/services/pass-desk/check", "check", R"({"pass":1})"));
   Peer *Call = Desk.next();
   BOOST_REQUIRE(Call != nullptr);
@@ -299,9 +307,9 @@
              "/elsewhere\r\nContent-Length: 0\r\n\r\n");
   BOOST_TEST(pumpUntil([&] { return First->has("HTTP/1.1 303"); }));
   BOOST_TEST(Other.accept() == 0U);
-  It.m_Placement.grantAt(Desk.m_Address);
-  It.m_Placement.grantAt(Other.m_Address);
-  const auto Second = It.send(
+  Fixture.m_Placement.grantAt(Desk.m_Address);
+  Fixture.m_Placement.grantAt(Other.m_Address);
+  const auto Second = Fixture.send(
       Bench::text("/v1/services/pass-desk/check", "check", R"({"pass":2})"));
   BOOST_TEST(pumpUntil([&] { return Call->has(R"({"pass":2})"); }));
   Call->close();
@@ -313,13 +321,13 @@
 }
 
 // A caller stops reading a long answer. The entry stops reading from the
-// engine, so that what waits in this process stays bounded; when the caller
-// reads on, it gets everything.
+// engine, so that its memory use stays bounded. When the caller reads on, it
+// gets the complete answer.
 BOOST_AUTO_TEST_CASE(SlowCallerHoldsBackTheEngine) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Engine;
-  It.m_Placement.grantAt(Engine.m_Address);
-  const auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(Engine.m_Address);
+  const auto Caller = Fixture.guide(true);
   Peer *Call = Engine.next();
   BOOST_REQUIRE(Call != nullptr);
   constexpr std::size_t TextSize = 8000;
@@ -340,37 +348,37 @@
     BOOST_REQUIRE(Written < (64U << 20));
   }
   BOOST_TEST_MESSAGE("held back after " << Written << " bytes");
-  // The text alone: how it is cut into chunks on the way is not fixed.
+  // Only the text is compared, as it may be split into other chunks.
   const auto Text = [&] {
     const std::string &All = Caller->received();
     const auto Head = static_cast<std::ptrdiff_t>(All.find("\r\n\r\n"));
     return static_cast<std::size_t>(
         std::count(All.begin() + Head, All.end(), 'x'));
   };
-  const std::size_t Whole = Written / Event.size();
-  BOOST_TEST(pumpUntil([&] { return Text() >= Whole * TextSize; }));
+  const std::size_t CompleteEvents = Written / Event.size();
+  BOOST_TEST(pumpUntil([&] { return Text() >= CompleteEvents * TextSize; }));
   Call->send(Event.substr(Written % Event.size()) + streamEnd());
   BOOST_TEST(pumpUntil([&] { return Caller->has("[DONE]"); }));
-  BOOST_TEST(Text() == (Whole + 1) * TextSize);
+  BOOST_TEST(Text() == (CompleteEvents + 1) * TextSize);
 }
 
-// The entry is told to stop while an answer streams. Health turns negative and
-// new calls are refused at once, but the answer in progress is not cut.
+// The entry is stopped while an answer streams. Health checks fail and new
+// requests are refused at once, but the answer in progress is completed.
 BOOST_AUTO_TEST_CASE(ShutdownCutsNothing) {
-  Bench It;
+  Bench Fixture;
   FakeUpstream Engine;
-  It.m_Placement.grantAt(Engine.m_Address);
-  const auto Caller = It.guide(true);
+  Fixture.m_Placement.grantAt(Engine.m_Address);
+  const auto Caller = Fixture.guide(true);
   Peer *Call = Engine.next();
   BOOST_REQUIRE(Call != nullptr);
   Call->send(streamHead() + chunk(tokenEvent("one")));
   BOOST_TEST(pumpUntil([&] { return Caller->has("one"); }));
   bool Stopped = false;
-  It.m_Service.stop([&] { Stopped = true; });
-  const auto Late = It.guide(true);
+  Fixture.m_Service.stop([&] { Stopped = true; });
+  const auto Late = Fixture.guide(true);
   BOOST_TEST(pumpUntil([&] { return Late->has("shutting_down"); }));
   BOOST_TEST(Late->has("Retry-After: 1"));
-  const auto Health = It.send("GET /healthz HTTP/1.1\r\nHost: e\r\n\r\n");
+  const auto Health = Fixture.send("GET /healthz HTTP/1.1\r\nHost: e\r\n\r\n");
   BOOST_TEST(pumpUntil([&] { return Health->has("HTTP/1.1 503"); }));
   BOOST_TEST(!Stopped);
   Call->send(chunk(tokenEvent("two")) + streamEnd());
@@ -379,9 +387,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(RefusalIsFinalAtOnce) {
-  Bench It;
-  It.m_Placement.refuseNext(RefusalReason::QueueFull, 1500ms);
-  const auto Caller = It.guide(false);
+  Bench Fixture;
+  Fixture.m_Placement.refuseNext(RefusalReason::QueueFull, 1500ms);
+  const auto Caller = Fixture.guide(false);
   BOOST_TEST(pumpUntil([&] { return Caller->has("queue_full"); }));
   BOOST_TEST(Caller->has("HTTP/1.1 429"));
   BOOST_TEST(Caller->has("Retry-After: 2"));
