--- a/src/http/answer_parser.cpp
+++ b/src/http/answer_parser.cpp
@@ -18,21 +18,22 @@
 
 } // namespace
 
-AnswerParser::AnswerParser(bool HeadOnly) : m_HeadOnly(HeadOnly) {
+AnswerParser::AnswerParser(bool IsHeadRequest)
+    : m_IsHeadRequest(IsHeadRequest) {
   http_parser_init(&m_Parser, HTTP_RESPONSE);
   m_Parser.data = this;
 }
 
 const http_parser_settings &AnswerParser::callbacks() {
   static const http_parser_settings Result = [] {
-    http_parser_settings Fresh{};
-    Fresh.on_message_begin = onMessageBegin;
-    Fresh.on_header_field = onHeaderField;
-    Fresh.on_header_value = onHeaderValue;
-    Fresh.on_headers_complete = onHeadersComplete;
-    Fresh.on_body = onBody;
-    Fresh.on_message_complete = onMessageComplete;
-    return Fresh;
+    http_parser_settings Settings{};
+    Settings.on_message_begin = onMessageBegin;
+    Settings.on_header_field = onHeaderField;
+    Settings.on_header_value = onHeaderValue;
+    Settings.on_headers_complete = onHeadersComplete;
+    Settings.on_body = onBody;
+    Settings.on_message_complete = onMessageComplete;
+    return Settings;
   }();
   return Result;
 }
@@ -40,19 +41,19 @@
 void AnswerParser::feed(std::string_view Bytes) {
   if (m_State != AnswerState::Reading || Bytes.empty()) {
     // Bytes after the answer belong to no request.
-    m_MayKeep = m_MayKeep && Bytes.empty();
+    m_CanReuse = m_CanReuse && Bytes.empty();
     return;
   }
-  const std::size_t Used =
+  const std::size_t Consumed =
       http_parser_execute(&m_Parser, &callbacks(), Bytes.data(), Bytes.size());
   if (m_State == AnswerState::Complete)
-    m_MayKeep = m_MayKeep && Used == Bytes.size();
+    m_CanReuse = m_CanReuse && Consumed == Bytes.size();
   else if (HTTP_PARSER_ERRNO(&m_Parser) != HPE_OK)
     m_State = AnswerState::Invalid;
 }
 
 void AnswerParser::closed() {
-  m_MayKeep = false;
+  m_CanReuse = false;
   if (m_State != AnswerState::Reading)
     return;
   http_parser_execute(&m_Parser, &callbacks(), nullptr, 0);
@@ -62,31 +63,31 @@
 
 std::string AnswerParser::takeBody() { return std::exchange(m_Body, {}); }
 
-bool AnswerParser::informational() const { return status() < HttpOk; }
+bool AnswerParser::isInformational() const { return status() < HttpOk; }
 
-bool AnswerParser::withoutBody() const {
-  return m_HeadOnly || informational() || status() == HttpNoContent ||
+bool AnswerParser::hasNoBody() const {
+  return m_IsHeadRequest || isInformational() || status() == HttpNoContent ||
          status() == HttpNotModified;
 }
 
 int AnswerParser::onMessageBegin(http_parser *Parser) {
-  ownerOf(Parser).m_Pieces.clear();
+  ownerOf(Parser).m_HeaderCollector.clear();
   return 0;
 }
 
 int AnswerParser::onHeaderField(http_parser *Parser, const char *At,
                                 size_t Size) {
   AnswerParser &Self = ownerOf(Parser);
-  if (!Self.m_HeadKnown) // Trailers are not passed on.
-    Self.m_Pieces.appendName({At, Size});
+  if (!Self.m_HasHead) // Trailers are not passed on.
+    Self.m_HeaderCollector.appendName({At, Size});
   return 0;
 }
 
 int AnswerParser::onHeaderValue(http_parser *Parser, const char *At,
                                 size_t Size) {
   AnswerParser &Self = ownerOf(Parser);
-  if (!Self.m_HeadKnown)
-    Self.m_Pieces.appendValue({At, Size});
+  if (!Self.m_HasHead)
+    Self.m_HeaderCollector.appendValue({At, Size});
   return 0;
 }
 
@@ -97,11 +98,11 @@
   // No call asks for another protocol.
   if (Self.status() == HttpSwitchingProtocols)
     return Fail;
-  Self.m_Headers = Self.m_Pieces.take();
-  for (HeaderField &Each : Self.m_Headers)
-    Each.m_Name.resize(Each.m_Name.find_last_not_of(" \t") + 1);
-  Self.m_HeadKnown = !Self.informational();
-  return Self.withoutBody() ? SkipBody : 0;
+  Self.m_Headers = Self.m_HeaderCollector.take();
+  for (HeaderField &Field : Self.m_Headers)
+    Field.m_Name.resize(Field.m_Name.find_last_not_of(" \t") + 1);
+  Self.m_HasHead = !Self.isInformational();
+  return Self.hasNoBody() ? SkipBody : 0;
 }
 
 int AnswerParser::onBody(http_parser *Parser, const char *At, size_t Size) {
@@ -111,10 +112,10 @@
 
 int AnswerParser::onMessageComplete(http_parser *Parser) {
   AnswerParser &Self = ownerOf(Parser);
-  if (Self.informational())
+  if (Self.isInformational())
     return 0;
   Self.m_State = AnswerState::Complete;
-  Self.m_MayKeep = http_should_keep_alive(Parser) != 0;
+  Self.m_CanReuse = http_should_keep_alive(Parser) != 0;
   http_parser_pause(Parser, 1);
   return 0;
 }
--- a/src/http/answer_parser.h
+++ b/src/http/answer_parser.h
@@ -24,7 +24,7 @@
 class AnswerParser {
 public:
   /// \p HeadOnly: the answer has no body, whatever its head says.
-  explicit AnswerParser(bool HeadOnly);
+  explicit AnswerParser(bool IsHeadRequest);
   AnswerParser(const AnswerParser &) = delete;
   AnswerParser &operator=(const AnswerParser &) = delete;
 
@@ -37,7 +37,7 @@
   [[nodiscard]] AnswerState state() const { return m_State; }
 
   /// Returns whether the head of the final answer is known.
-  [[nodiscard]] bool headKnown() const { return m_HeadKnown; }
+  [[nodiscard]] bool headKnown() const { return m_HasHead; }
   [[nodiscard]] unsigned status() const { return m_Parser.status_code; }
   [[nodiscard]] const HeaderList &headers() const { return m_Headers; }
 
@@ -46,7 +46,7 @@
 
   /// Returns whether a further call may use the connection. False unless the
   /// answer is complete and nothing followed it.
-  [[nodiscard]] bool mayKeepConnection() const { return m_MayKeep; }
+  [[nodiscard]] bool mayKeepConnection() const { return m_CanReuse; }
 
 private:
   static int onMessageBegin(http_parser *Parser);
@@ -56,16 +56,16 @@
   static int onBody(http_parser *Parser, const char *At, size_t Size);
   static int onMessageComplete(http_parser *Parser);
   static const http_parser_settings &callbacks();
-  [[nodiscard]] bool informational() const;
-  [[nodiscard]] bool withoutBody() const;
+  [[nodiscard]] bool isInformational() const;
+  [[nodiscard]] bool hasNoBody() const;
 
-  http_parser m_Parser{};   ///< Points back to this object.
-  bool m_HeadOnly;          ///< See the constructor.
-  HeaderCollector m_Pieces; ///< Of the present head.
-  HeaderList m_Headers;     ///< Of the final answer; see headKnown().
-  bool m_HeadKnown = false; ///< Of the final answer.
-  bool m_MayKeep = false;   ///< See mayKeepConnection().
-  std::string m_Body;       ///< Not yet taken.
+  http_parser m_Parser{};            ///< Points back to this object.
+  bool m_IsHeadRequest;              ///< See the constructor.
+  HeaderCollector m_HeaderCollector; ///< Of the present head.
+  HeaderList m_Headers;              ///< Of the final answer; see headKnown().
+  bool m_HasHead = false;            ///< Of the final answer.
+  bool m_CanReuse = false;           ///< See mayKeepConnection().
+  std::string m_Body;                ///< Not yet taken.
   AnswerState m_State = AnswerState::Reading; ///< Leaves Reading once.
 };
 
--- a/src/http/caller.h
+++ b/src/http/caller.h
@@ -33,7 +33,7 @@
   virtual ~Caller() = default;
 
   /// Answers at once and whole.
-  virtual void answer(const CallerAnswer &What) = 0;
+  virtual void answer(const CallerAnswer &Answer) = 0;
 
   virtual void beginStream(const CallerAnswer &Head) = 0;
   virtual void append(const std::string &Bytes) = 0;
@@ -53,15 +53,15 @@
 
   /// Sets what runs when the caller goes before its answer is complete, and
   /// when the backlog has shrunk.
-  virtual void onGone(std::function<void()> Job) = 0;
-  virtual void onDrained(std::function<void()> Job) = 0;
+  virtual void onGone(std::function<void()> Callback) = 0;
+  virtual void onDrained(std::function<void()> Callback) = 0;
 };
 
 /// Puts status, headers and body into \p Message.
-void fillAnswer(SoupServerMessage *Message, const CallerAnswer &What);
+void fillAnswer(SoupServerMessage *Message, const CallerAnswer &Answer);
 
 /// Returns the headers of an answer but those that frame its body.
-HeaderList headersOf(const CallerAnswer &What);
+HeaderList headersOf(const CallerAnswer &Answer);
 
 } // namespace crowstep
 
--- a/src/http/caller_connection.cpp
+++ b/src/http/caller_connection.cpp
@@ -18,11 +18,11 @@
 constexpr std::size_t ReadSize = 16384;
 
 /// Written bytes that may stay in memory while a caller reads slowly.
-constexpr std::size_t WrittenToForget = 64 << 10;
+constexpr std::size_t CompactThreshold = 64 << 10;
 
 /// How long a caller has to read its last answer and to close. Closing with
 /// unread bytes resets the connection, and the answer could be lost with it.
-constexpr Duration LingerLimit = std::chrono::seconds(1);
+constexpr Duration LingerTimeout = std::chrono::seconds(1);
 
 constexpr unsigned HttpOk = 200;
 constexpr unsigned HttpNoContent = 204;
@@ -35,15 +35,15 @@
 
 std::size_t longestHeader(const HeaderList &Headers) {
   std::size_t Longest = 0;
-  for (const HeaderField &Each : Headers)
-    Longest = std::max(Longest, Each.m_Value.size());
+  for (const HeaderField &Field : Headers)
+    Longest = std::max(Longest, Field.m_Value.size());
   return Longest;
 }
 
 /// Returns whether two readers could disagree about where the body ends. What
 /// one takes for the body's rest the other takes for a further request, and a
 /// caller could hide a request of another workspace there.
-bool framingIsAmbiguous(const HeaderList &Headers) {
+bool isFramingAmbiguous(const HeaderList &Headers) {
   const std::string *Length = findHeader(Headers, "Content-Length");
   const std::string *Coding = findHeader(Headers, "Transfer-Encoding");
   if (Coding != nullptr)
@@ -72,14 +72,14 @@
 /// The caller of one request, until it is answered or gone.
 class CallerConnection::Handle final : public Caller {
 public:
-  explicit Handle(CallerConnection &Of) : m_Connection(&Of) {}
+  explicit Handle(CallerConnection &Connection) : m_Connection(&Connection) {}
   ~Handle() override { drop(); }
   Handle(const Handle &) = delete;
   Handle &operator=(const Handle &) = delete;
 
-  void answer(const CallerAnswer &What) override {
+  void answer(const CallerAnswer &Answer) override {
     if (m_Connection != nullptr)
-      m_Connection->answer(What);
+      m_Connection->answer(Answer);
   }
   void beginStream(const CallerAnswer &Head) override {
     if (m_Connection != nullptr)
@@ -95,7 +95,7 @@
   }
   void drop() override {
     if (m_Connection != nullptr)
-      m_Connection->cut();
+      m_Connection->abortAnswer();
   }
   [[nodiscard]] bool hasLeft() const override {
     return m_Connection == nullptr || m_Connection->hasLeft();
@@ -103,34 +103,36 @@
   [[nodiscard]] std::size_t backlog() const override {
     return m_Connection == nullptr ? 0 : m_Connection->backlog();
   }
-  void onGone(std::function<void()> Job) override { m_Gone = std::move(Job); }
-  void onDrained(std::function<void()> Job) override {
-    m_Drained = std::move(Job);
+  void onGone(std::function<void()> Callback) override {
+    m_OnDisconnect = std::move(Callback);
+  }
+  void onDrained(std::function<void()> Callback) override {
+    m_OnBacklogReduced = std::move(Callback);
   }
 
   /// The connection serves this request no more.
   void detach() { m_Connection = nullptr; }
 
-  void gone() const {
+  void notifyDisconnect() const {
     // The handle may be destroyed by the job.
-    if (const auto Job = m_Gone)
-      Job();
+    if (const auto Callback = m_OnDisconnect)
+      Callback();
   }
-  void drained() const {
-    if (m_Drained)
-      m_Drained();
+  void notifyBacklogReduced() const {
+    if (m_OnBacklogReduced)
+      m_OnBacklogReduced();
   }
 
 private:
-  CallerConnection *m_Connection;  ///< Null once answered or gone.
-  std::function<void()> m_Gone;    ///< May be empty.
-  std::function<void()> m_Drained; ///< May be empty.
+  CallerConnection *m_Connection;           ///< Null once answered or gone.
+  std::function<void()> m_OnDisconnect;     ///< May be empty.
+  std::function<void()> m_OnBacklogReduced; ///< May be empty.
 };
 
 CallerConnection::CallerConnection(SocketPtr Socket,
                                    CallerConnectionOwner &Owner,
                                    Scheduler &Timers)
-    : m_Owner(Owner), m_Socket(std::move(Socket)), m_Limit(Timers) {
+    : m_Owner(Owner), m_Socket(std::move(Socket)), m_Timer(Timers) {
   g_socket_set_blocking(m_Socket.get(), 0);
   // Answers are written whole; Nagle's algorithm would delay their ends.
   g_socket_set_option(m_Socket.get(), IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
@@ -139,18 +141,18 @@
 }
 
 CallerConnection::~CallerConnection() {
-  if (Handle *Open = release())
-    Open->detach();
+  if (Handle *OpenHandle = releaseHandle())
+    OpenHandle->detach();
   m_Watch.reset();
   g_socket_close(m_Socket.get(), nullptr);
 }
 
 bool CallerConnection::busy() const {
-  return answering() || (m_Phase == Phase::Arriving &&
+  return answering() || (m_Phase == Phase::Receiving &&
                          m_Parser->state() != ArrivalState::Nothing);
 }
 
-CallerConnection::Handle *CallerConnection::release() {
+CallerConnection::Handle *CallerConnection::releaseHandle() {
   return std::exchange(m_Handle, nullptr);
 }
 
@@ -158,102 +160,104 @@
   if (m_Phase == Phase::Closed)
     return;
   m_Phase = Phase::Closed;
-  m_Limit.stop();
+  m_Timer.stop();
   m_Watch.reset();
   g_socket_close(m_Socket.get(), nullptr);
-  Handle *Open = release();
+  Handle *OpenHandle = releaseHandle();
   m_Owner.connectionClosed(*this);
-  if (Open == nullptr)
+  if (OpenHandle == nullptr)
     return;
-  Open->detach();
-  Open->gone();
+  OpenHandle->detach();
+  OpenHandle->notifyDisconnect();
 }
 
 void CallerConnection::updateWatch() {
   if (!m_Watch)
     return;
-  const bool Waits = m_Phase == Phase::Held || m_Phase == Phase::Streaming;
-  m_Watch->watchFor({.m_Read = m_Phase != Phase::Flushing && !m_MoreWaits,
-                     .m_Write = !m_Broken && m_Sent < m_Out.size(),
-                     .m_HungUp = Waits});
+  const bool AnswerPending =
+      m_Phase == Phase::AwaitingAnswer || m_Phase == Phase::Streaming;
+  m_Watch->watchFor(
+      {.m_Read = m_Phase != Phase::Flushing && !m_NextRequestPending,
+       .m_Write = !m_WriteFailed && m_SentBytes < m_Output.size(),
+       .m_HungUp = AnswerPending});
 }
 
-void CallerConnection::socketReady(SocketEvents What) {
-  if (m_Phase == Phase::Held || m_Phase == Phase::Streaming) {
-    if (What.m_HungUp) {
+void CallerConnection::socketReady(SocketEvents Events) {
+  if (m_Phase == Phase::AwaitingAnswer || m_Phase == Phase::Streaming) {
+    if (Events.m_HungUp) {
       close();
       return;
     }
-    if (What.m_Read && !m_MoreWaits)
-      checkStillThere();
-    if (What.m_Write && m_Phase != Phase::Closed) {
+    if (Events.m_Read && !m_NextRequestPending)
+      detectClose();
+    if (Events.m_Write && m_Phase != Phase::Closed) {
       write();
       if (m_Handle != nullptr)
-        m_Handle->drained();
+        m_Handle->notifyBacklogReduced();
     }
     return;
   }
-  if (What.m_Write && m_Sent < m_Out.size())
+  if (Events.m_Write && m_SentBytes < m_Output.size())
     write();
-  if (m_Broken)
+  if (m_WriteFailed)
     close();
-  else if (What.m_Read && m_Phase != Phase::Flushing)
-    readSome();
+  else if (Events.m_Read && m_Phase != Phase::Flushing)
+    readSocket();
 }
 
 /// Nothing is read while an answer is awaited, so the caller's close has to be
 /// asked for: without this one that went would keep its place in the queue and
 /// its slot to the end.
-void CallerConnection::checkStillThere() {
+void CallerConnection::detectClose() {
   char Byte = 0;
-  const ssize_t Seen =
+  const ssize_t Size =
       recv(g_socket_get_fd(m_Socket.get()), &Byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  if (Seen < 0 && wouldBlock(errno))
+  if (Size < 0 && wouldBlock(errno))
     return;
-  if (Seen <= 0) {
+  if (Size <= 0) {
     close();
     return;
   }
   // A further request; a close behind it is still reported.
-  m_MoreWaits = true;
+  m_NextRequestPending = true;
   updateWatch();
 }
 
 // ---- Arrival ----------------------------------------------------------------
 
 void CallerConnection::waitForRequest() {
-  m_Phase = Phase::Arriving;
+  m_Phase = Phase::Receiving;
   m_Parser.emplace();
-  m_MoreWaits = false;
-  watchIdle();
+  m_NextRequestPending = false;
+  startIdleTimer();
   updateWatch();
 }
 
-void CallerConnection::watchIdle() {
-  m_Limit.start(m_Owner.limits().m_IdleLimit, [this] { idleTooLong(); });
+void CallerConnection::startIdleTimer() {
+  m_Timer.start(m_Owner.limits().m_IdleLimit, [this] { handleIdleTimeout(); });
 }
 
 /// A process that was held up has not read yet what came in time.
-void CallerConnection::idleTooLong() {
+void CallerConnection::handleIdleTimeout() {
   if (m_Parser->state() != ArrivalState::Nothing) {
     close();
     return;
   }
-  m_Limit.start(m_Owner.limits().m_ReceiveLimit, [this] { close(); });
-  readSome();
-  if (m_Phase == Phase::Arriving && !busy())
+  m_Timer.start(m_Owner.limits().m_ReceiveLimit, [this] { close(); });
+  readSocket();
+  if (m_Phase == Phase::Receiving && !busy())
     close();
 }
 
 void CallerConnection::closeIfIdle() {
-  if (!m_Served || m_Phase != Phase::Arriving || busy())
+  if (!m_HasServed || m_Phase != Phase::Receiving || busy())
     return;
-  readSome();
-  if (m_Phase == Phase::Arriving && !busy())
+  readSocket();
+  if (m_Phase == Phase::Receiving && !busy())
     close();
 }
 
-void CallerConnection::readSome() {
+void CallerConnection::readSocket() {
   static std::array<char, ReadSize> Buffer;
   const ssize_t Size = recv(g_socket_get_fd(m_Socket.get()), Buffer.data(),
                             Buffer.size(), MSG_DONTWAIT);
@@ -266,36 +270,36 @@
   }
   if (m_Phase == Phase::Discarding)
     return;
-  m_In.append(Buffer.data(), static_cast<std::size_t>(Size));
-  takeInput();
+  m_Input.append(Buffer.data(), static_cast<std::size_t>(Size));
+  processInput();
 }
 
-void CallerConnection::takeInput() {
-  m_Parsing = true;
-  while (m_Phase == Phase::Arriving && !m_In.empty()) {
+void CallerConnection::processInput() {
+  m_IsParsing = true;
+  while (m_Phase == Phase::Receiving && !m_Input.empty()) {
     const ArrivalState Before = m_Parser->state();
-    m_In.erase(0, m_Parser->feed(m_In));
+    m_Input.erase(0, m_Parser->feed(m_Input));
     const ArrivalState Now = m_Parser->state();
     if (Before < ArrivalState::Body && Now == ArrivalState::Body)
-      headArrived();
+      handleHead();
     else if (Now == ArrivalState::Invalid)
       refuse(m_Parser->headTooLarge()     ? RefusalReason::HeaderTooLarge
              : m_Parser->framingUnclear() ? RefusalReason::AmbiguousFraming
                                           : RefusalReason::MalformedHeader);
     else if (Now == ArrivalState::Body)
-      checkBody();
+      checkBodySize();
     else if (Now == ArrivalState::Complete)
-      requestComplete();
+      handleRequest();
   }
-  m_Parsing = false;
+  m_IsParsing = false;
 }
 
-void CallerConnection::headArrived() {
+void CallerConnection::handleHead() {
   const ArrivalLimits &Limits = m_Owner.limits();
   const HeaderList &Headers = m_Parser->request().m_Headers;
-  m_Limit.start(Limits.m_ReceiveLimit,
+  m_Timer.start(Limits.m_ReceiveLimit,
                 [this] { refuse(RefusalReason::SlowCaller); });
-  if (framingIsAmbiguous(Headers)) {
+  if (isFramingAmbiguous(Headers)) {
     refuse(RefusalReason::AmbiguousFraming);
   } else if (longestHeader(Headers) > Limits.m_MaxHeader) {
     refuse(RefusalReason::HeaderTooLarge);
@@ -303,25 +307,26 @@
     refuse(RefusalReason::BodyTooLarge);
   } else if (const std::string *Expected = findHeader(Headers, "Expect");
              Expected != nullptr && sameHeader(*Expected, "100-continue")) {
-    m_Out += "HTTP/1.1 100 Continue\r\n\r\n";
+    m_Output += "HTTP/1.1 100 Continue\r\n\r\n";
     write();
   }
 }
 
 /// A body without a length is found out while it comes.
-void CallerConnection::checkBody() {
+void CallerConnection::checkBodySize() {
   if (m_Parser->request().m_Body.size() > m_Owner.limits().m_MaxBody)
     refuse(RefusalReason::BodyTooLarge);
 }
 
-void CallerConnection::requestComplete() {
-  checkBody();
-  if (m_Phase != Phase::Arriving)
+void CallerConnection::handleRequest() {
+  checkBodySize();
+  if (m_Phase != Phase::Receiving)
     return;
-  m_Limit.stop();
-  m_Phase = Phase::Held;
-  m_CloseAfter = !m_Parser->takesChunks() || !m_Parser->wantsToKeepConnection();
-  m_HeadOnly = m_Parser->request().m_Method == "HEAD";
+  m_Timer.stop();
+  m_Phase = Phase::AwaitingAnswer;
+  m_CloseAfterAnswer =
+      !m_Parser->takesChunks() || !m_Parser->wantsToKeepConnection();
+  m_IsHeadRequest = m_Parser->request().m_Method == "HEAD";
   auto From = std::make_unique<Handle>(*this);
   m_Handle = From.get();
   updateWatch();
@@ -337,97 +342,100 @@
   Answer.m_Headers.push_back({"Connection", "close"});
   appendHead(Answer,
              {{"Content-Length", std::to_string(Answer.m_Body.size())}});
-  m_Out += Answer.m_Body;
-  m_CloseAfter = true;
-  m_Linger = m_Owner.limits().m_ReceiveLimit;
+  m_Output += Answer.m_Body;
+  m_CloseAfterAnswer = true;
+  m_LingerTime = m_Owner.limits().m_ReceiveLimit;
   m_Phase = Phase::Flushing;
   write();
 }
 
 // ---- Answers ----------------------------------------------------------------
 
-void CallerConnection::appendHead(const CallerAnswer &What,
+void CallerConnection::appendHead(const CallerAnswer &Answer,
                                   const HeaderList &Framing) {
-  const char *Reason = http_status_str(static_cast<http_status>(What.m_Status));
-  m_Out += "HTTP/1.1 " + std::to_string(What.m_Status) + " " + Reason + "\r\n";
+  const char *Reason =
+      http_status_str(static_cast<http_status>(Answer.m_Status));
+  m_Output +=
+      "HTTP/1.1 " + std::to_string(Answer.m_Status) + " " + Reason + "\r\n";
   const auto Append = [this](const HeaderField &Field) {
-    m_Out += Field.m_Name + ": " + Field.m_Value + "\r\n";
+    m_Output += Field.m_Name + ": " + Field.m_Value + "\r\n";
   };
-  const HeaderList Own = headersOf(What);
-  std::ranges::for_each(Own, Append);
+  const HeaderList AnswerHeaders = headersOf(Answer);
+  std::ranges::for_each(AnswerHeaders, Append);
   std::ranges::for_each(Framing, Append);
-  m_CloseAfter = m_CloseAfter || closesConnection(Own);
-  if (m_CloseAfter && !closesConnection(Own))
+  m_CloseAfterAnswer = m_CloseAfterAnswer || closesConnection(AnswerHeaders);
+  if (m_CloseAfterAnswer && !closesConnection(AnswerHeaders))
     Append({"Connection", "close"});
-  m_Out += "\r\n";
+  m_Output += "\r\n";
 }
 
-void CallerConnection::answer(const CallerAnswer &What) {
-  if (m_Phase != Phase::Held)
+void CallerConnection::answer(const CallerAnswer &Answer) {
+  if (m_Phase != Phase::AwaitingAnswer)
     return;
-  if (hasNoBody(What.m_Status)) {
-    appendHead(What, {});
+  if (hasNoBody(Answer.m_Status)) {
+    appendHead(Answer, {});
   } else {
-    appendHead(What, {{"Content-Length", std::to_string(What.m_Body.size())}});
-    if (!m_HeadOnly)
-      m_Out += What.m_Body;
+    appendHead(Answer,
+               {{"Content-Length", std::to_string(Answer.m_Body.size())}});
+    if (!m_IsHeadRequest)
+      m_Output += Answer.m_Body;
   }
-  answered();
+  finishAnswer();
 }
 
 void CallerConnection::beginStream(const CallerAnswer &Head) {
-  if (m_Phase != Phase::Held)
+  if (m_Phase != Phase::AwaitingAnswer)
     return;
   m_Phase = Phase::Streaming;
-  m_Chunked = m_Parser->takesChunks();
+  m_IsChunked = m_Parser->takesChunks();
   CallerAnswer Streamed = Head;
   std::erase_if(Streamed.m_Headers, [](const HeaderField &Field) {
     return sameHeader(Field.m_Name, "Cache-Control");
   });
   HeaderList Framing = {{"Cache-Control", "no-cache"}};
-  if (m_Chunked)
+  if (m_IsChunked)
     Framing.push_back({"Transfer-Encoding", "chunked"});
   appendHead(Streamed, Framing);
   write();
 }
 
 void CallerConnection::append(const std::string &Bytes) {
-  if (m_Phase != Phase::Streaming || Bytes.empty() || m_HeadOnly)
+  if (m_Phase != Phase::Streaming || Bytes.empty() || m_IsHeadRequest)
     return;
-  const bool Waits = m_Sent < m_Out.size();
-  if (m_Chunked)
-    m_Out += hex(Bytes.size()) + "\r\n" + Bytes + "\r\n";
+  const bool HasBacklog = m_SentBytes < m_Output.size();
+  if (m_IsChunked)
+    m_Output += hex(Bytes.size()) + "\r\n" + Bytes + "\r\n";
   else
-    m_Out += Bytes;
+    m_Output += Bytes;
   // A backlog goes out when the socket reports room, which tells who waits for
   // that.
-  if (!Waits)
+  if (!HasBacklog)
     write();
 }
 
 void CallerConnection::endStream() {
   if (m_Phase != Phase::Streaming)
     return;
-  if (m_Chunked && !m_HeadOnly)
-    m_Out += "0\r\n\r\n";
-  answered();
+  if (m_IsChunked && !m_IsHeadRequest)
+    m_Output += "0\r\n\r\n";
+  finishAnswer();
 }
 
-void CallerConnection::answered() {
+void CallerConnection::finishAnswer() {
   m_Phase = Phase::Flushing;
-  m_Served = true;
-  m_Linger = LingerLimit;
-  if (Handle *Open = release())
-    Open->detach();
+  m_HasServed = true;
+  m_LingerTime = LingerTimeout;
+  if (Handle *OpenHandle = releaseHandle())
+    OpenHandle->detach();
   write();
 }
 
 /// The caller must see that the answer is not whole. One that takes no chunks
 /// sees it only by a reset.
-void CallerConnection::cut() {
-  if (Handle *Open = release())
-    Open->detach();
-  if (m_Phase == Phase::Streaming && !m_Chunked) {
+void CallerConnection::abortAnswer() {
+  if (Handle *OpenHandle = releaseHandle())
+    OpenHandle->detach();
+  if (m_Phase == Phase::Streaming && !m_IsChunked) {
     const linger Reset = {1, 0};
     setsockopt(g_socket_get_fd(m_Socket.get()), SOL_SOCKET, SO_LINGER, &Reset,
                sizeof(Reset));
@@ -439,49 +447,49 @@
 
 /// Never closes the connection, as it runs amid the caller's own work.
 void CallerConnection::write() {
-  while (!m_Broken && m_Sent < m_Out.size()) {
+  while (!m_WriteFailed && m_SentBytes < m_Output.size()) {
     const ssize_t Size =
-        send(g_socket_get_fd(m_Socket.get()), m_Out.data() + m_Sent,
-             m_Out.size() - m_Sent, MSG_NOSIGNAL | MSG_DONTWAIT);
+        send(g_socket_get_fd(m_Socket.get()), m_Output.data() + m_SentBytes,
+             m_Output.size() - m_SentBytes, MSG_NOSIGNAL | MSG_DONTWAIT);
     if (Size < 0 && wouldBlock(errno))
       break;
     if (Size < 0)
-      m_Broken = true; // The socket reports itself as failed.
+      m_WriteFailed = true; // The socket reports itself as failed.
     else
-      m_Sent += static_cast<std::size_t>(Size);
+      m_SentBytes += static_cast<std::size_t>(Size);
   }
-  if (m_Sent == m_Out.size() || m_Broken) {
-    m_Out.clear();
-    m_Sent = 0;
+  if (m_SentBytes == m_Output.size() || m_WriteFailed) {
+    m_Output.clear();
+    m_SentBytes = 0;
     if (m_Phase == Phase::Flushing)
-      flushed();
-  } else if (m_Sent >= WrittenToForget) {
-    m_Out.erase(0, m_Sent);
-    m_Sent = 0;
+      handleFlushed();
+  } else if (m_SentBytes >= CompactThreshold) {
+    m_Output.erase(0, m_SentBytes);
+    m_SentBytes = 0;
   }
   updateWatch();
 }
 
-void CallerConnection::flushed() {
-  if (m_CloseAfter || m_Broken) {
-    discard();
+void CallerConnection::handleFlushed() {
+  if (m_CloseAfterAnswer || m_WriteFailed) {
+    startDiscarding();
     return;
   }
   waitForRequest();
   // Not from here, which may be amid the handling of the last request.
-  if (!m_In.empty() && !m_Parsing)
-    m_Limit.start(Duration::zero(), [this] {
-      watchIdle();
-      takeInput();
+  if (!m_Input.empty() && !m_IsParsing)
+    m_Timer.start(Duration::zero(), [this] {
+      startIdleTimer();
+      processInput();
     });
 }
 
-void CallerConnection::discard() {
+void CallerConnection::startDiscarding() {
   m_Phase = Phase::Discarding;
-  m_In.clear();
-  m_MoreWaits = false;
+  m_Input.clear();
+  m_NextRequestPending = false;
   g_socket_shutdown(m_Socket.get(), 0, 1, nullptr);
-  m_Limit.start(m_Linger, [this] { close(); });
+  m_Timer.start(m_LingerTime, [this] { close(); });
 }
 
 } // namespace crowstep
--- a/src/http/caller_connection.h
+++ b/src/http/caller_connection.h
@@ -32,14 +32,14 @@
   [[nodiscard]] virtual const ArrivalLimits &limits() const = 0;
 
   /// A request has arrived whole and within the limits.
-  virtual void requestArrived(IncomingRequest What,
+  virtual void requestArrived(IncomingRequest Request,
                               std::unique_ptr<Caller> From) = 0;
 
   /// A request was refused while it arrived.
-  virtual void requestRefused(RefusalReason Why) = 0;
+  virtual void requestRefused(RefusalReason Reason) = 0;
 
   /// The connection is closed. It may not be destroyed from within this call.
-  virtual void connectionClosed(CallerConnection &Which) = 0;
+  virtual void connectionClosed(CallerConnection &Connection) = 0;
 };
 
 class CallerConnection final : public SocketListener {
@@ -53,7 +53,7 @@
 
   /// Returns whether a request is being answered.
   [[nodiscard]] bool answering() const {
-    return m_Phase == Phase::Held || m_Phase == Phase::Streaming ||
+    return m_Phase == Phase::AwaitingAnswer || m_Phase == Phase::Streaming ||
            m_Phase == Phase::Flushing;
   }
 
@@ -72,61 +72,63 @@
 
   /// What the connection is doing.
   enum class Phase : std::uint8_t {
-    Arriving,   ///< A request arrives, or none has begun to.
-    Held,       ///< A request waits for its answer.
-    Streaming,  ///< The head of a stream is given, its end is not.
-    Flushing,   ///< The answer is given, and not yet written whole.
-    Discarding, ///< The last answer is written; what comes is thrown away.
-    Closed,     ///< For good.
+    Receiving,      ///< A request arrives, or none has begun to.
+    AwaitingAnswer, ///< A request waits for its answer.
+    Streaming,      ///< The head of a stream is given, its end is not.
+    Flushing,       ///< The answer is given, and not yet written whole.
+    Discarding,     ///< The last answer is written; what comes is thrown away.
+    Closed,         ///< For good.
   };
 
-  void socketReady(SocketEvents What) override;
+  void socketReady(SocketEvents Events) override;
 
-  void readSome();
-  void takeInput();
-  void headArrived();
-  void checkBody();
-  void requestComplete();
+  void readSocket();
+  void processInput();
+  void handleHead();
+  void checkBodySize();
+  void handleRequest();
   void refuse(RefusalReason Reason);
-  void idleTooLong();
+  void handleIdleTimeout();
   void waitForRequest();
-  void watchIdle();
+  void startIdleTimer();
 
-  void answer(const CallerAnswer &What);
+  void answer(const CallerAnswer &Answer);
   void beginStream(const CallerAnswer &Head);
   void append(const std::string &Bytes);
   void endStream();
-  void cut();
+  void abortAnswer();
   [[nodiscard]] bool hasLeft() const;
-  [[nodiscard]] std::size_t backlog() const { return m_Out.size() - m_Sent; }
+  [[nodiscard]] std::size_t backlog() const {
+    return m_Output.size() - m_SentBytes;
+  }
 
-  void appendHead(const CallerAnswer &What, const HeaderList &Framing);
+  void appendHead(const CallerAnswer &Answer, const HeaderList &Framing);
   void write();
-  void flushed();
-  void answered();
-  void discard();
-  void checkStillThere();
+  void handleFlushed();
+  void finishAnswer();
+  void startDiscarding();
+  void detectClose();
   void updateWatch();
-  Handle *release();
+  Handle *releaseHandle();
 
   CallerConnectionOwner &m_Owner; ///< Outlives the connection.
   SocketPtr m_Socket;             ///< Never null; closed with the connection.
   std::optional<SocketWatch> m_Watch;    ///< Null once closed.
-  Timer m_Limit;                         ///< On what is awaited.
+  Timer m_Timer;                         ///< On what is awaited.
   std::optional<RequestParser> m_Parser; ///< Of the present request.
-  Phase m_Phase = Phase::Arriving;       ///< See Phase.
-  Handle *m_Handle = nullptr; ///< Of the request that is held or streamed.
-  std::string m_In;           ///< Read and not yet parsed.
-  std::string m_Out;          ///< To be written.
-  std::size_t m_Sent = 0;     ///< Of m_Out, already written.
-  Duration m_Linger{};        ///< How long it is read on after its last answer.
-  bool m_Parsing = false;     ///< Within takeInput().
-  bool m_Served = false;      ///< A request was answered.
-  bool m_Broken = false;      ///< Nothing can be written any more.
-  bool m_MoreWaits = false;   ///< A further request lies in the socket.
-  bool m_CloseAfter = false;  ///< The present answer is the last.
-  bool m_HeadOnly = false;    ///< The present request is a HEAD.
-  bool m_Chunked = false;     ///< The present stream is sent in chunks.
+  Phase m_Phase = Phase::Receiving;      ///< See Phase.
+  Handle *m_Handle = nullptr;  ///< Of the request that is held or streamed.
+  std::string m_Input;         ///< Read and not yet parsed.
+  std::string m_Output;        ///< To be written.
+  std::size_t m_SentBytes = 0; ///< Of m_Out, already written.
+  Duration m_LingerTime{};    ///< How long it is read on after its last answer.
+  bool m_IsParsing = false;   ///< Within takeInput().
+  bool m_HasServed = false;   ///< A request was answered.
+  bool m_WriteFailed = false; ///< Nothing can be written any more.
+  bool m_NextRequestPending = false; ///< A further request lies in the socket.
+  bool m_CloseAfterAnswer = false;   ///< The present answer is the last.
+  bool m_IsHeadRequest = false;      ///< The present request is a HEAD.
+  bool m_IsChunked = false;          ///< The present stream is sent in chunks.
 };
 
 } // namespace crowstep
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Connections accepted in a row; requests get their turn in between.
-constexpr int AcceptsInARow = 16;
+constexpr int MaxAcceptsPerEvent = 16;
 
 /// Out of descriptors, the waiting connection stays ready and would keep the
 /// loop busy.
@@ -21,20 +21,20 @@
 Front::Front(const ArrivalLimits &Limits, RefusedHandler OnRefused,
              Scheduler &Timers)
     : m_Limits(Limits), m_OnRefused(std::move(OnRefused)), m_Timers(Timers),
-      m_AcceptAgain(Timers), m_Sweep(Timers) {}
+      m_AcceptTimer(Timers), m_CleanupTimer(Timers) {}
 
 Front::~Front() = default;
 
-void Front::listen(const Address &Where, Handler OnRequest) {
+void Front::listen(const Address &ListenAddress, Handler OnRequest) {
   m_Handler = std::move(OnRequest);
-  m_Socket.reset(listeningSocket(Where));
+  m_Socket.reset(listeningSocket(ListenAddress));
   g_socket_set_blocking(m_Socket.get(), 0);
   m_Watch.emplace(g_socket_get_fd(m_Socket.get()), *this);
   m_Watch->watchFor({.m_Read = true});
 }
 
 void Front::stopListening() {
-  m_AcceptAgain.stop();
+  m_AcceptTimer.stop();
   m_Watch.reset();
   if (m_Socket != nullptr)
     g_socket_close(m_Socket.get(), nullptr);
@@ -42,61 +42,63 @@
 }
 
 void Front::socketReady(SocketEvents) {
-  for (int Count = 0; Count < AcceptsInARow; ++Count) {
+  for (int Count = 0; Count < MaxAcceptsPerEvent; ++Count) {
     GError *Failure = nullptr;
     SocketPtr Accepted(g_socket_accept(m_Socket.get(), nullptr, &Failure));
     if (Accepted == nullptr) {
       if (!g_error_matches(Failure, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
-        acceptLater();
+        pauseAccepting();
       g_error_free(Failure);
       return;
     }
-    auto Fresh = std::make_unique<CallerConnection>(std::move(Accepted), *this,
-                                                    m_Timers);
-    CallerConnection *Key = Fresh.get();
-    m_Connections.emplace(Key, std::move(Fresh));
+    auto NewConnection = std::make_unique<CallerConnection>(std::move(Accepted),
+                                                            *this, m_Timers);
+    CallerConnection *Key = NewConnection.get();
+    m_Connections.emplace(Key, std::move(NewConnection));
   }
 }
 
-void Front::acceptLater() {
+void Front::pauseAccepting() {
   m_Watch->watchFor({});
-  m_AcceptAgain.start(AcceptPause,
+  m_AcceptTimer.start(AcceptPause,
                       [this] { m_Watch->watchFor({.m_Read = true}); });
 }
 
-void Front::requestArrived(IncomingRequest What, std::unique_ptr<Caller> From) {
-  m_Handler(std::move(What), std::move(From));
+void Front::requestArrived(IncomingRequest Request,
+                           std::unique_ptr<Caller> From) {
+  m_Handler(std::move(Request), std::move(From));
 }
 
-void Front::requestRefused(RefusalReason Why) { m_OnRefused(Why); }
+void Front::requestRefused(RefusalReason Reason) { m_OnRefused(Reason); }
 
-void Front::connectionClosed(CallerConnection &Which) {
-  auto Node = m_Connections.extract(&Which);
-  m_Closed.push_back(std::move(Node.mapped()));
-  if (!m_Sweep.running())
-    m_Sweep.start(Duration::zero(), [this] { m_Closed.clear(); });
+void Front::connectionClosed(CallerConnection &Connection) {
+  auto Node = m_Connections.extract(&Connection);
+  m_ClosedConnections.push_back(std::move(Node.mapped()));
+  if (!m_CleanupTimer.running())
+    m_CleanupTimer.start(Duration::zero(),
+                         [this] { m_ClosedConnections.clear(); });
 }
 
 void Front::closeIdle() {
   std::vector<CallerConnection *> All;
   All.reserve(m_Connections.size());
-  for (const auto &[Key, Each] : m_Connections)
+  for (const auto &[Key, Owned] : m_Connections)
     All.push_back(Key);
   // A closed one is destroyed from the loop only.
-  for (CallerConnection *Each : All)
-    Each->closeIfIdle();
+  for (CallerConnection *Connection : All)
+    Connection->closeIfIdle();
 }
 
 std::size_t Front::unfinished() const {
   return static_cast<std::size_t>(
-      std::ranges::count_if(m_Connections, [](const auto &Each) {
-        return Each.second->answering();
+      std::ranges::count_if(m_Connections, [](const auto &Entry) {
+        return Entry.second->answering();
       }));
 }
 
 std::size_t Front::open() const {
   return static_cast<std::size_t>(std::ranges::count_if(
-      m_Connections, [](const auto &Each) { return Each.second->busy(); }));
+      m_Connections, [](const auto &Entry) { return Entry.second->busy(); }));
 }
 
 } // namespace crowstep
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -15,8 +15,8 @@
 class Front final : public SocketListener, public CallerConnectionOwner {
 public:
   /// Gets requests that arrived whole and within the limits.
-  using Handler =
-      std::function<void(IncomingRequest What, std::unique_ptr<Caller> From)>;
+  using Handler = std::function<void(IncomingRequest Request,
+                                     std::unique_ptr<Caller> From)>;
 
   /// Hears of each request that was refused while it arrived.
   using RefusedHandler = std::function<void(RefusalReason)>;
@@ -28,7 +28,7 @@
   Front &operator=(const Front &) = delete;
 
   /// Begins to serve. \throws ListenError.
-  void listen(const Address &Where, Handler OnRequest);
+  void listen(const Address &ListenAddress, Handler OnRequest);
 
   /// Replaces the limits for requests that arrive from now on.
   void setLimits(const ArrivalLimits &Limits) { m_Limits = Limits; }
@@ -47,17 +47,17 @@
   [[nodiscard]] std::size_t open() const;
 
 private:
-  void socketReady(SocketEvents What) override;
+  void socketReady(SocketEvents Events) override;
 
   [[nodiscard]] const ArrivalLimits &limits() const override {
     return m_Limits;
   }
-  void requestArrived(IncomingRequest What,
+  void requestArrived(IncomingRequest Request,
                       std::unique_ptr<Caller> From) override;
-  void requestRefused(RefusalReason Why) override;
-  void connectionClosed(CallerConnection &Which) override;
+  void requestRefused(RefusalReason Reason) override;
+  void connectionClosed(CallerConnection &Connection) override;
 
-  void acceptLater();
+  void pauseAccepting();
 
   ArrivalLimits m_Limits;             ///< In force for new arrivals.
   RefusedHandler m_OnRefused;         ///< Never empty.
@@ -65,11 +65,12 @@
   Handler m_Handler;                  ///< See listen().
   SocketPtr m_Socket;                 ///< Listens; null while it doesn't.
   std::optional<SocketWatch> m_Watch; ///< Set with m_Socket.
-  Timer m_AcceptAgain;                ///< Runs after a failure to accept.
+  Timer m_AcceptTimer;                ///< Runs after a failure to accept.
   std::unordered_map<CallerConnection *, std::unique_ptr<CallerConnection>>
-      m_Connections;                                       ///< Open ones.
-  std::vector<std::unique_ptr<CallerConnection>> m_Closed; ///< To be destroyed.
-  Timer m_Sweep; ///< Destroys what is closed.
+      m_Connections; ///< Open ones.
+  std::vector<std::unique_ptr<CallerConnection>>
+      m_ClosedConnections; ///< To be destroyed.
+  Timer m_CleanupTimer;    ///< Destroys what is closed.
 };
 
 } // namespace crowstep
--- a/src/http/header_collector.h
+++ b/src/http/header_collector.h
@@ -20,8 +20,8 @@
   [[nodiscard]] HeaderList take();
 
 private:
-  HeaderList m_Headers;   ///< So far.
-  bool m_InValue = false; ///< The last piece was a value's.
+  HeaderList m_Headers;        ///< So far.
+  bool m_LastWasValue = false; ///< The last piece was a value's.
 };
 
 } // namespace crowstep
--- a/src/http/header_list.cpp
+++ b/src/http/header_list.cpp
@@ -9,18 +9,18 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 10> ConnectionHeaders = {
+constexpr std::array<std::string_view, 10> HopByHopHeaders = {
     "Connection",        "Keep-Alive", "Proxy-Connection",
     "Transfer-Encoding", "TE",         "Trailer",
     "Upgrade",           "Expect",     "Proxy-Authorization",
     "Proxy-Authenticate"};
 
-char lower(char Ch) {
+char toLower(char Ch) {
   return static_cast<char>(std::tolower(static_cast<unsigned char>(Ch)));
 }
 
 /// Returns whether a Connection header's list names \p Name.
-bool listNames(std::string_view List, std::string_view Name) {
+bool listContains(std::string_view List, std::string_view Name) {
   while (!List.empty()) {
     const std::size_t Comma = std::min(List.find(','), List.size());
     std::string_view Item = List.substr(0, Comma);
@@ -38,12 +38,12 @@
 bool isEndToEnd(const HeaderList &All, const HeaderField &Field) {
   if (sameHeader(Field.m_Name, "Content-Length"))
     return false;
-  for (const std::string_view Name : ConnectionHeaders)
+  for (const std::string_view Name : HopByHopHeaders)
     if (sameHeader(Field.m_Name, Name))
       return false;
   return std::none_of(All.begin(), All.end(), [&](const HeaderField &Other) {
     return sameHeader(Other.m_Name, "Connection") &&
-           listNames(Other.m_Value, Field.m_Name);
+           listContains(Other.m_Value, Field.m_Name);
   });
 }
 
@@ -51,7 +51,7 @@
 
 bool sameHeader(std::string_view Left, std::string_view Right) {
   return std::equal(Left.begin(), Left.end(), Right.begin(), Right.end(),
-                    [](char A, char B) { return lower(A) == lower(B); });
+                    [](char A, char B) { return toLower(A) == toLower(B); });
 }
 
 const std::string *findHeader(const HeaderList &Headers,
@@ -71,11 +71,11 @@
 
 HeaderList copyHeaders(SoupMessageHeaders *Headers) {
   HeaderList Result;
-  SoupMessageHeadersIter Next;
-  soup_message_headers_iter_init(&Next, Headers);
+  SoupMessageHeadersIter Iterator;
+  soup_message_headers_iter_init(&Iterator, Headers);
   const char *Name = nullptr;
   const char *Value = nullptr;
-  while (soup_message_headers_iter_next(&Next, &Name, &Value) != 0)
+  while (soup_message_headers_iter_next(&Iterator, &Name, &Value) != 0)
     Result.push_back({Name, Value});
   return Result;
 }
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -48,7 +48,7 @@
   virtual ~HttpCaller() = default;
 
   /// Starts a call; \p OnDone runs exactly once, never from within call().
-  virtual void call(const HttpCall &What, Done OnDone) = 0;
+  virtual void call(const HttpCall &Call, Done OnDone) = 0;
 };
 
 /// HttpCaller over upstream calls. Calls that are open when it goes are
@@ -60,15 +60,16 @@
   HttpClient(const HttpClient &) = delete;
   HttpClient &operator=(const HttpClient &) = delete;
 
-  void call(const HttpCall &What, Done OnDone) override;
+  void call(const HttpCall &Call, Done OnDone) override;
 
 private:
   class Exchange;
 
-  LoopClock m_Clock;           ///< Of the loop.
-  LoopScheduler m_Timers;      ///< Of the loop.
-  HttpUpstreamCaller m_Caller; ///< Sends.
-  std::unordered_map<Exchange *, std::unique_ptr<Exchange>> m_Open; ///< Calls.
+  LoopClock m_Clock;                   ///< Of the loop.
+  LoopScheduler m_Timers;              ///< Of the loop.
+  HttpUpstreamCaller m_UpstreamClient; ///< Sends.
+  std::unordered_map<Exchange *, std::unique_ptr<Exchange>>
+      m_Exchanges; ///< Calls.
 };
 
 } // namespace crowstep
--- a/src/http/keep_alive.cpp
+++ b/src/http/keep_alive.cpp
@@ -11,7 +11,7 @@
 constexpr int ProbeAfterSeconds = 1;
 constexpr int ProbeIntervalSeconds = 1;
 constexpr int ProbeCount = 2;
-constexpr int UnacknowledgedMilliseconds = 3000;
+constexpr int UserTimeoutMilliseconds = 3000;
 
 } // namespace
 
@@ -24,7 +24,7 @@
                       nullptr);
   g_socket_set_option(Socket, IPPROTO_TCP, TCP_KEEPCNT, ProbeCount, nullptr);
   g_socket_set_option(Socket, IPPROTO_TCP, TCP_USER_TIMEOUT,
-                      UnacknowledgedMilliseconds, nullptr);
+                      UserTimeoutMilliseconds, nullptr);
 }
 
 } // namespace crowstep
--- a/src/http/refusal_answer.cpp
+++ b/src/http/refusal_answer.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Returns the kind of error that callers' libraries sort by.
-std::string typeOf(unsigned Status) {
+std::string errorType(unsigned Status) {
   if (Status == 401)
     return "authentication_error";
   if (Status == 429)
@@ -18,7 +18,7 @@
   return "invalid_request_error";
 }
 
-const char *messageOf(RefusalReason Reason) {
+const char *errorMessage(RefusalReason Reason) {
   switch (Reason) {
   case RefusalReason::MalformedBody:
     return "The body is not valid UTF-8 JSON of this resource's form.";
@@ -69,9 +69,9 @@
 
 std::string errorBody(RefusalReason Reason) {
   const nlohmann::json Body = {{"error",
-                                {{"type", typeOf(httpStatusOf(Reason))},
+                                {{"type", errorType(httpStatusOf(Reason))},
                                  {"code", nameOf(Reason)},
-                                 {"message", messageOf(Reason)}}}};
+                                 {"message", errorMessage(Reason)}}}};
   return Body.dump();
 }
 
--- a/src/http/request_parser.cpp
+++ b/src/http/request_parser.cpp
@@ -14,7 +14,7 @@
 
 /// Returns whether the name has a blank. The library reads on as if it had
 /// none, and the next reader may not.
-bool hasBlank(const HeaderField &Field) {
+bool nameHasBlank(const HeaderField &Field) {
   return Field.m_Name.find_first_of(" \t") != std::string::npos;
 }
 
@@ -38,15 +38,15 @@
 
 const http_parser_settings &RequestParser::callbacks() {
   static const http_parser_settings Result = [] {
-    http_parser_settings Fresh{};
-    Fresh.on_message_begin = onMessageBegin;
-    Fresh.on_url = onTarget;
-    Fresh.on_header_field = onHeaderField;
-    Fresh.on_header_value = onHeaderValue;
-    Fresh.on_headers_complete = onHeadersComplete;
-    Fresh.on_body = onBody;
-    Fresh.on_message_complete = onMessageComplete;
-    return Fresh;
+    http_parser_settings Settings{};
+    Settings.on_message_begin = onMessageBegin;
+    Settings.on_url = onTarget;
+    Settings.on_header_field = onHeaderField;
+    Settings.on_header_value = onHeaderValue;
+    Settings.on_headers_complete = onHeadersComplete;
+    Settings.on_body = onBody;
+    Settings.on_message_complete = onMessageComplete;
+    return Settings;
   }();
   return Result;
 }
@@ -54,15 +54,15 @@
 std::size_t RequestParser::feed(std::string_view Bytes) {
   if (m_State == ArrivalState::Complete || m_State == ArrivalState::Invalid)
     return 0;
-  const std::size_t Used =
+  const std::size_t Consumed =
       http_parser_execute(&m_Parser, &callbacks(), Bytes.data(), Bytes.size());
-  const http_errno Outcome = HTTP_PARSER_ERRNO(&m_Parser);
-  if (Outcome == HPE_PAUSED)
+  const http_errno Error = HTTP_PARSER_ERRNO(&m_Parser);
+  if (Error == HPE_PAUSED)
     http_parser_pause(&m_Parser, 0);
-  else if (Outcome != HPE_OK || Used < Bytes.size())
+  else if (Error != HPE_OK || Consumed < Bytes.size())
     // What it leaves without an error it takes for another protocol's.
     m_State = ArrivalState::Invalid;
-  return Used;
+  return Consumed;
 }
 
 bool RequestParser::headTooLarge() const {
@@ -100,7 +100,7 @@
                                  size_t Size) {
   RequestParser &Self = ownerOf(Parser);
   if (Self.m_State == ArrivalState::Head) // Trailers are not passed on.
-    Self.m_Pieces.appendName({At, Size});
+    Self.m_HeaderCollector.appendName({At, Size});
   return 0;
 }
 
@@ -108,19 +108,19 @@
                                  size_t Size) {
   RequestParser &Self = ownerOf(Parser);
   if (Self.m_State == ArrivalState::Head)
-    Self.m_Pieces.appendValue({At, Size});
+    Self.m_HeaderCollector.appendValue({At, Size});
   return 0;
 }
 
-bool RequestParser::takeHead() {
-  m_Request.m_Headers = m_Pieces.take();
-  if (std::ranges::any_of(m_Request.m_Headers, hasBlank))
+bool RequestParser::processHead() {
+  m_Request.m_Headers = m_HeaderCollector.take();
+  if (std::ranges::any_of(m_Request.m_Headers, nameHasBlank))
     return false;
   m_Request.m_Method =
       http_method_str(static_cast<http_method>(m_Parser.method));
   m_Request.m_Target = pathAndQuery(m_Request.m_Target);
   if (m_Parser.content_length != std::numeric_limits<std::uint64_t>::max())
-    m_StatedLength = m_Parser.content_length;
+    m_ContentLength = m_Parser.content_length;
   m_KeepAlive = http_should_keep_alive(&m_Parser) != 0;
   m_State = ArrivalState::Body;
   return true;
@@ -128,7 +128,7 @@
 
 int RequestParser::onHeadersComplete(http_parser *Parser) {
   constexpr int Fail = -1;
-  if (!ownerOf(Parser).takeHead())
+  if (!ownerOf(Parser).processHead())
     return Fail;
   // What the head says is checked before any of the body is taken.
   http_parser_pause(Parser, 1);
--- a/src/http/request_parser.h
+++ b/src/http/request_parser.h
@@ -45,7 +45,7 @@
   [[nodiscard]] IncomingRequest takeRequest() { return std::move(m_Request); }
 
   /// Returns the length that the head states, or 0.
-  [[nodiscard]] std::uint64_t statedLength() const { return m_StatedLength; }
+  [[nodiscard]] std::uint64_t statedLength() const { return m_ContentLength; }
 
   /// Returns whether the head was too long to be read.
   [[nodiscard]] bool headTooLarge() const;
@@ -69,13 +69,13 @@
   static int onBody(http_parser *Parser, const char *At, size_t Size);
   static int onMessageComplete(http_parser *Parser);
   static const http_parser_settings &callbacks();
-  bool takeHead();
+  bool processHead();
 
-  http_parser m_Parser{};           ///< Points back to this object.
-  IncomingRequest m_Request;        ///< So far.
-  HeaderCollector m_Pieces;         ///< Of the head.
-  bool m_KeepAlive = false;         ///< See wantsToKeepConnection().
-  std::uint64_t m_StatedLength = 0; ///< See statedLength().
+  http_parser m_Parser{};            ///< Points back to this object.
+  IncomingRequest m_Request;         ///< So far.
+  HeaderCollector m_HeaderCollector; ///< Of the head.
+  bool m_KeepAlive = false;          ///< See wantsToKeepConnection().
+  std::uint64_t m_ContentLength = 0; ///< See statedLength().
   ArrivalState m_State = ArrivalState::Nothing; ///< Only goes on.
 };
 
--- a/src/http/socket_state.cpp
+++ b/src/http/socket_state.cpp
@@ -11,8 +11,8 @@
 }
 
 bool closedByPeer(GSocket *Socket) {
-  pollfd Asked = {g_socket_get_fd(Socket), POLLRDHUP, 0};
-  return poll(&Asked, 1, 0) > 0;
+  pollfd Descriptor = {g_socket_get_fd(Socket), POLLRDHUP, 0};
+  return poll(&Descriptor, 1, 0) > 0;
 }
 
 } // namespace crowstep
--- a/src/http/sse_splitter.cpp
+++ b/src/http/sse_splitter.cpp
@@ -8,15 +8,15 @@
 namespace {
 
 /// Returns the length up to and with the first blank line, or npos.
-std::size_t lengthOfFirst(std::string_view Text) {
-  const std::size_t Plain = Text.find("\n\n");
-  const std::size_t Carriage = Text.find("\r\n\r\n");
-  if (Carriage < Plain)
-    return Carriage + 4;
-  return Plain == std::string_view::npos ? Plain : Plain + 2;
+std::size_t firstEventLength(std::string_view Text) {
+  const std::size_t LfEnd = Text.find("\n\n");
+  const std::size_t CrLfEnd = Text.find("\r\n\r\n");
+  if (CrLfEnd < LfEnd)
+    return CrLfEnd + 4;
+  return LfEnd == std::string_view::npos ? LfEnd : LfEnd + 2;
 }
 
-std::optional<std::uint64_t> idOf(std::string_view Event) {
+std::optional<std::uint64_t> parseId(std::string_view Event) {
   std::optional<std::uint64_t> Result;
   while (!Event.empty()) {
     const std::size_t End = std::min(Event.find('\n'), Event.size() - 1);
@@ -38,20 +38,20 @@
 } // namespace
 
 std::vector<SseEvent> SseSplitter::feed(std::string_view Bytes) {
-  m_Rest.append(Bytes);
+  m_Partial.append(Bytes);
   std::vector<SseEvent> Result;
   std::size_t Begin = 0;
-  const std::string_view All = m_Rest;
+  const std::string_view All = m_Partial;
   for (;;) {
-    const std::string_view Left = All.substr(Begin);
-    const std::size_t Length = lengthOfFirst(Left);
+    const std::string_view Remaining = All.substr(Begin);
+    const std::size_t Length = firstEventLength(Remaining);
     if (Length == std::string_view::npos)
       break;
-    const std::string_view Event = Left.substr(0, Length);
-    Result.push_back({std::string(Event), idOf(Event)});
+    const std::string_view Event = Remaining.substr(0, Length);
+    Result.push_back({std::string(Event), parseId(Event)});
     Begin += Length;
   }
-  m_Rest.erase(0, Begin);
+  m_Partial.erase(0, Begin);
   return Result;
 }
 
--- a/src/http/sse_splitter.h
+++ b/src/http/sse_splitter.h
@@ -24,10 +24,10 @@
   std::vector<SseEvent> feed(std::string_view Bytes);
 
   /// Returns whether bytes of an event that is not whole are held.
-  [[nodiscard]] bool midEvent() const { return !m_Rest.empty(); }
+  [[nodiscard]] bool midEvent() const { return !m_Partial.empty(); }
 
 private:
-  std::string m_Rest; ///< Begin of an event that is not yet whole.
+  std::string m_Partial; ///< Begin of an event that is not yet whole.
 };
 
 } // namespace crowstep
--- a/src/http/upstream_call.h
+++ b/src/http/upstream_call.h
@@ -48,7 +48,7 @@
   virtual ~UpstreamListener() = default;
   virtual void upstreamHeaders(unsigned Status, const HeaderList &Headers) = 0;
   virtual void upstreamBytes(std::string_view Bytes) = 0;
-  virtual void upstreamEnded(TransportEnd How) = 0;
+  virtual void upstreamEnded(TransportEnd End) = 0;
 };
 
 /// A call on its way; destroying it closes its connection.
@@ -65,7 +65,7 @@
 public:
   virtual ~UpstreamCaller() = default;
   /// \p Listener outlives the call; it hears nothing from within send().
-  virtual std::unique_ptr<UpstreamCall> send(const UpstreamSend &What,
+  virtual std::unique_ptr<UpstreamCall> send(const UpstreamSend &Request,
                                              UpstreamListener &Listener) = 0;
 };
 
@@ -83,29 +83,29 @@
   virtual ~UpstreamProber() = default;
   /// \p OnDone runs once, not from within probe(), and may destroy the probe.
   virtual std::unique_ptr<UpstreamProbe>
-  probe(const Address &Where, Duration Limit, ProbeDone OnDone) = 0;
+  probe(const Address &Upstream, Duration Timeout, ProbeDone OnDone) = 0;
 };
 
 /// Calls over HTTP/1.1; outlives them.
 class HttpUpstreamCaller final : public UpstreamCaller, public UpstreamProber {
 public:
   HttpUpstreamCaller(const Clock &Time, Scheduler &Timers)
-      : m_Clock(Time), m_Timers(Timers), m_Idle(Time, Timers) {}
+      : m_Clock(Time), m_Timers(Timers), m_IdleConnections(Time, Timers) {}
   HttpUpstreamCaller(const HttpUpstreamCaller &) = delete;
   HttpUpstreamCaller &operator=(const HttpUpstreamCaller &) = delete;
 
   /// \throws UpstreamUriError for a path that can't be sent.
-  std::unique_ptr<UpstreamCall> send(const UpstreamSend &What,
+  std::unique_ptr<UpstreamCall> send(const UpstreamSend &Request,
                                      UpstreamListener &Listener) override;
 
   /// A connection that stands is kept for the next call.
-  std::unique_ptr<UpstreamProbe> probe(const Address &Where, Duration Limit,
-                                       ProbeDone OnDone) override;
+  std::unique_ptr<UpstreamProbe>
+  probe(const Address &Upstream, Duration Timeout, ProbeDone OnDone) override;
 
 private:
-  const Clock &m_Clock;   ///< Outlives the caller.
-  Scheduler &m_Timers;    ///< Outlives the caller.
-  IdleConnections m_Idle; ///< For calls that may be repeated.
+  const Clock &m_Clock;              ///< Outlives the caller.
+  Scheduler &m_Timers;               ///< Outlives the caller.
+  IdleConnections m_IdleConnections; ///< For calls that may be repeated.
 };
 
 } // namespace crowstep
--- a/src/http/upstream_connection.cpp
+++ b/src/http/upstream_connection.cpp
@@ -18,13 +18,13 @@
 
 /// Upstreams close an idle connection after about ten seconds; one that is
 /// given up before is never found closed by a call.
-constexpr Duration IdleLimit = std::chrono::seconds(8);
+constexpr Duration IdleTimeout = std::chrono::seconds(8);
 
-GSocketAddress *socketAddress(const Address &Where) {
+GSocketAddress *socketAddress(const Address &Upstream) {
   sockaddr_in Native{};
   Native.sin_family = AF_INET;
-  Native.sin_port = htons(Where.m_Port);
-  Native.sin_addr.s_addr = htonl(Where.m_Ip);
+  Native.sin_port = htons(Upstream.m_Port);
+  Native.sin_addr.s_addr = htonl(Upstream.m_Ip);
   return g_socket_address_new_from_native(&Native, sizeof(Native));
 }
 
@@ -39,8 +39,8 @@
 }
 
 /// Returns Stands where the socket is connecting or connected.
-ConnectOutcome beginConnecting(GSocket *Socket, const Address &Where) {
-  GSocketAddress *Target = socketAddress(Where);
+ConnectOutcome beginConnecting(GSocket *Socket, const Address &Upstream) {
+  GSocketAddress *Target = socketAddress(Upstream);
   GError *Failure = nullptr;
   g_socket_connect(Socket, Target, nullptr, &Failure);
   g_object_unref(Target);
@@ -52,7 +52,7 @@
 } // namespace
 
 std::variant<std::unique_ptr<UpstreamConnection>, ConnectOutcome>
-UpstreamConnection::open(const Address &Where, SocketListener &Listener) {
+UpstreamConnection::open(const Address &Upstream, SocketListener &Listener) {
   SocketPtr Socket(g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM,
                                 G_SOCKET_PROTOCOL_TCP, nullptr));
   if (Socket == nullptr) // Out of descriptors.
@@ -60,9 +60,9 @@
   g_socket_set_blocking(Socket.get(), 0);
   g_socket_set_option(Socket.get(), IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
   probeConnection(Socket.get());
-  if (const ConnectOutcome Begun = beginConnecting(Socket.get(), Where);
-      Begun != ConnectOutcome::Stands)
-    return Begun;
+  if (const ConnectOutcome Outcome = beginConnecting(Socket.get(), Upstream);
+      Outcome != ConnectOutcome::Stands)
+    return Outcome;
   return std::unique_ptr<UpstreamConnection>(
       new UpstreamConnection(std::move(Socket), Listener));
 }
@@ -112,65 +112,66 @@
          wouldBlock(errno);
 }
 
-void IdleConnections::keep(const Address &Where,
+void IdleConnections::keep(const Address &Upstream,
                            std::unique_ptr<UpstreamConnection> Connection) {
-  auto Fresh = std::make_unique<Idle>();
-  Fresh->m_Owner = this;
-  Fresh->m_Where = Where;
-  Fresh->m_Until = m_Clock.now() + IdleLimit;
-  Fresh->m_Connection = std::move(Connection);
-  Fresh->m_Connection->watch().setListener(*Fresh);
-  Fresh->m_Connection->watch().watchFor({.m_Read = true});
-  m_Idle[Where].push_back(std::move(Fresh));
-  if (!m_Expiry.running())
-    m_Expiry.start(IdleLimit, [this] { closeExpired(); });
+  auto Entry = std::make_unique<IdleConnection>();
+  Entry->m_Pool = this;
+  Entry->m_Address = Upstream;
+  Entry->m_ExpiresAt = m_Clock.now() + IdleTimeout;
+  Entry->m_Connection = std::move(Connection);
+  Entry->m_Connection->watch().setListener(*Entry);
+  Entry->m_Connection->watch().watchFor({.m_Read = true});
+  m_ByUpstream[Upstream].push_back(std::move(Entry));
+  if (!m_ExpiryTimer.running())
+    m_ExpiryTimer.start(IdleTimeout, [this] { closeExpired(); });
 }
 
 std::unique_ptr<UpstreamConnection>
-IdleConnections::take(const Address &Where, SocketListener &Listener) {
-  const auto Found = m_Idle.find(Where);
-  if (Found == m_Idle.end())
+IdleConnections::take(const Address &Upstream, SocketListener &Listener) {
+  const auto Found = m_ByUpstream.find(Upstream);
+  if (Found == m_ByUpstream.end())
     return nullptr;
-  auto &Kept = Found->second;
+  auto &Entries = Found->second;
   std::unique_ptr<UpstreamConnection> Result;
-  while (Result == nullptr && !Kept.empty()) {
-    Result = std::move(Kept.back()->m_Connection);
-    Kept.pop_back();
+  while (Result == nullptr && !Entries.empty()) {
+    Result = std::move(Entries.back()->m_Connection);
+    Entries.pop_back();
     // The loop may not have seen yet that the peer has closed it.
     if (!Result->quiet())
       Result.reset();
   }
-  if (Kept.empty())
-    m_Idle.erase(Found);
+  if (Entries.empty())
+    m_ByUpstream.erase(Found);
   if (Result != nullptr)
     Result->watch().setListener(Listener);
   return Result;
 }
 
-void IdleConnections::drop(const Idle &Which) {
-  const auto Found = m_Idle.find(Which.m_Where);
+void IdleConnections::remove(const IdleConnection &Closed) {
+  const auto Found = m_ByUpstream.find(Closed.m_Address);
   std::erase_if(Found->second,
-                [&](const auto &Each) { return Each.get() == &Which; });
+                [&](const auto &Entry) { return Entry.get() == &Closed; });
   if (Found->second.empty())
-    m_Idle.erase(Found);
+    m_ByUpstream.erase(Found);
 }
 
 void IdleConnections::closeExpired() {
   const TimePoint Now = m_Clock.now();
   std::optional<TimePoint> Next;
-  for (auto Each = m_Idle.begin(); Each != m_Idle.end();) {
-    auto &Kept = Each->second;
-    std::erase_if(Kept, [&](const auto &One) { return One->m_Until <= Now; });
-    if (Kept.empty()) {
-      Each = m_Idle.erase(Each);
+  for (auto Iter = m_ByUpstream.begin(); Iter != m_ByUpstream.end();) {
+    auto &Entries = Iter->second;
+    std::erase_if(Entries,
+                  [&](const auto &Entry) { return Entry->m_ExpiresAt <= Now; });
+    if (Entries.empty()) {
+      Iter = m_ByUpstream.erase(Iter);
       continue;
     }
-    const TimePoint First = Kept.front()->m_Until;
+    const TimePoint First = Entries.front()->m_ExpiresAt;
     Next = Next ? std::min(*Next, First) : First;
-    ++Each;
+    ++Iter;
   }
   if (Next)
-    m_Expiry.start(*Next - Now, [this] { closeExpired(); });
+    m_ExpiryTimer.start(*Next - Now, [this] { closeExpired(); });
 }
 
 } // namespace crowstep
--- a/src/http/upstream_connection.h
+++ b/src/http/upstream_connection.h
@@ -37,7 +37,7 @@
   /// Begins to connect to \p Where; the outcome if that fails at once. The
   /// connection becomes writable once it stands or has failed.
   static std::variant<std::unique_ptr<UpstreamConnection>, ConnectOutcome>
-  open(const Address &Where, SocketListener &Listener);
+  open(const Address &Upstream, SocketListener &Listener);
   ~UpstreamConnection();
   UpstreamConnection(const UpstreamConnection &) = delete;
   UpstreamConnection &operator=(const UpstreamConnection &) = delete;
@@ -70,37 +70,37 @@
 class IdleConnections {
 public:
   IdleConnections(const Clock &Time, Scheduler &Timers)
-      : m_Clock(Time), m_Expiry(Timers) {}
+      : m_Clock(Time), m_ExpiryTimer(Timers) {}
   IdleConnections(const IdleConnections &) = delete;
   IdleConnections &operator=(const IdleConnections &) = delete;
 
   /// Keeps a connection until a call takes it, its peer closes it or sends
   /// anything, or it has been idle for too long.
-  void keep(const Address &Where,
+  void keep(const Address &Upstream,
             std::unique_ptr<UpstreamConnection> Connection);
 
   /// Returns the connection to \p Where that was used last, or null.
-  std::unique_ptr<UpstreamConnection> take(const Address &Where,
+  std::unique_ptr<UpstreamConnection> take(const Address &Upstream,
                                            SocketListener &Listener);
 
 private:
   /// One idle connection.
-  struct Idle final : SocketListener {
-    void socketReady(SocketEvents) override { m_Owner->drop(*this); }
+  struct IdleConnection final : SocketListener {
+    void socketReady(SocketEvents) override { m_Pool->remove(*this); }
 
-    IdleConnections *m_Owner = nullptr;               ///< Never null.
-    Address m_Where;                                  ///< Of the upstream.
-    TimePoint m_Until;                                ///< Closed then.
+    IdleConnections *m_Pool = nullptr;                ///< Never null.
+    Address m_Address;                                ///< Of the upstream.
+    TimePoint m_ExpiresAt;                            ///< Closed then.
     std::unique_ptr<UpstreamConnection> m_Connection; ///< Never null.
   };
 
-  void drop(const Idle &Which);
+  void remove(const IdleConnection &Closed);
   void closeExpired();
 
   const Clock &m_Clock; ///< Outlives this object.
-  Timer m_Expiry;       ///< Runs while any are kept.
+  Timer m_ExpiryTimer;  ///< Runs while any are kept.
   /// By upstream, none empty, each in the order of m_Until.
-  std::map<Address, std::vector<std::unique_ptr<Idle>>> m_Idle;
+  std::map<Address, std::vector<std::unique_ptr<IdleConnection>>> m_ByUpstream;
 };
 
 } // namespace crowstep
--- a/tests/benchmark/connections_benchmark.cpp
+++ b/tests/benchmark/connections_benchmark.cpp
@@ -15,29 +15,29 @@
 
 namespace {
 
-const std::string Request = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n";
+const std::string RequestText = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n";
 const std::string Answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
 /// Sends \p Text and reads until two bytes of a body have come.
 void exchange(int Fd, const std::string &Text) {
   (void)::send(Fd, Text.data(), Text.size(), MSG_NOSIGNAL);
-  std::string Got;
+  std::string Received;
   char Buffer[4096];
-  while (!Got.ends_with("ok")) {
+  while (!Received.ends_with("ok")) {
     const ssize_t Size = recv(Fd, Buffer, sizeof(Buffer), 0);
     if (Size <= 0)
       return;
-    Got.append(Buffer, static_cast<std::size_t>(Size));
+    Received.append(Buffer, static_cast<std::size_t>(Size));
   }
 }
 
-int connectedTo(const Address &Where) {
+int connectedTo(const Address &Server) {
   const int Fd = socket(AF_INET, SOCK_STREAM, 0);
-  sockaddr_in To{};
-  To.sin_family = AF_INET;
-  To.sin_port = htons(Where.m_Port);
-  To.sin_addr.s_addr = htonl(Where.m_Ip);
-  (void)::connect(Fd, reinterpret_cast<sockaddr *>(&To), sizeof(To));
+  sockaddr_in Remote{};
+  Remote.sin_family = AF_INET;
+  Remote.sin_port = htons(Server.m_Port);
+  Remote.sin_addr.s_addr = htonl(Server.m_Ip);
+  (void)::connect(Fd, reinterpret_cast<sockaddr *>(&Remote), sizeof(Remote));
   return Fd;
 }
 
@@ -76,20 +76,20 @@
 };
 
 /// A caller's request on its way.
-struct Forwarded final : UpstreamListener {
+struct ForwardedCall final : UpstreamListener {
   void upstreamHeaders(unsigned, const HeaderList &) override {}
   void upstreamBytes(std::string_view Bytes) override { m_Body += Bytes; }
   void upstreamEnded(TransportEnd) override {
-    CallerAnswer Whole;
-    Whole.m_Body = m_Body;
-    m_Caller->answer(Whole);
-    m_Over = true;
+    CallerAnswer FullAnswer;
+    FullAnswer.m_Body = m_Body;
+    m_Caller->answer(FullAnswer);
+    m_IsDone = true;
   }
 
   std::unique_ptr<Caller> m_Caller;
   std::unique_ptr<UpstreamCall> m_Call;
   std::string m_Body;
-  bool m_Over = false;
+  bool m_IsDone = false;
 };
 
 void forwarding(benchmark::State &State) {
@@ -97,44 +97,46 @@
   LoopScheduler Timers;
   BusyUpstream Upstream;
   HttpUpstreamCaller Caller(Clock, Timers);
-  std::vector<std::unique_ptr<Forwarded>> Open;
+  std::vector<std::unique_ptr<ForwardedCall>> Open;
   Front Callers(
       {1000, 4096, 10s, 600s}, [](RefusalReason) {}, Timers);
-  Address Where;
+  Address ListenAddress;
   {
     const FakeUpstream Free; // Only for a port that is free.
-    Where = Free.m_Address;
+    ListenAddress = Free.m_Address;
   }
-  Callers.listen(Where, [&](const IncomingRequest &,
-                            std::unique_ptr<crowstep::Caller> From) {
-    Open.push_back(std::make_unique<Forwarded>());
-    Open.back()->m_Caller = std::move(From);
-    UpstreamSend What;
-    What.m_Where = Upstream.m_Address;
-    What.m_Path = "/x";
-    What.m_Repeatable = true;
-    What.m_SendBefore = Clock.fresh() + 10s;
-    Open.back()->m_Call = Caller.send(What, *Open.back());
-  });
+  Callers.listen(
+      ListenAddress,
+      [&](const IncomingRequest &, std::unique_ptr<crowstep::Caller> AnswerTo) {
+        Open.push_back(std::make_unique<ForwardedCall>());
+        Open.back()->m_Caller = std::move(AnswerTo);
+        UpstreamSend Request;
+        Request.m_Where = Upstream.m_Address;
+        Request.m_Path = "/x";
+        Request.m_Repeatable = true;
+        Request.m_SendBefore = Clock.fresh() + 10s;
+        Open.back()->m_Call = Caller.send(Request, *Open.back());
+      });
   std::atomic<bool> Served = false;
   const auto Serve = [&](int Fd) {
     Served = false;
     std::thread Client([&] {
-      exchange(Fd, Request);
+      exchange(Fd, RequestText);
       Served = true;
       g_main_context_wakeup(nullptr);
     });
     while (!Served)
       g_main_context_iteration(nullptr, 1);
     Client.join();
-    std::erase_if(Open, [](const auto &Each) { return Each->m_Over; });
+    std::erase_if(Open,
+                  [](const auto &Exchange) { return Exchange->m_IsDone; });
   };
   std::vector<int> Silent;
   for (int Index = 0; Index < State.range(0); ++Index) {
-    Silent.push_back(connectedTo(Where));
+    Silent.push_back(connectedTo(ListenAddress));
     Serve(Silent.back());
   }
-  const int Active = connectedTo(Where);
+  const int Active = connectedTo(ListenAddress);
   for ([[maybe_unused]] auto Iteration : State)
     Serve(Active);
   ::close(Active);
--- a/tests/unit/answer_end_test.cpp
+++ b/tests/unit/answer_end_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr int Plays = 300;
+constexpr int Runs = 300;
 
 const std::string Chunked =
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -23,41 +23,42 @@
 struct Listener final : UpstreamListener {
   void upstreamHeaders(unsigned, const HeaderList &) override {}
   void upstreamBytes(std::string_view Bytes) override { m_Body += Bytes; }
-  void upstreamEnded(TransportEnd How) override { m_End = How; }
+  void upstreamEnded(TransportEnd End) override { m_End = End; }
 
   std::string m_Body;
   std::optional<TransportEnd> m_End;
 };
 
-/// How the plays of one answer ended.
-struct Ends {
+/// How the runs of one answer ended.
+struct EndCounts {
   int m_Whole = 0;
   int m_Broken = 0;
   int m_Other = 0;       ///< Other ends, and plays without one.
   int m_WrongBodies = 0; ///< Whole, but not the body given.
 };
 
-Ends play(const std::string &Answer, const std::string &Body, unsigned Pieces,
-          std::chrono::microseconds LongestGap, int Times = Plays) {
-  BrokenUpstream Upstream(Answer, Pieces, LongestGap);
+EndCounts countEnds(const std::string &Answer, const std::string &Body,
+                    unsigned Pieces, std::chrono::microseconds MaxGap,
+                    int RunCount = Runs) {
+  BrokenUpstream Upstream(Answer, Pieces, MaxGap);
   LoopClock Clock;
   LoopScheduler Timers;
   HttpUpstreamCaller Caller(Clock, Timers);
-  Ends Result;
-  for (int Play = 0; Play < Times; ++Play) {
-    Listener Heard;
-    UpstreamSend What;
-    What.m_Where = Upstream.m_Address;
-    What.m_Path = "/x";
-    What.m_Body = "b";
-    What.m_SendBefore = Clock.fresh() + 10s;
-    const auto Call = Caller.send(What, Heard);
-    pumpUntil([&] { return Heard.m_End.has_value(); });
-    if (Heard.m_End == TransportEnd::Complete) {
+  EndCounts Result;
+  for (int Run = 0; Run < RunCount; ++Run) {
+    Listener CallListener;
+    UpstreamSend Request;
+    Request.m_Where = Upstream.m_Address;
+    Request.m_Path = "/x";
+    Request.m_Body = "b";
+    Request.m_SendBefore = Clock.fresh() + 10s;
+    const auto Call = Caller.send(Request, CallListener);
+    pumpUntil([&] { return CallListener.m_End.has_value(); });
+    if (CallListener.m_End == TransportEnd::Complete) {
       ++Result.m_Whole;
-      if (Heard.m_Body != Body)
+      if (CallListener.m_Body != Body)
         ++Result.m_WrongBodies;
-    } else if (Heard.m_End == TransportEnd::Broken) {
+    } else if (CallListener.m_End == TransportEnd::Broken) {
       ++Result.m_Broken;
     } else {
       ++Result.m_Other;
@@ -67,18 +68,18 @@
 }
 
 void checkWhole(const std::string &Answer, const std::string &Body,
-                unsigned Pieces, std::chrono::microseconds LongestGap,
-                int Times = Plays) {
-  const Ends Result = play(Answer, Body, Pieces, LongestGap, Times);
-  BOOST_TEST(Result.m_Whole == Times);
+                unsigned Pieces, std::chrono::microseconds MaxGap,
+                int RunCount = Runs) {
+  const EndCounts Result = countEnds(Answer, Body, Pieces, MaxGap, RunCount);
+  BOOST_TEST(Result.m_Whole == RunCount);
   BOOST_TEST(Result.m_Broken == 0);
   BOOST_TEST(Result.m_WrongBodies == 0);
 }
 
 void checkBroken(const std::string &Answer, unsigned Pieces,
-                 std::chrono::microseconds LongestGap, int Times = Plays) {
-  const Ends Result = play(Answer, "", Pieces, LongestGap, Times);
-  BOOST_TEST(Result.m_Broken == Times);
+                 std::chrono::microseconds MaxGap, int RunCount = Runs) {
+  const EndCounts Result = countEnds(Answer, "", Pieces, MaxGap, RunCount);
+  BOOST_TEST(Result.m_Broken == RunCount);
   BOOST_TEST(Result.m_Whole == 0);
 }
 
@@ -89,18 +90,19 @@
 BOOST_AUTO_TEST_CASE(AWholeAnswerIsWholeHoweverItsBytesArrive) {
   const std::string Body = "5\r\nwhole\r\n0\r\n\r\n";
   checkWhole(ChunkedAndCloses + Body, "whole", 1, 0us);
-  checkWhole(ChunkedAndCloses + Body, "whole", 4, 60us, 2 * Plays);
+  checkWhole(ChunkedAndCloses + Body, "whole", 4, 60us, 2 * Runs);
   checkWhole(ChunkedAndCloses + Body, "whole", 4, 300us);
-  checkWhole(Chunked + Body, "whole", 4, 60us, 2 * Plays);
+  checkWhole(Chunked + Body, "whole", 4, 60us, 2 * Runs);
 }
 
 /// Guards against the same for last chunks that are spelled in other ways.
 BOOST_AUTO_TEST_CASE(EverySpellingOfALastChunkIsAnEnd) {
-  for (const char *Last :
+  for (const char *LastChunk :
        {"000\r\n\r\n", "0;ext=1\r\n\r\n", "0\r\nX-Trailer: a\r\n\r\n"})
     for (const std::string &Head : {Chunked, ChunkedAndCloses}) {
-      BOOST_TEST_CONTEXT(Last) {
-        checkWhole(Head + "5\r\nwhole\r\n" + Last, "whole", 2, 60us, Plays / 3);
+      BOOST_TEST_CONTEXT(LastChunk) {
+        checkWhole(Head + "5\r\nwhole\r\n" + LastChunk, "whole", 2, 60us,
+                   Runs / 3);
       }
     }
 }
@@ -112,8 +114,8 @@
     checkBroken(Head + "4\r\nhalf\r\n0", 4, 60us);
     checkBroken(Head + "4\r\nhalf\r\n", 4, 60us);
     // Data that ends as a last chunk does, before the end of its own chunk.
-    checkBroken(Head + "7\r\n\r\n0\r\n\r\n", 1, 0us, Plays / 3);
-    checkBroken(Head + "7\r\n\r\n0\r\n\r\n", 4, 60us, Plays / 3);
+    checkBroken(Head + "7\r\n\r\n0\r\n\r\n", 1, 0us, Runs / 3);
+    checkBroken(Head + "7\r\n\r\n0\r\n\r\n", 4, 60us, Runs / 3);
   }
 }
 
@@ -128,10 +130,10 @@
   const std::string Data(40000, 'x');
   const std::string Large = "9c40\r\n" + Data + "\r\n";
   for (const std::string &Head : {Chunked, ChunkedAndCloses}) {
-    checkWhole(Head + Many + "0\r\n\r\n", Body, 8, 60us, Plays / 3);
-    checkBroken(Head + Many, 8, 60us, Plays / 3);
-    checkWhole(Head + Large + "0\r\n\r\n", Data, 8, 60us, Plays / 3);
-    checkBroken(Head + Large, 8, 60us, Plays / 3);
+    checkWhole(Head + Many + "0\r\n\r\n", Body, 8, 60us, Runs / 3);
+    checkBroken(Head + Many, 8, 60us, Runs / 3);
+    checkWhole(Head + Large + "0\r\n\r\n", Data, 8, 60us, Runs / 3);
+    checkBroken(Head + Large, 8, 60us, Runs / 3);
   }
 }
 
--- a/tests/unit/broken_upstream.h
+++ b/tests/unit/broken_upstream.h
@@ -19,14 +19,13 @@
 class BrokenUpstream {
 public:
   BrokenUpstream(std::string Answer, unsigned Pieces,
-                 std::chrono::microseconds LongestGap)
-      : m_Answer(std::move(Answer)), m_Pieces(Pieces),
-        m_LongestGap(LongestGap) {
+                 std::chrono::microseconds MaxGap)
+      : m_Answer(std::move(Answer)), m_Pieces(Pieces), m_MaxGap(MaxGap) {
     std::tie(m_Fd, m_Address) = listenOnLoopback();
     m_Thread = std::thread([this] { serve(); });
   }
   ~BrokenUpstream() {
-    m_Over = true;
+    m_IsStopping = true;
     shutdown(m_Fd, SHUT_RDWR);
     m_Thread.join();
     ::close(m_Fd);
@@ -38,7 +37,7 @@
 
 private:
   void serve() {
-    while (!m_Over) {
+    while (!m_IsStopping) {
       const int Fd = ::accept(m_Fd, nullptr, nullptr);
       if (Fd < 0)
         continue;
@@ -63,25 +62,24 @@
     for (std::size_t Cut = 1; Cut < Cuts.size(); ++Cut) {
       send(Fd, m_Answer.data() + Cuts[Cut - 1], Cuts[Cut] - Cuts[Cut - 1],
            MSG_NOSIGNAL);
-      pause();
+      spinRandomGap();
     }
   }
 
-  void pause() {
-    if (m_LongestGap.count() == 0)
+  void spinRandomGap() {
+    if (m_MaxGap.count() == 0)
       return;
-    const auto End =
-        std::chrono::steady_clock::now() +
-        std::chrono::microseconds(m_Random() % m_LongestGap.count());
+    const auto End = std::chrono::steady_clock::now() +
+                     std::chrono::microseconds(m_Random() % m_MaxGap.count());
     while (std::chrono::steady_clock::now() < End)
       ;
   }
 
   std::string m_Answer;
   unsigned m_Pieces;
-  std::chrono::microseconds m_LongestGap;
+  std::chrono::microseconds m_MaxGap;
   std::mt19937 m_Random{34}; ///< Fixed, for plays that can be repeated.
-  std::atomic<bool> m_Over = false;
+  std::atomic<bool> m_IsStopping = false;
   int m_Fd;
   std::thread m_Thread;
 };
--- a/tests/unit/front_test.cpp
+++ b/tests/unit/front_test.cpp
@@ -13,32 +13,32 @@
 
 namespace {
 
-struct World {
+struct FrontFixture {
   LoopScheduler m_Timers;
   std::vector<RefusalReason> m_Refused;
   Front m_Front{{1000, 4096, 10s, 1s},
                 [this](RefusalReason Reason) { m_Refused.push_back(Reason); },
                 m_Timers};
   std::vector<std::unique_ptr<Caller>> m_Callers;
-  int m_Gone = 0;
-  Address m_Where{INADDR_LOOPBACK, 0};
+  int m_DisconnectCount = 0;
+  Address m_Address{INADDR_LOOPBACK, 0};
 
-  World() {
-    FakeUpstream Free; // Only for a port that is free.
-    m_Where = Free.m_Address;
-    Free.stopListening();
-    m_Front.listen(
-        m_Where, [this](const IncomingRequest &, std::unique_ptr<Caller> From) {
-          m_Callers.push_back(std::move(From));
-          m_Callers.back()->onGone([this] { ++m_Gone; });
-        });
+  FrontFixture() {
+    FakeUpstream FreePort; // Only for a port that is free.
+    m_Address = FreePort.m_Address;
+    FreePort.stopListening();
+    m_Front.listen(m_Address, [this](const IncomingRequest &,
+                                     std::unique_ptr<Caller> AnswerTo) {
+      m_Callers.push_back(std::move(AnswerTo));
+      m_Callers.back()->onGone([this] { ++m_DisconnectCount; });
+    });
   }
-  ~World() { m_Callers.clear(); }
-  World(const World &) = delete;
-  World &operator=(const World &) = delete;
+  ~FrontFixture() { m_Callers.clear(); }
+  FrontFixture(const FrontFixture &) = delete;
+  FrontFixture &operator=(const FrontFixture &) = delete;
 
-  std::unique_ptr<Peer> sent(const std::string &Text) const {
-    auto Result = Peer::connect(m_Where);
+  std::unique_ptr<Peer> connectAndSend(const std::string &Text) const {
+    auto Result = Peer::connect(m_Address);
     Result->send(Text);
     return Result;
   }
@@ -56,16 +56,17 @@
 /// One reader goes by the length, another by the chunks: the rest of the body
 /// would be a second request, with whatever key its sender chose.
 BOOST_AUTO_TEST_CASE(AmbiguousFramingIsRefused) {
-  World It;
+  FrontFixture Fixture;
   for (const char *Framing :
        {"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
         "Content-Length: 5\r\nContent-Length: 7\r\n", "Content-Length: +5\r\n",
         "Transfer-Encoding: gzip, chunked\r\n"}) {
-    const std::size_t Before = It.m_Callers.size();
-    const auto Caller = It.sent("POST /x HTTP/1.1\r\nHost: h\r\n" +
-                                std::string(Framing) + "\r\n0\r\n\r\n" + Get);
+    const std::size_t Before = Fixture.m_Callers.size();
+    const auto Caller =
+        Fixture.connectAndSend("POST /x HTTP/1.1\r\nHost: h\r\n" +
+                               std::string(Framing) + "\r\n0\r\n\r\n" + Get);
     BOOST_TEST(pumpUntil([&] { return Caller->closed(); }));
-    BOOST_TEST(It.m_Callers.size() == Before);
+    BOOST_TEST(Fixture.m_Callers.size() == Before);
     BOOST_TEST(!Caller->has("200 OK"));
   }
 }
@@ -83,8 +84,8 @@
     for (const bool HalfClosed : {false, true})
       for (const bool InPieces : {false, true})
         BOOST_TEST_CONTEXT(Text << HalfClosed << InPieces) {
-          World It;
-          const auto Caller = It.sent(InPieces ? Head : Text);
+          FrontFixture Fixture;
+          const auto Caller = Fixture.connectAndSend(InPieces ? Head : Text);
           if (InPieces) {
             pumpFor(2ms);
             Caller->send(Text.substr(Head.size()));
@@ -95,7 +96,7 @@
           else
             Caller->close();
           pumpFor(20ms);
-          BOOST_TEST(It.m_Callers.empty());
+          BOOST_TEST(Fixture.m_Callers.empty());
         }
 }
 
@@ -103,31 +104,31 @@
 /// further request that nobody has read: its work must stop.
 BOOST_AUTO_TEST_CASE(AHalfClosedCallerIsGone) {
   for (const std::string &Text : {Get, Get + Get}) {
-    World It;
-    const auto Caller = It.sent(Text);
-    BOOST_TEST(pumpUntil([&] { return It.m_Callers.size() == 1; }));
-    BOOST_TEST(!It.m_Callers[0]->hasLeft());
+    FrontFixture Fixture;
+    const auto Caller = Fixture.connectAndSend(Text);
+    BOOST_TEST(pumpUntil([&] { return Fixture.m_Callers.size() == 1; }));
+    BOOST_TEST(!Fixture.m_Callers[0]->hasLeft());
     shutdown(Caller->fd(), SHUT_WR);
-    BOOST_TEST(pumpUntil([&] { return It.m_Gone == 1; }));
-    BOOST_TEST(It.m_Callers[0]->hasLeft());
+    BOOST_TEST(pumpUntil([&] { return Fixture.m_DisconnectCount == 1; }));
+    BOOST_TEST(Fixture.m_Callers[0]->hasLeft());
   }
 }
 
 /// A kept connection that lies idle is closed by its limit, or at shutdown; one
 /// whose request is being answered is not.
 BOOST_AUTO_TEST_CASE(IdleConnectionsAreClosed) {
-  World It;
-  const auto Idle = It.sent(Get);
-  BOOST_TEST(pumpUntil([&] { return It.m_Callers.size() == 1; }));
-  It.answerLast();
+  FrontFixture Fixture;
+  const auto Idle = Fixture.connectAndSend(Get);
+  BOOST_TEST(pumpUntil([&] { return Fixture.m_Callers.size() == 1; }));
+  Fixture.answerLast();
   BOOST_TEST(pumpUntil([&] { return Idle->has("ok"); }));
-  const auto Busy = It.sent(Get);
-  BOOST_TEST(pumpUntil([&] { return It.m_Callers.size() == 2; }));
+  const auto Busy = Fixture.connectAndSend(Get);
+  BOOST_TEST(pumpUntil([&] { return Fixture.m_Callers.size() == 2; }));
   BOOST_TEST(!Idle->closed());
-  It.m_Front.closeIdle();
+  Fixture.m_Front.closeIdle();
   BOOST_TEST(pumpUntil([&] { return Idle->closed(); }));
   BOOST_TEST(!Busy->closed());
-  It.answerLast();
+  Fixture.answerLast();
   BOOST_TEST(pumpUntil([&] { return Busy->has("ok"); }));
   BOOST_TEST(pumpUntil([&] { return Busy->closed(); })); // After its limit.
 }
@@ -135,57 +136,58 @@
 /// Guards against a header that two readers take for two different ones, the
 /// length of the body among them.
 BOOST_AUTO_TEST_CASE(ABlankBehindAHeadersNameIsRefused) {
-  World It;
+  FrontFixture Fixture;
   for (const char *Field : {"Content-Length : 5", "X-Key : k"}) {
-    const auto Caller = It.sent("POST /x HTTP/1.1\r\nHost: h\r\n" +
-                                std::string(Field) + "\r\n\r\nabcde" + Get);
+    const auto Caller =
+        Fixture.connectAndSend("POST /x HTTP/1.1\r\nHost: h\r\n" +
+                               std::string(Field) + "\r\n\r\nabcde" + Get);
     BOOST_TEST(pumpUntil([&] { return Caller->closed(); }));
     BOOST_TEST(Caller->has("HTTP/1.1 400 "));
-    BOOST_TEST(It.m_Callers.empty());
+    BOOST_TEST(Fixture.m_Callers.empty());
   }
 }
 
 /// Guards against requests that are lost, answered out of turn or joined where
 /// a caller sends the next one before the last is answered.
 BOOST_AUTO_TEST_CASE(RequestsSentAheadAreAnsweredInTurn) {
-  World It;
-  const auto Caller =
-      It.sent("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody" +
-              Get + Get);
-  for (std::size_t Turn = 1; Turn <= 3; ++Turn) {
-    BOOST_TEST(pumpUntil([&] { return It.m_Callers.size() == Turn; }));
+  FrontFixture Fixture;
+  const auto Caller = Fixture.connectAndSend(
+      "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody" + Get +
+      Get);
+  for (std::size_t Number = 1; Number <= 3; ++Number) {
+    BOOST_TEST(pumpUntil([&] { return Fixture.m_Callers.size() == Number; }));
     pumpFor(5ms);
-    BOOST_TEST(It.m_Callers.size() == Turn);
+    BOOST_TEST(Fixture.m_Callers.size() == Number);
     CallerAnswer Answer;
-    Answer.m_Body = "answer " + std::to_string(Turn);
-    It.m_Callers.back()->answer(Answer);
+    Answer.m_Body = "answer " + std::to_string(Number);
+    Fixture.m_Callers.back()->answer(Answer);
     BOOST_TEST(pumpUntil([&] { return Caller->has(Answer.m_Body); }));
   }
   BOOST_TEST(!Caller->closed());
-  BOOST_TEST(It.m_Gone == 0);
+  BOOST_TEST(Fixture.m_DisconnectCount == 0);
 }
 
 /// Guards against a part of the next request that is forgotten as the last one
 /// is answered.
 BOOST_AUTO_TEST_CASE(APartOfTheNextRequestIsKept) {
-  World It;
-  const auto Caller = It.sent(Get + Get.substr(0, 9));
-  BOOST_TEST(pumpUntil([&] { return It.m_Callers.size() == 1; }));
+  FrontFixture Fixture;
+  const auto Caller = Fixture.connectAndSend(Get + Get.substr(0, 9));
+  BOOST_TEST(pumpUntil([&] { return Fixture.m_Callers.size() == 1; }));
   Caller->send(Get.substr(9, 9));
   g_usleep(2000);
-  It.answerLast();
+  Fixture.answerLast();
   pumpFor(5ms);
   Caller->send(Get.substr(18));
-  BOOST_TEST(pumpUntil([&] { return It.m_Callers.size() == 2; }));
+  BOOST_TEST(pumpUntil([&] { return Fixture.m_Callers.size() == 2; }));
 }
 
 /// Guards against a refusal that is lost by a reset while the caller still
 /// sends the body that was refused, on a connection that has served before.
 BOOST_AUTO_TEST_CASE(ARefusedBodyIsReadToItsLimit) {
-  World It;
-  const auto Caller = It.sent(Get);
-  BOOST_TEST(pumpUntil([&] { return It.m_Callers.size() == 1; }));
-  It.answerLast();
+  FrontFixture Fixture;
+  const auto Caller = Fixture.connectAndSend(Get);
+  BOOST_TEST(pumpUntil([&] { return Fixture.m_Callers.size() == 1; }));
+  Fixture.answerLast();
   BOOST_TEST(pumpUntil([&] { return Caller->has("ok"); }));
   Caller->send("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 9999\r\n\r\n");
   for (int Piece = 0; Piece < 8; ++Piece) {
@@ -193,20 +195,20 @@
     BOOST_TEST(::send(Caller->fd(), "part", 4, MSG_NOSIGNAL) == 4);
   }
   BOOST_TEST(Caller->has("HTTP/1.1 413 "));
-  BOOST_TEST((It.m_Refused == std::vector{RefusalReason::BodyTooLarge}));
+  BOOST_TEST((Fixture.m_Refused == std::vector{RefusalReason::BodyTooLarge}));
 }
 
 /// Guards against a stream that is cut and looks complete.
 BOOST_AUTO_TEST_CASE(ACutStreamHasNoEnd) {
   for (const char *Version : {"1.1", "1.0"}) {
-    World It;
-    const auto Caller =
-        It.sent("GET /x HTTP/" + std::string(Version) + "\r\nHost: h\r\n\r\n");
-    BOOST_TEST(pumpUntil([&] { return It.m_Callers.size() == 1; }));
-    It.m_Callers[0]->beginStream(CallerAnswer());
-    It.m_Callers[0]->append("id: 1\n\n");
+    FrontFixture Fixture;
+    const auto Caller = Fixture.connectAndSend(
+        "GET /x HTTP/" + std::string(Version) + "\r\nHost: h\r\n\r\n");
+    BOOST_TEST(pumpUntil([&] { return Fixture.m_Callers.size() == 1; }));
+    Fixture.m_Callers[0]->beginStream(CallerAnswer());
+    Fixture.m_Callers[0]->append("id: 1\n\n");
     BOOST_TEST(pumpUntil([&] { return Caller->has("id: 1"); }));
-    It.m_Callers[0]->drop();
+    Fixture.m_Callers[0]->drop();
     BOOST_TEST(pumpUntil([&] { return Caller->closed(); }));
     BOOST_TEST(!Caller->has("0\r\n\r\n"));
     // Without chunks nothing but a reset tells that the stream is cut.
@@ -217,25 +219,25 @@
 /// Guards against a process that holds the whole answer of a caller that reads
 /// slowly, and against one that forgets to go on.
 BOOST_AUTO_TEST_CASE(ASlowReaderIsToldByTheBacklog) {
-  World It;
-  const auto Caller = It.sent(Get);
-  BOOST_TEST(pumpUntil([&] { return It.m_Callers.size() == 1; }));
+  FrontFixture Fixture;
+  const auto Caller = Fixture.connectAndSend(Get);
+  BOOST_TEST(pumpUntil([&] { return Fixture.m_Callers.size() == 1; }));
   int Drained = 0;
-  It.m_Callers[0]->onDrained([&] { ++Drained; });
-  It.m_Callers[0]->beginStream(CallerAnswer());
+  Fixture.m_Callers[0]->onDrained([&] { ++Drained; });
+  Fixture.m_Callers[0]->beginStream(CallerAnswer());
   const std::string Event(1 << 20, 'x');
   std::size_t Given = 0;
-  while (It.m_Callers[0]->backlog() == 0 && Given < 64 * Event.size()) {
-    It.m_Callers[0]->append(Event);
+  while (Fixture.m_Callers[0]->backlog() == 0 && Given < 64 * Event.size()) {
+    Fixture.m_Callers[0]->append(Event);
     Given += Event.size();
   }
-  BOOST_TEST(It.m_Callers[0]->backlog() > 0U);
+  BOOST_TEST(Fixture.m_Callers[0]->backlog() > 0U);
   BOOST_TEST(pumpUntil([&] {
     Caller->received();
-    return It.m_Callers[0]->backlog() == 0;
+    return Fixture.m_Callers[0]->backlog() == 0;
   }));
   BOOST_TEST(Drained > 0);
-  It.m_Callers[0]->endStream();
+  Fixture.m_Callers[0]->endStream();
   BOOST_TEST(pumpUntil([&] { return Caller->has("\r\n0\r\n\r\n"); }));
   BOOST_TEST(Caller->received().size() > Given);
 }
@@ -243,20 +245,20 @@
 /// Guards against a stream that stops for good: its upstream is held back for
 /// the backlog, and a later event finds room and writes the backlog along.
 BOOST_AUTO_TEST_CASE(ABacklogIsAlwaysReportedAsDrained) {
-  World It;
-  const auto Caller = It.sent(Get);
-  BOOST_TEST(pumpUntil([&] { return It.m_Callers.size() == 1; }));
+  FrontFixture Fixture;
+  const auto Caller = Fixture.connectAndSend(Get);
+  BOOST_TEST(pumpUntil([&] { return Fixture.m_Callers.size() == 1; }));
   int Drained = 0;
-  It.m_Callers[0]->onDrained([&] { ++Drained; });
-  It.m_Callers[0]->beginStream(CallerAnswer());
+  Fixture.m_Callers[0]->onDrained([&] { ++Drained; });
+  Fixture.m_Callers[0]->beginStream(CallerAnswer());
   const std::string Event(1 << 16, 'x');
-  while (It.m_Callers[0]->backlog() == 0)
-    It.m_Callers[0]->append(Event);
+  while (Fixture.m_Callers[0]->backlog() == 0)
+    Fixture.m_Callers[0]->append(Event);
   Caller->received();
-  It.m_Callers[0]->append("x");
+  Fixture.m_Callers[0]->append("x");
   BOOST_TEST(pumpUntil([&] {
     Caller->received();
-    return It.m_Callers[0]->backlog() == 0;
+    return Fixture.m_Callers[0]->backlog() == 0;
   }));
   BOOST_TEST(Drained > 0);
 }
@@ -264,58 +266,59 @@
 /// Guards against bodies where HTTP has none, which the caller would take for
 /// the next answer.
 BOOST_AUTO_TEST_CASE(AnswersWithoutABodyHaveNone) {
-  World It;
-  const auto Caller = It.sent("HEAD /x HTTP/1.1\r\nHost: h\r\n\r\n" + Get);
-  BOOST_TEST(pumpUntil([&] { return It.m_Callers.size() == 1; }));
-  It.answerLast();
-  BOOST_TEST(pumpUntil([&] { return It.m_Callers.size() == 2; }));
+  FrontFixture Fixture;
+  const auto Caller =
+      Fixture.connectAndSend("HEAD /x HTTP/1.1\r\nHost: h\r\n\r\n" + Get);
+  BOOST_TEST(pumpUntil([&] { return Fixture.m_Callers.size() == 1; }));
+  Fixture.answerLast();
+  BOOST_TEST(pumpUntil([&] { return Fixture.m_Callers.size() == 2; }));
   BOOST_TEST(Caller->received().ends_with("Content-Length: 2\r\n\r\n"));
   CallerAnswer Empty;
   Empty.m_Status = 204;
-  It.m_Callers.back()->answer(Empty);
+  Fixture.m_Callers.back()->answer(Empty);
   BOOST_TEST(pumpUntil([&] { return Caller->has("204 No Content"); }));
   BOOST_TEST(Caller->received().ends_with("\r\n\r\n"));
 }
 
 /// Guards against a caller that waits for leave to send its body.
 BOOST_AUTO_TEST_CASE(ACallerThatAsksFirstIsToldToGoOn) {
-  World It;
-  const auto Caller = It.sent("POST /x HTTP/1.1\r\nHost: h\r\n"
-                              "Expect: 100-continue\r\n"
-                              "Content-Length: 4\r\n\r\n");
+  FrontFixture Fixture;
+  const auto Caller = Fixture.connectAndSend("POST /x HTTP/1.1\r\nHost: h\r\n"
+                                             "Expect: 100-continue\r\n"
+                                             "Content-Length: 4\r\n\r\n");
   BOOST_TEST(pumpUntil([&] { return Caller->has("100 Continue\r\n\r\n"); }));
-  BOOST_TEST(It.m_Callers.empty());
+  BOOST_TEST(Fixture.m_Callers.empty());
   Caller->send("body");
-  BOOST_TEST(pumpUntil([&] { return It.m_Callers.size() == 1; }));
+  BOOST_TEST(pumpUntil([&] { return Fixture.m_Callers.size() == 1; }));
 }
 
 /// Guards against a reset for a request that came in time and was not read yet,
 /// as the process was held up over the end of the idle limit.
 BOOST_AUTO_TEST_CASE(ARequestThatCameInTimeIsReadAfterAPause) {
-  World It;
-  const auto Caller = It.sent(Get);
-  BOOST_TEST(pumpUntil([&] { return It.m_Callers.size() == 1; }));
-  It.answerLast();
+  FrontFixture Fixture;
+  const auto Caller = Fixture.connectAndSend(Get);
+  BOOST_TEST(pumpUntil([&] { return Fixture.m_Callers.size() == 1; }));
+  Fixture.answerLast();
   BOOST_TEST(pumpUntil([&] { return Caller->has("ok"); }));
   Caller->send(Get);
   g_usleep(1200000);
-  BOOST_TEST(pumpUntil([&] { return It.m_Callers.size() == 2; }));
+  BOOST_TEST(pumpUntil([&] { return Fixture.m_Callers.size() == 2; }));
   BOOST_TEST(!Caller->closed());
 }
 
 /// Guards against a request that is reset at shutdown though it has come.
 BOOST_AUTO_TEST_CASE(ARequestThatHasComeIsReadBeforeIdleOnesAreClosed) {
-  World It;
-  const auto Caller = It.sent(Get);
-  BOOST_TEST(pumpUntil([&] { return It.m_Callers.size() == 1; }));
-  It.answerLast();
+  FrontFixture Fixture;
+  const auto Caller = Fixture.connectAndSend(Get);
+  BOOST_TEST(pumpUntil([&] { return Fixture.m_Callers.size() == 1; }));
+  Fixture.answerLast();
   BOOST_TEST(pumpUntil([&] { return Caller->has("ok"); }));
   Caller->send(Get);
   g_usleep(2000);
-  It.m_Front.closeIdle();
-  BOOST_TEST(It.m_Callers.size() == 2U);
-  BOOST_TEST(It.m_Front.open() == 1U);
-  BOOST_TEST(It.m_Front.unfinished() == 1U);
+  Fixture.m_Front.closeIdle();
+  BOOST_TEST(Fixture.m_Callers.size() == 2U);
+  BOOST_TEST(Fixture.m_Front.open() == 1U);
+  BOOST_TEST(Fixture.m_Front.unfinished() == 1U);
 }
 
 /// Events are handed out whole, however the bytes come.
@@ -323,14 +326,14 @@
   const std::string Text = "id: 4\ndata: a\n\nx: 1\nid:5\r\ndata: b\r\n\r\n";
   for (std::size_t Step = 1; Step < Text.size(); ++Step) {
     SseSplitter Splitter;
-    std::vector<SseEvent> All;
-    for (std::size_t At = 0; At < Text.size(); At += Step)
-      for (SseEvent &Each : Splitter.feed(Text.substr(At, Step)))
-        All.push_back(std::move(Each));
-    BOOST_REQUIRE(All.size() == 2U);
-    BOOST_TEST(*All[0].m_Id == 4U);
-    BOOST_TEST(*All[1].m_Id == 5U);
-    BOOST_TEST(All[0].m_Bytes + All[1].m_Bytes == Text);
+    std::vector<SseEvent> Events;
+    for (std::size_t Offset = 0; Offset < Text.size(); Offset += Step)
+      for (SseEvent &Event : Splitter.feed(Text.substr(Offset, Step)))
+        Events.push_back(std::move(Event));
+    BOOST_REQUIRE(Events.size() == 2U);
+    BOOST_TEST(*Events[0].m_Id == 4U);
+    BOOST_TEST(*Events[1].m_Id == 5U);
+    BOOST_TEST(Events[0].m_Bytes + Events[1].m_Bytes == Text);
     BOOST_TEST(!Splitter.midEvent());
   }
 }
--- a/tests/unit/leaving_cut_test.cpp
+++ b/tests/unit/leaving_cut_test.cpp
@@ -16,7 +16,7 @@
 struct Listener final : UpstreamListener {
   void upstreamHeaders(unsigned, const HeaderList &) override {}
   void upstreamBytes(std::string_view) override {}
-  void upstreamEnded(TransportEnd How) override { m_End = How; }
+  void upstreamEnded(TransportEnd End) override { m_End = End; }
 
   std::optional<TransportEnd> m_End;
 };
@@ -32,18 +32,18 @@
   LoopScheduler Timers;
   HttpUpstreamCaller Caller(Clock, Timers);
   FakeUpstream Upstream;
-  Listener Told;
-  UpstreamSend What;
-  What.m_Where = Upstream.m_Address;
-  What.m_Path = "/x";
-  What.m_Body = "b";
-  What.m_SendBefore = Clock.fresh() + 10s;
-  const auto Call = Caller.send(What, Told);
-  Peer *Way = Upstream.next();
-  BOOST_REQUIRE(Way != nullptr);
-  Way->send("HTTP/1.1 200 OK\r\nConnection: close\r\n"
-            "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n");
-  Way->close();
-  BOOST_TEST(pumpUntil([&] { return Told.m_End.has_value(); }));
-  BOOST_TEST((Told.m_End == TransportEnd::Broken));
+  Listener CallListener;
+  UpstreamSend Request;
+  Request.m_Where = Upstream.m_Address;
+  Request.m_Path = "/x";
+  Request.m_Body = "b";
+  Request.m_SendBefore = Clock.fresh() + 10s;
+  const auto Call = Caller.send(Request, CallListener);
+  Peer *Connection = Upstream.next();
+  BOOST_REQUIRE(Connection != nullptr);
+  Connection->send("HTTP/1.1 200 OK\r\nConnection: close\r\n"
+                   "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n");
+  Connection->close();
+  BOOST_TEST(pumpUntil([&] { return CallListener.m_End.has_value(); }));
+  BOOST_TEST((CallListener.m_End == TransportEnd::Broken));
 }
--- a/tests/unit/loopback_peer.h
+++ b/tests/unit/loopback_peer.h
@@ -20,9 +20,9 @@
 namespace crowstep::test {
 
 /// Runs the main loop until \p Holds, for at most a few seconds.
-template <typename Condition> bool pumpUntil(Condition Holds) {
+template <typename Condition> bool pumpUntil(Condition Predicate) {
   const gint64 End = g_get_monotonic_time() + gint64(10) * G_USEC_PER_SEC;
-  while (!Holds()) {
+  while (!Predicate()) {
     if (g_get_monotonic_time() > End)
       return false;
     if (g_main_context_iteration(nullptr, 0) == 0)
@@ -49,11 +49,11 @@
 
   static std::unique_ptr<Peer> connect(const Address &Where) {
     const int Fd = socket(AF_INET, SOCK_STREAM, 0);
-    sockaddr_in To{};
-    To.sin_family = AF_INET;
-    To.sin_port = htons(Where.m_Port);
-    To.sin_addr.s_addr = htonl(Where.m_Ip);
-    (void)::connect(Fd, reinterpret_cast<sockaddr *>(&To), sizeof(To));
+    sockaddr_in Remote{};
+    Remote.sin_family = AF_INET;
+    Remote.sin_port = htons(Where.m_Port);
+    Remote.sin_addr.s_addr = htonl(Where.m_Ip);
+    (void)::connect(Fd, reinterpret_cast<sockaddr *>(&Remote), sizeof(Remote));
     return std::make_unique<Peer>(Fd);
   }
 
@@ -115,14 +115,14 @@
 /// Returns a socket that listens on a free port of loopback, and its address.
 inline std::pair<int, Address> listenOnLoopback() {
   const int Fd = socket(AF_INET, SOCK_STREAM, 0);
-  sockaddr_in Own{};
-  Own.sin_family = AF_INET;
-  Own.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  (void)bind(Fd, reinterpret_cast<sockaddr *>(&Own), sizeof(Own));
+  sockaddr_in Local{};
+  Local.sin_family = AF_INET;
+  Local.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  (void)bind(Fd, reinterpret_cast<sockaddr *>(&Local), sizeof(Local));
   listen(Fd, 64);
-  socklen_t Size = sizeof(Own);
-  getsockname(Fd, reinterpret_cast<sockaddr *>(&Own), &Size);
-  return {Fd, {INADDR_LOOPBACK, ntohs(Own.sin_port)}};
+  socklen_t Size = sizeof(Local);
+  getsockname(Fd, reinterpret_cast<sockaddr *>(&Local), &Size);
+  return {Fd, {INADDR_LOOPBACK, ntohs(Local.sin_port)}};
 }
 
 /// An upstream's socket; the test plays the upstream.
@@ -142,9 +142,9 @@
     pumpUntil([&] { return accept() > Before; });
     if (m_Peers.size() == Before)
       return nullptr;
-    Peer *Fresh = m_Peers[Before].get();
-    pumpUntil([&] { return whole(Fresh->received()) || Fresh->closed(); });
-    return Fresh;
+    Peer *NewPeer = m_Peers[Before].get();
+    pumpUntil([&] { return whole(NewPeer->received()) || NewPeer->closed(); });
+    return NewPeer;
   }
   /// Returns the number of connections so far.
   std::size_t accept() {
@@ -163,7 +163,7 @@
   void goDeaf() {
     listen(m_Fd, 0);
     // The queue holds one more than it is told.
-    m_Queued = Peer::connect(m_Address);
+    m_QueueFiller = Peer::connect(m_Address);
   }
   static bool whole(const std::string &Text) {
     const std::size_t Head = Text.find("\r\n\r\n");
@@ -177,7 +177,7 @@
 private:
   int m_Fd;
   std::vector<std::unique_ptr<Peer>> m_Peers;
-  std::unique_ptr<Peer> m_Queued; ///< Fills the queue; see goDeaf().
+  std::unique_ptr<Peer> m_QueueFiller; ///< Fills the queue; see goDeaf().
 };
 
 } // namespace crowstep::test
--- a/tests/unit/upstream_call_test.cpp
+++ b/tests/unit/upstream_call_test.cpp
@@ -17,14 +17,14 @@
     m_Status = Status;
   }
   void upstreamBytes(std::string_view Bytes) override { m_Body += Bytes; }
-  void upstreamEnded(TransportEnd How) override { m_End = How; }
+  void upstreamEnded(TransportEnd End) override { m_End = End; }
 
   unsigned m_Status = 0;
   std::string m_Body;
   std::optional<TransportEnd> m_End;
 };
 
-struct World {
+struct CallFixture {
   LoopClock m_Clock;
   LoopScheduler m_Timers;
   HttpUpstreamCaller m_Caller{m_Clock, m_Timers};
@@ -33,13 +33,13 @@
   std::unique_ptr<UpstreamCall> m_Call;
 
   void send(bool Repeatable = false) {
-    UpstreamSend What;
-    What.m_Where = m_Upstream.m_Address;
-    What.m_Path = "/x";
-    What.m_Body = "b";
-    What.m_Repeatable = Repeatable;
-    What.m_SendBefore = m_Clock.fresh() + 10s;
-    m_Call = m_Caller.send(What, m_Listener);
+    UpstreamSend Request;
+    Request.m_Where = m_Upstream.m_Address;
+    Request.m_Path = "/x";
+    Request.m_Body = "b";
+    Request.m_Repeatable = Repeatable;
+    Request.m_SendBefore = m_Clock.fresh() + 10s;
+    m_Call = m_Caller.send(Request, m_Listener);
   }
   bool ended() {
     return pumpUntil([&] { return m_Listener.m_End.has_value(); });
@@ -47,10 +47,11 @@
 };
 
 /// Closes \p Of with a reset.
-void reset(Peer &Of) {
-  const linger Now = {1, 0};
-  setsockopt(Of.fd(), SOL_SOCKET, SO_LINGER, &Now, sizeof(Now));
-  Of.close();
+void reset(Peer &Connection) {
+  const linger ResetOnClose = {1, 0};
+  setsockopt(Connection.fd(), SOL_SOCKET, SO_LINGER, &ResetOnClose,
+             sizeof(ResetOnClose));
+  Connection.close();
 }
 
 } // namespace
@@ -66,18 +67,19 @@
         "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n0\r\n"})
     for (const bool Reset : {false, true})
       BOOST_TEST_CONTEXT(Text << (Reset ? " reset" : " closed")) {
-        World It;
-        It.send();
-        Peer *Upstream = It.m_Upstream.next();
+        CallFixture Fixture;
+        Fixture.send();
+        Peer *Upstream = Fixture.m_Upstream.next();
         BOOST_REQUIRE(Upstream != nullptr);
         Upstream->send("HTTP/1.1 200 OK\r\n" + std::string(Text));
-        BOOST_TEST(pumpUntil([&] { return It.m_Listener.m_Status == 200; }));
+        BOOST_TEST(
+            pumpUntil([&] { return Fixture.m_Listener.m_Status == 200; }));
         if (Reset)
           reset(*Upstream);
         else
           Upstream->close();
-        BOOST_TEST(It.ended());
-        BOOST_TEST((It.m_Listener.m_End == TransportEnd::Broken));
+        BOOST_TEST(Fixture.ended());
+        BOOST_TEST((Fixture.m_Listener.m_End == TransportEnd::Broken));
       }
 }
 
@@ -87,21 +89,22 @@
 /// not tell apart, a stream that is whole would be cut after its last event.
 BOOST_AUTO_TEST_CASE(AWholeAnswerOfALeavingUpstreamIsWhole) {
   for (const bool Together : {true, false})
-    for (int Play = 0; Play < 20; ++Play) {
-      World It;
-      It.send();
-      Peer *Upstream = It.m_Upstream.next();
+    for (int Run = 0; Run < 20; ++Run) {
+      CallFixture Fixture;
+      Fixture.send();
+      Peer *Upstream = Fixture.m_Upstream.next();
       BOOST_REQUIRE(Upstream != nullptr);
       Upstream->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-      BOOST_TEST(pumpUntil([&] { return It.m_Listener.m_Status == 200; }));
+      BOOST_TEST(pumpUntil([&] { return Fixture.m_Listener.m_Status == 200; }));
       Upstream->send("5\r\nwhole\r\n");
       if (!Together)
-        BOOST_TEST(pumpUntil([&] { return It.m_Listener.m_Body == "whole"; }));
+        BOOST_TEST(
+            pumpUntil([&] { return Fixture.m_Listener.m_Body == "whole"; }));
       Upstream->send("0\r\n\r\n");
       Upstream->close();
-      BOOST_TEST(It.ended());
-      BOOST_TEST(It.m_Listener.m_Body == "whole");
-      BOOST_TEST((It.m_Listener.m_End == TransportEnd::Complete));
+      BOOST_TEST(Fixture.ended());
+      BOOST_TEST(Fixture.m_Listener.m_Body == "whole");
+      BOOST_TEST((Fixture.m_Listener.m_End == TransportEnd::Complete));
     }
 }
 
@@ -111,59 +114,59 @@
   using Pieces = std::vector<std::string>;
   const std::string Head = "HTTP/1.1 200 OK\r\nConnection: close\r\n"
                            "Transfer-Encoding: chunked\r\n\r\n";
-  const std::vector<Pieces> Ways = {
+  const std::vector<Pieces> Splits = {
       {Head + "5\r\nwhole\r\n0\r\n\r\n"},
       {Head + "5\r\nwhole\r\n", "0\r\n\r\n"},
       {Head, "5\r\nwhole\r\n0\r\n\r\n"},
       {Head, "5\r\nwhole\r\n0\r\n", "\r\n"},
       {Head, "5\r\nwhole", "\r\n0", "\r\n\r\n"},
       {Head.substr(0, 30), Head.substr(30), "5\r\nwhole\r\n0\r\n\r\n"}};
-  for (const Pieces &Way : Ways)
-    for (int Play = 0; Play < 10; ++Play) {
-      World It;
-      It.send();
-      Peer *Upstream = It.m_Upstream.next();
+  for (const Pieces &Split : Splits)
+    for (int Run = 0; Run < 10; ++Run) {
+      CallFixture Fixture;
+      Fixture.send();
+      Peer *Upstream = Fixture.m_Upstream.next();
       BOOST_REQUIRE(Upstream != nullptr);
-      for (const std::string &Piece : Way) {
+      for (const std::string &Piece : Split) {
         Upstream->send(Piece);
         pumpFor(2ms);
       }
       Upstream->close();
-      BOOST_TEST(It.ended());
-      BOOST_TEST(It.m_Listener.m_Body == "whole");
-      BOOST_TEST((It.m_Listener.m_End == TransportEnd::Complete));
+      BOOST_TEST(Fixture.ended());
+      BOOST_TEST(Fixture.m_Listener.m_Body == "whole");
+      BOOST_TEST((Fixture.m_Listener.m_End == TransportEnd::Complete));
     }
 }
 
 /// The upstream crashes after an event that ends as a last chunk would. The
 /// chunk around it has an end of its own, so the answer is still cut.
 BOOST_AUTO_TEST_CASE(AnEventLikeALastChunkIsNoEnd) {
-  World It;
-  It.send();
-  Peer *Upstream = It.m_Upstream.next();
+  CallFixture Fixture;
+  Fixture.send();
+  Peer *Upstream = Fixture.m_Upstream.next();
   BOOST_REQUIRE(Upstream != nullptr);
   Upstream->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-  BOOST_TEST(pumpUntil([&] { return It.m_Listener.m_Status == 200; }));
+  BOOST_TEST(pumpUntil([&] { return Fixture.m_Listener.m_Status == 200; }));
   Upstream->send("7\r\n\r\n0\r\n\r\n\r\n");
   Upstream->close();
-  BOOST_TEST(It.ended());
-  BOOST_TEST((It.m_Listener.m_End == TransportEnd::Broken));
+  BOOST_TEST(Fixture.ended());
+  BOOST_TEST((Fixture.m_Listener.m_End == TransportEnd::Broken));
 }
 
 /// An answer without a length ends with its connection; a reset is no end.
 BOOST_AUTO_TEST_CASE(AnAnswerWithoutLengthEndsWithItsConnection) {
   for (const bool Reset : {false, true}) {
-    World It;
-    It.send();
-    Peer *Upstream = It.m_Upstream.next();
+    CallFixture Fixture;
+    Fixture.send();
+    Peer *Upstream = Fixture.m_Upstream.next();
     Upstream->send("HTTP/1.1 200 OK\r\n\r\nwhole");
-    BOOST_TEST(pumpUntil([&] { return It.m_Listener.m_Body == "whole"; }));
+    BOOST_TEST(pumpUntil([&] { return Fixture.m_Listener.m_Body == "whole"; }));
     if (Reset)
       reset(*Upstream);
     else
       Upstream->close();
-    BOOST_TEST(It.ended());
-    BOOST_TEST((It.m_Listener.m_End ==
+    BOOST_TEST(Fixture.ended());
+    BOOST_TEST((Fixture.m_Listener.m_End ==
                 (Reset ? TransportEnd::Broken : TransportEnd::Complete)));
   }
 }
@@ -171,34 +174,34 @@
 /// libsoup sends a call again by itself where a kept connection closes before
 /// an answer. The repeat would draw on no budget, so the call ends instead.
 BOOST_AUTO_TEST_CASE(AStaleKeptConnectionIsNoSecondCall) {
-  World It;
-  It.send(true);
-  Peer *Upstream = It.m_Upstream.next();
+  CallFixture Fixture;
+  Fixture.send(true);
+  Peer *Upstream = Fixture.m_Upstream.next();
   Upstream->send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-  BOOST_TEST(It.ended());
-  It.m_Listener = Listener();
-  It.send(true);
+  BOOST_TEST(Fixture.ended());
+  Fixture.m_Listener = Listener();
+  Fixture.send(true);
   BOOST_TEST(pumpUntil([&] {
     return Upstream->received().find("POST", 10) != std::string::npos;
   }));
   Upstream->close();
-  BOOST_TEST(It.ended());
-  BOOST_TEST((It.m_Listener.m_End == TransportEnd::Broken));
-  BOOST_TEST(It.m_Upstream.accept() == 1U);
+  BOOST_TEST(Fixture.ended());
+  BOOST_TEST((Fixture.m_Listener.m_End == TransportEnd::Broken));
+  BOOST_TEST(Fixture.m_Upstream.accept() == 1U);
 }
 
 /// The last check says no: not a byte may leave.
 BOOST_AUTO_TEST_CASE(TheLastCheckKeepsACallBack) {
-  World It;
-  UpstreamSend What;
-  What.m_Where = It.m_Upstream.m_Address;
-  What.m_Path = "/x";
-  What.m_SendBefore = It.m_Clock.fresh() + 10s;
-  What.m_Wanted = [] { return false; };
-  It.m_Call = It.m_Caller.send(What, It.m_Listener);
-  BOOST_TEST(It.ended());
-  BOOST_TEST((It.m_Listener.m_End == TransportEnd::TooOld));
-  It.m_Upstream.accept();
-  BOOST_TEST((It.m_Upstream.accept() == 0U ||
-              It.m_Upstream.peer(0).received().empty()));
+  CallFixture Fixture;
+  UpstreamSend Request;
+  Request.m_Where = Fixture.m_Upstream.m_Address;
+  Request.m_Path = "/x";
+  Request.m_SendBefore = Fixture.m_Clock.fresh() + 10s;
+  Request.m_Wanted = [] { return false; };
+  Fixture.m_Call = Fixture.m_Caller.send(Request, Fixture.m_Listener);
+  BOOST_TEST(Fixture.ended());
+  BOOST_TEST((Fixture.m_Listener.m_End == TransportEnd::TooOld));
+  Fixture.m_Upstream.accept();
+  BOOST_TEST((Fixture.m_Upstream.accept() == 0U ||
+              Fixture.m_Upstream.peer(0).received().empty()));
 }
