--- a/src/http/answer_parser.cpp
+++ b/src/http/answer_parser.cpp
@@ -1,4 +1,4 @@
-/// Answers by the parser library.
+/// Parsing of answers with http_parser.
 #include "http/answer_parser.h"
 
 #include <utility>
@@ -40,7 +40,7 @@
 
 void AnswerParser::feed(std::string_view Bytes) {
   if (m_State != AnswerState::Reading || Bytes.empty()) {
-    // Bytes after the answer belong to no request.
+    // Bytes after the answer belong to no request: the connection is unusable.
     m_CanReuse = m_CanReuse && Bytes.empty();
     return;
   }
@@ -78,7 +78,7 @@
 int AnswerParser::onHeaderField(http_parser *Parser, const char *At,
                                 size_t Size) {
   AnswerParser &Self = ownerOf(Parser);
-  if (!Self.m_HasHead) // Trailers are not passed on.
+  if (!Self.m_HasHead) // Trailers are not forwarded.
     Self.m_HeaderCollector.appendName({At, Size});
   return 0;
 }
@@ -95,7 +95,7 @@
   constexpr int Fail = -1;
   constexpr int SkipBody = 1;
   AnswerParser &Self = ownerOf(Parser);
-  // No call asks for another protocol.
+  // No request asks for an upgrade, so a 101 answer is invalid.
   if (Self.status() == HttpSwitchingProtocols)
     return Fail;
   Self.m_Headers = Self.m_HeaderCollector.take();
--- a/src/http/answer_parser.h
+++ b/src/http/answer_parser.h
@@ -1,7 +1,7 @@
-/// Reads one HTTP/1.1 answer from the bytes of a connection.
+/// Parses one HTTP/1.1 answer from the bytes of a connection.
 ///
-/// The parser library decodes heads and chunks; this class says which bytes are
-/// the answer's and whether it came whole.
+/// http_parser decodes heads and chunks; this class decides which bytes belong
+/// to the answer and whether it is complete.
 #ifndef CROWSTEP_HTTP_ANSWER_PARSER_H
 #define CROWSTEP_HTTP_ANSWER_PARSER_H
 
@@ -14,38 +14,38 @@
 
 namespace crowstep {
 
-/// How far an answer has come.
+/// Progress of an answer.
 enum class AnswerState : std::uint8_t {
-  Reading,  ///< More is to come.
-  Complete, ///< Whole.
-  Invalid,  ///< Ended early, or no HTTP.
+  Reading,  ///< More bytes are expected.
+  Complete, ///< Received in full.
+  Invalid,  ///< Truncated, or not HTTP.
 };
 
 class AnswerParser {
 public:
-  /// \p HeadOnly: the answer has no body, whatever its head says.
+  /// \p IsHeadRequest: the answer has no body, even if its head states one.
   explicit AnswerParser(bool IsHeadRequest);
   AnswerParser(const AnswerParser &) = delete;
   AnswerParser &operator=(const AnswerParser &) = delete;
 
-  /// Takes what was read from the connection.
+  /// Parses bytes read from the connection.
   void feed(std::string_view Bytes);
 
-  /// The peer has closed the connection, without a reset.
+  /// Reports that the peer closed the connection in order, not by a reset.
   void closed();
 
   [[nodiscard]] AnswerState state() const { return m_State; }
 
-  /// Returns whether the head of the final answer is known.
+  /// Returns whether the final head, not a 1xx one, has been received.
   [[nodiscard]] bool headKnown() const { return m_HasHead; }
   [[nodiscard]] unsigned status() const { return m_Parser.status_code; }
   [[nodiscard]] const HeaderList &headers() const { return m_Headers; }
 
-  /// Returns the bytes of the body that came since the last call.
+  /// Returns the body bytes received since the last call.
   [[nodiscard]] std::string takeBody();
 
-  /// Returns whether a further call may use the connection. False unless the
-  /// answer is complete and nothing followed it.
+  /// Returns whether the connection can serve a further call. False unless the
+  /// answer is complete and no bytes followed it.
   [[nodiscard]] bool mayKeepConnection() const { return m_CanReuse; }
 
 private:
@@ -61,10 +61,10 @@
 
   http_parser m_Parser{};            ///< Points back to this object.
   bool m_IsHeadRequest;              ///< See the constructor.
-  HeaderCollector m_HeaderCollector; ///< Of the present head.
-  HeaderList m_Headers;              ///< Of the final answer; see headKnown().
-  bool m_HasHead = false;            ///< Of the final answer.
-  bool m_CanReuse = false;           ///< See mayKeepConnection().
+  HeaderCollector m_HeaderCollector; ///< Of the head being read.
+  HeaderList m_Headers;              ///< Of the final answer; see hasHead().
+  bool m_HasHead = false;            ///< See hasHead().
+  bool m_CanReuse = false;           ///< See canReuseConnection().
   std::string m_Body;                ///< Not yet taken.
   AnswerState m_State = AnswerState::Reading; ///< Leaves Reading once.
 };
--- a/src/http/caller.cpp
+++ b/src/http/caller.cpp
@@ -1,4 +1,4 @@
-/// Callers behind libsoup's server.
+/// Headers of answers, and answers through libsoup's server.
 #include "http/caller.h"
 
 #include "http/refusal_answer.h"
--- a/src/http/caller.h
+++ b/src/http/caller.h
@@ -13,54 +13,54 @@
 
 namespace crowstep {
 
-/// Status, headers and, unless it is streamed, body of an answer.
+/// Status, headers and, unless it is streamed, the body of an answer.
 struct CallerAnswer {
   unsigned m_Status = 200;                        ///< HTTP status.
   RunState m_State = RunState::Ran;               ///< Header Crowstep-Run.
   std::string m_ContentType = "application/json"; ///< Header.
-  std::string m_Body;                             ///< Whole, or empty.
-  Duration m_RetryAfter{};                        ///< 0: no header.
-  HeaderList m_Headers;                           ///< Further headers.
+  std::string m_Body;      ///< Complete; empty for a stream.
+  Duration m_RetryAfter{}; ///< 0: no Retry-After header.
+  HeaderList m_Headers;    ///< Further headers.
 };
 
 /// Returns the answer that refuses a request.
 CallerAnswer refusalAnswer(RefusalReason Reason, RunState State,
                            Duration RetryAfter);
 
-/// Who is answered; faked in tests.
+/// Sends the answer to the caller of one request; faked in tests.
 class Caller {
 public:
   virtual ~Caller() = default;
 
-  /// Answers at once and whole.
+  /// Sends a complete answer.
   virtual void answer(const CallerAnswer &Answer) = 0;
 
   virtual void beginStream(const CallerAnswer &Head) = 0;
   virtual void append(const std::string &Bytes) = 0;
   virtual void endStream() = 0;
 
-  /// Closes the connection without an answer, or amid a stream, so that the
-  /// caller sees that it is not whole.
+  /// Closes the connection without an answer, or within a stream in such a way
+  /// that the caller sees that it is truncated.
   virtual void drop() = 0;
 
-  /// Returns whether the caller has closed its connection, asked just now. A
-  /// process that wakes from a freeze learns of the close only when its loop
-  /// gets to the socket; what is sent before that would run for nobody.
+  /// Checks the socket and returns whether the caller has closed its
+  /// connection. After the process was suspended the event loop reports the
+  /// close late; a request sent to an upstream before that would be wasted.
   [[nodiscard]] virtual bool hasLeft() const = 0;
 
-  /// Returns the bytes that the caller has not yet taken.
+  /// Returns the number of bytes that the socket has not yet accepted.
   [[nodiscard]] virtual std::size_t backlog() const = 0;
 
-  /// Sets what runs when the caller goes before its answer is complete, and
-  /// when the backlog has shrunk.
+  /// Sets the callbacks that run when the caller disconnects before its answer
+  /// was given in full, and when the socket has accepted more of the backlog.
   virtual void onGone(std::function<void()> Callback) = 0;
   virtual void onDrained(std::function<void()> Callback) = 0;
 };
 
-/// Puts status, headers and body into \p Message.
+/// Copies status, headers and body into \p Message.
 void fillAnswer(SoupServerMessage *Message, const CallerAnswer &Answer);
 
-/// Returns the headers of an answer but those that frame its body.
+/// Returns the headers of an answer, except those that frame its body.
 HeaderList headersOf(const CallerAnswer &Answer);
 
 } // namespace crowstep
--- a/src/http/caller_connection.cpp
+++ b/src/http/caller_connection.cpp
@@ -1,4 +1,4 @@
-/// A caller's connection: arrival, answer, and the next request.
+/// State machine of a caller's connection: receive, answer, next request.
 #include "http/caller_connection.h"
 
 #include "http/refusal_answer.h"
@@ -17,11 +17,11 @@
 
 constexpr std::size_t ReadSize = 16384;
 
-/// Written bytes that may stay in memory while a caller reads slowly.
+/// Written bytes that are kept in memory while a caller reads slowly.
 constexpr std::size_t CompactThreshold = 64 << 10;
 
-/// How long a caller has to read its last answer and to close. Closing with
-/// unread bytes resets the connection, and the answer could be lost with it.
+/// Time for a caller to read its last answer and to close. Closing a socket
+/// with unread input sends a reset, which can destroy an unread answer.
 constexpr Duration LingerTimeout = std::chrono::seconds(1);
 
 constexpr unsigned HttpOk = 200;
@@ -40,9 +40,9 @@
   return Longest;
 }
 
-/// Returns whether two readers could disagree about where the body ends. What
-/// one takes for the body's rest the other takes for a further request, and a
-/// caller could hide a request of another workspace there.
+/// Returns whether two HTTP implementations could disagree about where the body
+/// ends. One would take for a further request what the other takes for the rest
+/// of the body, so a caller could smuggle in a request for another workspace.
 bool isFramingAmbiguous(const HeaderList &Headers) {
   const std::string *Length = findHeader(Headers, "Content-Length");
   const std::string *Coding = findHeader(Headers, "Transfer-Encoding");
@@ -69,7 +69,7 @@
 
 } // namespace
 
-/// The caller of one request, until it is answered or gone.
+/// The caller of one request, until it is answered or disconnects.
 class CallerConnection::Handle final : public Caller {
 public:
   explicit Handle(CallerConnection &Connection) : m_Connection(&Connection) {}
@@ -110,11 +110,11 @@
     m_OnBacklogReduced = std::move(Callback);
   }
 
-  /// The connection serves this request no more.
+  /// Ends the link to the connection; all calls become no-ops.
   void detach() { m_Connection = nullptr; }
 
   void notifyDisconnect() const {
-    // The handle may be destroyed by the job.
+    // The callback may destroy the handle.
     if (const auto Callback = m_OnDisconnect)
       Callback();
   }
@@ -124,8 +124,8 @@
   }
 
 private:
-  CallerConnection *m_Connection;           ///< Null once answered or gone.
-  std::function<void()> m_OnDisconnect;     ///< May be empty.
+  CallerConnection *m_Connection;       ///< Null once answered or disconnected.
+  std::function<void()> m_OnDisconnect; ///< May be empty.
   std::function<void()> m_OnBacklogReduced; ///< May be empty.
 };
 
@@ -134,7 +134,7 @@
                                    Scheduler &Timers)
     : m_Owner(Owner), m_Socket(std::move(Socket)), m_Timer(Timers) {
   g_socket_set_blocking(m_Socket.get(), 0);
-  // Answers are written whole; Nagle's algorithm would delay their ends.
+  // Nagle's algorithm would delay the last segment of an answer.
   g_socket_set_option(m_Socket.get(), IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
   m_Watch.emplace(g_socket_get_fd(m_Socket.get()), *this);
   waitForRequest();
@@ -205,9 +205,9 @@
     readSocket();
 }
 
-/// Nothing is read while an answer is awaited, so the caller's close has to be
-/// asked for: without this one that went would keep its place in the queue and
-/// its slot to the end.
+/// Nothing is read while an answer is pending, so the caller's close has to be
+/// detected by a peek. Otherwise the request of a caller that disconnected
+/// would keep its place in the queue, and its slot, until it is finished.
 void CallerConnection::detectClose() {
   char Byte = 0;
   const ssize_t Size =
@@ -218,12 +218,12 @@
     close();
     return;
   }
-  // A further request; a close behind it is still reported.
+  // The next request; a close after it is still reported as a hang-up.
   m_NextRequestPending = true;
   updateWatch();
 }
 
-// ---- Arrival ----------------------------------------------------------------
+// ---- Receiving --------------------------------------------------------------
 
 void CallerConnection::waitForRequest() {
   m_Phase = Phase::Receiving;
@@ -237,7 +237,8 @@
   m_Timer.start(m_Owner.limits().m_IdleLimit, [this] { handleIdleTimeout(); });
 }
 
-/// A process that was held up has not read yet what came in time.
+/// If the event loop was delayed, a request that arrived in time may still be
+/// unread, so the socket is read once more before the close.
 void CallerConnection::handleIdleTimeout() {
   if (m_Parser->state() != ArrivalState::Nothing) {
     close();
@@ -264,7 +265,7 @@
   if (Size < 0 && wouldBlock(errno))
     return;
   if (Size <= 0) {
-    // Also amid a request: one that breaks off is never handed on.
+    // Also within a request: a truncated one is never passed on.
     close();
     return;
   }
@@ -312,7 +313,7 @@
   }
 }
 
-/// A body without a length is found out while it comes.
+/// A chunked body states no length, so its size is checked as it arrives.
 void CallerConnection::checkBodySize() {
   if (m_Parser->request().m_Body.size() > m_Owner.limits().m_MaxBody)
     refuse(RefusalReason::BodyTooLarge);
@@ -333,8 +334,8 @@
   m_Owner.requestArrived(m_Parser->takeRequest(), std::move(From));
 }
 
-/// The rest of the request is read and thrown away: closing at once would reset
-/// the connection before the caller reads the refusal.
+/// The rest of the request is read and discarded: closing at once would reset
+/// the connection before the caller has read the refusal.
 void CallerConnection::refuse(RefusalReason Reason) {
   m_Owner.requestRefused(Reason);
   CallerAnswer Answer =
@@ -407,8 +408,8 @@
     m_Output += hex(Bytes.size()) + "\r\n" + Bytes + "\r\n";
   else
     m_Output += Bytes;
-  // A backlog goes out when the socket reports room, which tells who waits for
-  // that.
+  // An existing backlog is written once the socket is writable, as only that
+  // runs the onBacklogReduced() callback.
   if (!HasBacklog)
     write();
 }
@@ -430,8 +431,8 @@
   write();
 }
 
-/// The caller must see that the answer is not whole. One that takes no chunks
-/// sees it only by a reset.
+/// The caller must see that the answer is truncated. Without chunked encoding
+/// only a reset shows that.
 void CallerConnection::abortAnswer() {
   if (Handle *OpenHandle = releaseHandle())
     OpenHandle->detach();
@@ -445,7 +446,7 @@
 
 bool CallerConnection::hasLeft() const { return closedByPeer(m_Socket.get()); }
 
-/// Never closes the connection, as it runs amid the caller's own work.
+/// Never closes the connection, as it may run within a call of the owner.
 void CallerConnection::write() {
   while (!m_WriteFailed && m_SentBytes < m_Output.size()) {
     const ssize_t Size =
@@ -454,7 +455,7 @@
     if (Size < 0 && wouldBlock(errno))
       break;
     if (Size < 0)
-      m_WriteFailed = true; // The socket reports itself as failed.
+      m_WriteFailed = true; // The socket watch will report the error.
     else
       m_SentBytes += static_cast<std::size_t>(Size);
   }
@@ -476,7 +477,8 @@
     return;
   }
   waitForRequest();
-  // Not from here, which may be amid the handling of the last request.
+  // Input that was already read is parsed from the event loop, as this may run
+  // within the handling of the last request.
   if (!m_Input.empty() && !m_IsParsing)
     m_Timer.start(Duration::zero(), [this] {
       startIdleTimer();
--- a/src/http/caller_connection.h
+++ b/src/http/caller_connection.h
@@ -1,4 +1,4 @@
-/// One connection of a caller: requests come in, answers go out.
+/// One HTTP connection of a caller: receives requests and sends answers.
 #ifndef CROWSTEP_HTTP_CALLER_CONNECTION_H
 #define CROWSTEP_HTTP_CALLER_CONNECTION_H
 
@@ -13,17 +13,17 @@
 
 namespace crowstep {
 
-/// What a request must keep to while it arrives.
+/// Limits on receiving requests.
 struct ArrivalLimits {
-  std::size_t m_MaxBody = 0;   ///< Bytes.
-  std::size_t m_MaxHeader = 0; ///< Bytes of one header's value.
-  Duration m_ReceiveLimit{};   ///< From the end of the headers to the body's.
-  Duration m_IdleLimit{};      ///< From an answer to the next headers' end.
+  std::size_t m_MaxBody = 0;   ///< For the whole body.
+  std::size_t m_MaxHeader = 0; ///< For the value of one header.
+  Duration m_ReceiveLimit{};   ///< From the end of the head to the body's end.
+  Duration m_IdleLimit{}; ///< From accept or answer to the next head's end.
 };
 
 class CallerConnection;
 
-/// Who owns connections and takes their requests.
+/// Owns connections and handles their requests.
 class CallerConnectionOwner {
 public:
   virtual ~CallerConnectionOwner() = default;
@@ -31,14 +31,14 @@
   /// Returns the limits in force.
   [[nodiscard]] virtual const ArrivalLimits &limits() const = 0;
 
-  /// A request has arrived whole and within the limits.
+  /// A request was received in full and within the limits.
   virtual void requestArrived(IncomingRequest Request,
                               std::unique_ptr<Caller> From) = 0;
 
-  /// A request was refused while it arrived.
+  /// A request was refused while it was being received.
   virtual void requestRefused(RefusalReason Reason) = 0;
 
-  /// The connection is closed. It may not be destroyed from within this call.
+  /// The connection was closed. It must not be destroyed within this call.
   virtual void connectionClosed(CallerConnection &Connection) = 0;
 };
 
@@ -51,33 +51,33 @@
   CallerConnection(const CallerConnection &) = delete;
   CallerConnection &operator=(const CallerConnection &) = delete;
 
-  /// Returns whether a request is being answered.
+  /// Returns whether an answer is pending or not yet written in full.
   [[nodiscard]] bool answering() const {
     return m_Phase == Phase::AwaitingAnswer || m_Phase == Phase::Streaming ||
            m_Phase == Phase::Flushing;
   }
 
-  /// Returns whether a request has begun to arrive or is being answered.
+  /// Returns whether a request is partly received, or isAnswering().
   [[nodiscard]] bool busy() const;
 
-  /// Closes unless a request is at hand; one that has come by now is read. A
-  /// connection that has not served any yet is left open.
+  /// Closes the connection if no request has arrived on it; the socket is read
+  /// first. A connection that has not served a request yet stays open.
   void closeIfIdle();
 
-  /// Closes at once; the caller of an open request hears of it.
+  /// Closes at once; the disconnect callback of an open request runs.
   void close();
 
 private:
   class Handle;
 
-  /// What the connection is doing.
+  /// State of the connection.
   enum class Phase : std::uint8_t {
-    Receiving,      ///< A request arrives, or none has begun to.
-    AwaitingAnswer, ///< A request waits for its answer.
-    Streaming,      ///< The head of a stream is given, its end is not.
-    Flushing,       ///< The answer is given, and not yet written whole.
-    Discarding,     ///< The last answer is written; what comes is thrown away.
-    Closed,         ///< For good.
+    Receiving,      ///< Idle, or receiving a request.
+    AwaitingAnswer, ///< A request has been handed to the owner.
+    Streaming,      ///< The head of a stream was given, its end not yet.
+    Flushing,       ///< The answer was given and is being written.
+    Discarding,     ///< The last answer was written; input is discarded.
+    Closed,         ///< Final state.
   };
 
   void socketReady(SocketEvents Events) override;
@@ -113,22 +113,23 @@
 
   CallerConnectionOwner &m_Owner; ///< Outlives the connection.
   SocketPtr m_Socket;             ///< Never null; closed with the connection.
-  std::optional<SocketWatch> m_Watch;    ///< Null once closed.
-  Timer m_Timer;                         ///< On what is awaited.
-  std::optional<RequestParser> m_Parser; ///< Of the present request.
+  std::optional<SocketWatch> m_Watch; ///< Null once closed.
+  Timer m_Timer; ///< Idle, receive or linger timeout, by phase.
+  std::optional<RequestParser> m_Parser; ///< Of the current request.
   Phase m_Phase = Phase::Receiving;      ///< See Phase.
-  Handle *m_Handle = nullptr;  ///< Of the request that is held or streamed.
-  std::string m_Input;         ///< Read and not yet parsed.
-  std::string m_Output;        ///< To be written.
-  std::size_t m_SentBytes = 0; ///< Of m_Out, already written.
-  Duration m_LingerTime{};    ///< How long it is read on after its last answer.
-  bool m_IsParsing = false;   ///< Within takeInput().
-  bool m_HasServed = false;   ///< A request was answered.
-  bool m_WriteFailed = false; ///< Nothing can be written any more.
-  bool m_NextRequestPending = false; ///< A further request lies in the socket.
-  bool m_CloseAfterAnswer = false;   ///< The present answer is the last.
-  bool m_IsHeadRequest = false;      ///< The present request is a HEAD.
-  bool m_IsChunked = false;          ///< The present stream is sent in chunks.
+  Handle *m_Handle = nullptr;  ///< Of the request without a full answer.
+  std::string m_Input;         ///< Received, not yet parsed.
+  std::string m_Output;        ///< Being written.
+  std::size_t m_SentBytes = 0; ///< Part of m_Output already written.
+  Duration m_LingerTime{};     ///< Timeout for the caller's close after the
+                               ///< last answer.
+  bool m_IsParsing = false;    ///< Within processInput().
+  bool m_HasServed = false;    ///< A request was answered.
+  bool m_WriteFailed = false;  ///< The socket reported a write error.
+  bool m_NextRequestPending = false; ///< The socket holds the next request.
+  bool m_CloseAfterAnswer = false;   ///< The current answer is the last.
+  bool m_IsHeadRequest = false;      ///< The current request is a HEAD.
+  bool m_IsChunked = false; ///< The current stream uses chunked encoding.
 };
 
 } // namespace crowstep
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -1,4 +1,4 @@
-/// Callers' connections.
+/// Accepting and owning callers' connections.
 #include "http/front.h"
 
 #include "core/http_server.h"
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// Connections accepted in a row; requests get their turn in between.
+/// Connections accepted at once, so that open ones are served in between.
 constexpr int MaxAcceptsPerEvent = 16;
 
-/// Out of descriptors, the waiting connection stays ready and would keep the
-/// loop busy.
+/// Pause after accept has failed. If file descriptors have run out, the pending
+/// connection keeps the socket readable and the event loop would spin.
 constexpr Duration AcceptPause = std::chrono::milliseconds(100);
 
 } // namespace
@@ -84,7 +84,7 @@
   All.reserve(m_Connections.size());
   for (const auto &[Key, Owned] : m_Connections)
     All.push_back(Key);
-  // A closed one is destroyed from the loop only.
+  // Closed connections stay valid here: m_CleanupTimer destroys them.
   for (CallerConnection *Connection : All)
     Connection->closeIfIdle();
 }
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -1,4 +1,4 @@
-/// The HTTP side towards callers: listens, and owns their connections.
+/// HTTP server for callers: listens and owns their connections.
 #ifndef CROWSTEP_HTTP_FRONT_H
 #define CROWSTEP_HTTP_FRONT_H
 
@@ -14,11 +14,11 @@
 
 class Front final : public SocketListener, public CallerConnectionOwner {
 public:
-  /// Gets requests that arrived whole and within the limits.
+  /// Handles requests that were received in full and within the limits.
   using Handler = std::function<void(IncomingRequest Request,
                                      std::unique_ptr<Caller> From)>;
 
-  /// Hears of each request that was refused while it arrived.
+  /// Called for each request that was refused while it was being received.
   using RefusedHandler = std::function<void(RefusalReason)>;
 
   Front(const ArrivalLimits &Limits, RefusedHandler OnRefused,
@@ -27,23 +27,24 @@
   Front(const Front &) = delete;
   Front &operator=(const Front &) = delete;
 
-  /// Begins to serve. \throws ListenError.
+  /// Starts to serve. \throws ListenError.
   void listen(const Address &ListenAddress, Handler OnRequest);
 
-  /// Replaces the limits for requests that arrive from now on.
+  /// Replaces the limits; they apply to later checks and timeouts.
   void setLimits(const ArrivalLimits &Limits) { m_Limits = Limits; }
 
-  /// Takes no new connections.
+  /// Accepts no further connections; open ones continue.
   void stopListening();
 
-  /// Closes the connections that wait for their next request. One that crosses
-  /// the close was not read, and its caller sees a reset.
+  /// Closes the connections that wait for their next request. A request that
+  /// arrives during the close is not read, and its caller sees a reset.
   void closeIdle();
 
-  /// Returns how many requests have arrived whole and are not yet answered.
+  /// Returns on how many connections an answer, which may be a refusal, is
+  /// pending or not yet written in full.
   [[nodiscard]] std::size_t unfinished() const;
 
-  /// Returns how many requests have not arrived whole or are not answered.
+  /// Like unansweredRequests(), with requests that are partly received.
   [[nodiscard]] std::size_t open() const;
 
 private:
@@ -59,18 +60,18 @@
 
   void pauseAccepting();
 
-  ArrivalLimits m_Limits;             ///< In force for new arrivals.
-  RefusedHandler m_OnRefused;         ///< Never empty.
-  Scheduler &m_Timers;                ///< Outlives this object.
-  Handler m_Handler;                  ///< See listen().
-  SocketPtr m_Socket;                 ///< Listens; null while it doesn't.
-  std::optional<SocketWatch> m_Watch; ///< Set with m_Socket.
-  Timer m_AcceptTimer;                ///< Runs after a failure to accept.
+  ArrivalLimits m_Limits;     ///< See setLimits().
+  RefusedHandler m_OnRefused; ///< Never empty.
+  Scheduler &m_Timers;        ///< Outlives this object.
+  Handler m_Handler;          ///< See listen().
+  SocketPtr m_Socket;         ///< Listening socket; null if not listening.
+  std::optional<SocketWatch> m_Watch; ///< Set while m_Socket is.
+  Timer m_AcceptTimer;                ///< Runs after accept has failed.
   std::unordered_map<CallerConnection *, std::unique_ptr<CallerConnection>>
-      m_Connections; ///< Open ones.
+      m_Connections; ///< Open connections.
   std::vector<std::unique_ptr<CallerConnection>>
-      m_ClosedConnections; ///< To be destroyed.
-  Timer m_CleanupTimer;    ///< Destroys what is closed.
+      m_ClosedConnections; ///< Awaiting destruction.
+  Timer m_CleanupTimer;    ///< Destroys m_ClosedConnections.
 };
 
 } // namespace crowstep
--- a/src/http/header_collector.cpp
+++ b/src/http/header_collector.cpp
@@ -1,4 +1,4 @@
-/// Pieces of headers.
+/// Joining of header fragments.
 #include "http/header_collector.h"
 
 #include <utility>
--- a/src/http/header_collector.h
+++ b/src/http/header_collector.h
@@ -1,4 +1,4 @@
-/// Joins the pieces in which the parser library hands out headers.
+/// Joins the fragments in which http_parser delivers headers.
 #ifndef CROWSTEP_HTTP_HEADER_COLLECTOR_H
 #define CROWSTEP_HTTP_HEADER_COLLECTOR_H
 
@@ -12,16 +12,17 @@
 public:
   void clear();
 
-  /// A name or a value goes on until a piece of the other kind comes.
+  /// A name or a value ends when a fragment of the other kind is appended.
   void appendName(std::string_view Piece);
   void appendValue(std::string_view Piece);
 
-  /// Returns the headers so far, their values without trailing blanks.
+  /// Returns the headers so far, with trailing blanks removed from their
+  /// values.
   [[nodiscard]] HeaderList take();
 
 private:
-  HeaderList m_Headers;        ///< So far.
-  bool m_LastWasValue = false; ///< The last piece was a value's.
+  HeaderList m_Headers;        ///< Collected so far.
+  bool m_LastWasValue = false; ///< The last fragment was part of a value.
 };
 
 } // namespace crowstep
--- a/src/http/header_list.h
+++ b/src/http/header_list.h
@@ -11,16 +11,16 @@
 
 /// One header line.
 struct HeaderField {
-  std::string m_Name;  ///< As it was sent; compared without regard to case.
+  std::string m_Name;  ///< As received; compared case-insensitively.
   std::string m_Value; ///< Without surrounding white space.
 
   bool operator==(const HeaderField &) const = default;
 };
 
-/// Headers in the order in which they were sent; a name may come twice.
+/// Headers in the order in which they were sent; names may repeat.
 using HeaderList = std::vector<HeaderField>;
 
-/// Returns whether two header names are the same.
+/// Compares header names, or values that are tokens.
 bool sameHeader(std::string_view Left, std::string_view Right);
 
 /// Returns the first header called \p Name, or null.
@@ -32,8 +32,8 @@
 /// Returns a copy of libsoup's headers.
 HeaderList copyHeaders(SoupMessageHeaders *Headers);
 
-/// Returns the headers that an intermediary passes on: all but those that
-/// concern one connection (RFC 9110, 7.6.1) and those that frame the body.
+/// Returns the headers that an intermediary forwards: all but the hop-by-hop
+/// ones (RFC 9110, 7.6.1) and those that frame the body.
 HeaderList endToEndHeaders(const HeaderList &Headers);
 
 } // namespace crowstep
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -1,4 +1,4 @@
-/// Short HTTP calls over upstream calls.
+/// HTTP client for short calls, over upstream calls.
 #include "http/http_client.h"
 
 #include <cstdlib>
@@ -6,7 +6,7 @@
 
 namespace crowstep {
 
-/// One call on its way.
+/// One open call.
 class HttpClient::Exchange final : public UpstreamListener {
 public:
   Exchange(HttpClient &Client, Duration Timeout, Done OnDone)
@@ -28,7 +28,7 @@
     m_Answer.m_Body.append(Bytes);
   }
   void upstreamEnded(TransportEnd End) override {
-    // Kept until the job has run.
+    // Keeps this object alive until the callback has run.
     const auto Self = m_Client.m_Exchanges.extract(this);
     const Done Callback = std::move(m_OnDone);
     if (End == TransportEnd::Complete)
@@ -47,8 +47,8 @@
 
   HttpClient &m_Client;                 ///< Outlives the call.
   Done m_OnDone;                        ///< Runs once.
-  TimePoint m_Deadline;                 ///< Then it has timed out.
-  HttpAnswer m_Answer;                  ///< So far.
+  TimePoint m_Deadline;                 ///< A failure after this is a timeout.
+  HttpAnswer m_Answer;                  ///< Received so far.
   std::unique_ptr<UpstreamCall> m_Call; ///< Null before send().
 };
 
@@ -63,7 +63,7 @@
   Request.m_Body = Call.m_Body;
   if (!Call.m_Body.empty())
     Request.m_Headers.push_back({"Content-Type", "application/json"});
-  // These calls are reads, or writes under a condition.
+  // These calls are reads or conditional writes, so they can be sent twice.
   Request.m_Repeatable = true;
   Request.m_SendAgain = true;
   Request.m_SendBefore = TimePoint::max();
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -1,4 +1,4 @@
-/// Short HTTP calls: platform, load reports, orders.
+/// HTTP client for short calls: platform services, load reports, orders.
 #ifndef CROWSTEP_HTTP_HTTP_CLIENT_H
 #define CROWSTEP_HTTP_HTTP_CLIENT_H
 
@@ -15,18 +15,19 @@
 
 namespace crowstep {
 
-/// An answer with any status.
+/// A complete answer; its status may be an error.
 struct HttpAnswer {
   unsigned m_Status = 0;   ///< HTTP status.
-  std::string m_Body;      ///< Whole.
-  Duration m_RetryAfter{}; ///< From Retry-After; 0 where absent.
+  std::string m_Body;      ///< Complete.
+  Duration m_RetryAfter{}; ///< From Retry-After; 0 if it is absent or no number
+                           ///< of seconds.
 };
 
 /// Why there is no answer.
 enum class HttpFailure : std::uint8_t {
-  NotSent,  ///< No connection: the peer can't have seen the call.
-  NoAnswer, ///< Sent, then closed or broken: it may have taken effect.
-  TimedOut, ///< Sent perhaps; nothing came within the limit.
+  NotSent,  ///< No connection: the peer did not receive the call.
+  NoAnswer, ///< Sent, then closed or reset: it may have taken effect.
+  TimedOut, ///< No complete answer in time; it may have taken effect.
 };
 
 using HttpResult = std::variant<HttpAnswer, HttpFailure>;
@@ -34,14 +35,14 @@
 /// One call.
 struct HttpCall {
   std::string m_Method = "GET";                 ///< HTTP method.
-  Address m_Where;                              ///< Server.
+  Address m_Where;                              ///< Of the server.
   std::string m_Path;                           ///< Path and query, escaped.
   std::string m_Body;                           ///< JSON, or empty.
   Duration m_Timeout = std::chrono::seconds(1); ///< For the whole call.
-  Duration m_ConnectLimit{}; ///< Longest wait for a connection; 0: m_Timeout.
+  Duration m_ConnectLimit{}; ///< For the connection; 0: only m_Timeout applies.
 };
 
-/// Makes calls; the interface is mocked in tests.
+/// Interface for HTTP calls; mocked in tests.
 class HttpCaller {
 public:
   using Done = std::function<void(HttpResult)>;
@@ -51,8 +52,8 @@
   virtual void call(const HttpCall &Call, Done OnDone) = 0;
 };
 
-/// HttpCaller over upstream calls. Calls that are open when it goes are
-/// dropped.
+/// HttpClientInterface over upstream calls. Its destructor cancels open calls,
+/// whose callbacks then don't run.
 class HttpClient final : public HttpCaller {
 public:
   HttpClient();
@@ -67,9 +68,9 @@
 
   LoopClock m_Clock;                   ///< Of the loop.
   LoopScheduler m_Timers;              ///< Of the loop.
-  HttpUpstreamCaller m_UpstreamClient; ///< Sends.
+  HttpUpstreamCaller m_UpstreamClient; ///< Sends the calls.
   std::unordered_map<Exchange *, std::unique_ptr<Exchange>>
-      m_Exchanges; ///< Calls.
+      m_Exchanges; ///< Open calls.
 };
 
 } // namespace crowstep
--- a/src/http/http_error.h
+++ b/src/http/http_error.h
@@ -1,4 +1,4 @@
-/// Failures of the HTTP parts.
+/// Exceptions of the HTTP code.
 #ifndef CROWSTEP_HTTP_HTTP_ERROR_H
 #define CROWSTEP_HTTP_HTTP_ERROR_H
 
@@ -6,7 +6,7 @@
 
 namespace crowstep {
 
-/// A path that can't be sent to an upstream.
+/// A path that can't be put into a request line.
 class UpstreamUriError : public Error {
 public:
   explicit UpstreamUriError(const std::string &Path)
--- a/src/http/keep_alive.cpp
+++ b/src/http/keep_alive.cpp
@@ -1,4 +1,4 @@
-/// Keep-alive probes of connections.
+/// TCP keep-alive options of a socket.
 #include "http/keep_alive.h"
 
 #include <netinet/in.h>
@@ -17,7 +17,7 @@
 
 void probeConnection(GSocket *Socket) {
   g_socket_set_keepalive(Socket, 1);
-  // A refused option leaves the kernel's default, which only takes longer.
+  // If an option is rejected, the kernel's default applies: slower detection.
   g_socket_set_option(Socket, IPPROTO_TCP, TCP_KEEPIDLE, ProbeAfterSeconds,
                       nullptr);
   g_socket_set_option(Socket, IPPROTO_TCP, TCP_KEEPINTVL, ProbeIntervalSeconds,
--- a/src/http/keep_alive.h
+++ b/src/http/keep_alive.h
@@ -1,4 +1,4 @@
-/// Finding out that a connection leads nowhere.
+/// Detection of dead connections by TCP keep-alive.
 #ifndef CROWSTEP_HTTP_KEEP_ALIVE_H
 #define CROWSTEP_HTTP_KEEP_ALIVE_H
 
@@ -6,13 +6,14 @@
 
 namespace crowstep {
 
-/// Lets the kernel probe a connection.
+/// Enables TCP keep-alive probes on a connection.
 ///
-/// Failure: behind a partition, or on a connection that a middlebox forgot,
-/// nothing comes back and nothing is closed; a call that waits for news of the
-/// store would wait for the rest of its limit and miss all changes until then.
-/// Probes after a second of silence, two of them a second apart, end it within
-/// three seconds, which is less than any bound on how late changes may be.
+/// During a network partition, or after a middlebox has dropped its state of
+/// the connection, no bytes and no close arrive. Without probes a long poll of
+/// the store would wait until its timeout and miss all updates meanwhile.
+/// Probes start after one second of silence; two of them, one second apart,
+/// detect the failure within three seconds, less than any bound on the delay of
+/// updates.
 void probeConnection(GSocket *Socket);
 
 } // namespace crowstep
--- a/src/http/refusal_answer.cpp
+++ b/src/http/refusal_answer.cpp
@@ -1,4 +1,4 @@
-/// JSON of refusals.
+/// JSON bodies of refusals.
 #include "http/refusal_answer.h"
 
 #include <nlohmann/json.hpp>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Returns the kind of error that callers' libraries sort by.
+/// Returns the error type by which callers' client libraries classify errors.
 std::string errorType(unsigned Status) {
   if (Status == 401)
     return "authentication_error";
--- a/src/http/refusal_answer.h
+++ b/src/http/refusal_answer.h
@@ -1,4 +1,4 @@
-/// What a refusal looks like to a caller.
+/// Bodies of refusals as callers receive them.
 #ifndef CROWSTEP_HTTP_REFUSAL_ANSWER_H
 #define CROWSTEP_HTTP_REFUSAL_ANSWER_H
 
@@ -13,7 +13,7 @@
 /// Returns {"error":{"type","code","message"}}.
 std::string errorBody(RefusalReason Reason);
 
-/// Returns the event that ends a stream which is cut.
+/// Returns the server-sent event that ends a stream that has failed.
 std::string errorEvent(RefusalReason Reason);
 
 /// Returns whole seconds for Retry-After, rounded up; 0: no header.
--- a/src/http/request_parser.cpp
+++ b/src/http/request_parser.cpp
@@ -1,4 +1,4 @@
-/// Requests by the parser library.
+/// Parsing of requests with http_parser.
 #include "http/request_parser.h"
 
 #include <algorithm>
@@ -12,13 +12,13 @@
   return *static_cast<RequestParser *>(Parser->data);
 }
 
-/// Returns whether the name has a blank. The library reads on as if it had
-/// none, and the next reader may not.
+/// Returns whether the name contains a blank. http_parser accepts that, and the
+/// upstream may read the header differently.
 bool nameHasBlank(const HeaderField &Field) {
   return Field.m_Name.find_first_of(" \t") != std::string::npos;
 }
 
-/// Returns path and query of a target that may name scheme and host as well.
+/// Returns path and query of a target, which may be in absolute form.
 std::string pathAndQuery(const std::string &Target) {
   const std::size_t Scheme = Target.find("://");
   if (Target.starts_with('/') || Scheme == std::string::npos)
@@ -60,7 +60,7 @@
   if (Error == HPE_PAUSED)
     http_parser_pause(&m_Parser, 0);
   else if (Error != HPE_OK || Consumed < Bytes.size())
-    // What it leaves without an error it takes for another protocol's.
+    // http_parser stops early without an error at a protocol upgrade.
     m_State = ArrivalState::Invalid;
   return Consumed;
 }
@@ -99,7 +99,7 @@
 int RequestParser::onHeaderField(http_parser *Parser, const char *At,
                                  size_t Size) {
   RequestParser &Self = ownerOf(Parser);
-  if (Self.m_State == ArrivalState::Head) // Trailers are not passed on.
+  if (Self.m_State == ArrivalState::Head) // Trailers are not forwarded.
     Self.m_HeaderCollector.appendName({At, Size});
   return 0;
 }
@@ -130,7 +130,7 @@
   constexpr int Fail = -1;
   if (!ownerOf(Parser).processHead())
     return Fail;
-  // What the head says is checked before any of the body is taken.
+  // Pause: the owner checks the head before the body is parsed.
   http_parser_pause(Parser, 1);
   return 0;
 }
--- a/src/http/request_parser.h
+++ b/src/http/request_parser.h
@@ -1,4 +1,4 @@
-/// Reads HTTP/1.1 requests from the bytes of a connection, one at a time.
+/// Parses one HTTP/1.1 request from the bytes of a connection.
 #ifndef CROWSTEP_HTTP_REQUEST_PARSER_H
 #define CROWSTEP_HTTP_REQUEST_PARSER_H
 
@@ -11,21 +11,21 @@
 
 namespace crowstep {
 
-/// A request as it arrived.
+/// A request as received.
 struct IncomingRequest {
   std::string m_Method; ///< HTTP method.
-  std::string m_Target; ///< Path and query, escaped as they came.
-  HeaderList m_Headers; ///< All of them.
-  std::string m_Body;   ///< Whole.
+  std::string m_Target; ///< Path and query, percent-encoded as received.
+  HeaderList m_Headers; ///< All headers of the head.
+  std::string m_Body;   ///< Complete.
 };
 
-/// How far a request has come.
+/// Progress of a request.
 enum class ArrivalState : std::uint8_t {
-  Nothing,  ///< Not a byte.
-  Head,     ///< Some of its head.
-  Body,     ///< The head; more of the body is to come.
-  Complete, ///< Whole.
-  Invalid,  ///< No HTTP; nothing that follows can be read.
+  Nothing,  ///< No byte received.
+  Head,     ///< Part of the head received.
+  Body,     ///< Head received; the body is incomplete.
+  Complete, ///< Received in full.
+  Invalid,  ///< Not valid HTTP; later bytes can't be parsed.
 };
 
 class RequestParser {
@@ -34,8 +34,8 @@
   RequestParser(const RequestParser &) = delete;
   RequestParser &operator=(const RequestParser &) = delete;
 
-  /// Takes bytes up to the end of the head, or of the request; returns how
-  /// many. Those that are left belong to what follows.
+  /// Parses up to the end of the head or of the request and returns the number
+  /// of bytes consumed; the caller passes the rest to the next feed().
   std::size_t feed(std::string_view Bytes);
 
   [[nodiscard]] ArrivalState state() const { return m_State; }
@@ -44,20 +44,21 @@
   [[nodiscard]] const IncomingRequest &request() const { return m_Request; }
   [[nodiscard]] IncomingRequest takeRequest() { return std::move(m_Request); }
 
-  /// Returns the length that the head states, or 0.
+  /// Returns the Content-Length, or 0 if the head states none.
   [[nodiscard]] std::uint64_t statedLength() const { return m_ContentLength; }
 
-  /// Returns whether the head was too long to be read.
+  /// Returns whether the head was rejected as too long.
   [[nodiscard]] bool headTooLarge() const;
 
-  /// Returns whether the body's end is stated in two ways, or in none that can
-  /// be read: two readers could then disagree about it.
+  /// Returns whether the request was rejected because its headers, or the
+  /// length of its body, could be read in different ways.
   [[nodiscard]] bool framingUnclear() const;
 
-  /// Returns whether the caller takes chunks, which came with HTTP/1.1.
+  /// Returns whether the caller accepts chunked encoding (HTTP/1.1 or
+  /// later 1.x).
   [[nodiscard]] bool takesChunks() const;
 
-  /// Returns whether the caller wants to use the connection further.
+  /// Returns whether the caller asks to keep the connection open.
   [[nodiscard]] bool wantsToKeepConnection() const { return m_KeepAlive; }
 
 private:
@@ -71,12 +72,12 @@
   static const http_parser_settings &callbacks();
   bool processHead();
 
-  http_parser m_Parser{};            ///< Points back to this object.
-  IncomingRequest m_Request;         ///< So far.
-  HeaderCollector m_HeaderCollector; ///< Of the head.
-  bool m_KeepAlive = false;          ///< See wantsToKeepConnection().
-  std::uint64_t m_ContentLength = 0; ///< See statedLength().
-  ArrivalState m_State = ArrivalState::Nothing; ///< Only goes on.
+  http_parser m_Parser{};                       ///< Points back to this object.
+  IncomingRequest m_Request;                    ///< Received so far.
+  HeaderCollector m_HeaderCollector;            ///< Of the head.
+  bool m_KeepAlive = false;                     ///< See wantsKeepAlive().
+  std::uint64_t m_ContentLength = 0;            ///< See contentLength().
+  ArrivalState m_State = ArrivalState::Nothing; ///< Never goes back.
 };
 
 } // namespace crowstep
--- a/src/http/socket_state.cpp
+++ b/src/http/socket_state.cpp
@@ -1,4 +1,4 @@
-/// What can be asked of a connected socket.
+/// Checks of a socket and of errors of socket calls.
 #include "http/socket_state.h"
 
 #include <cerrno>
--- a/src/http/socket_state.h
+++ b/src/http/socket_state.h
@@ -1,4 +1,4 @@
-/// What can be asked of a connected socket and of the failure of a call to it.
+/// Socket ownership, and checks of a socket and of errors of socket calls.
 #ifndef CROWSTEP_HTTP_SOCKET_STATE_H
 #define CROWSTEP_HTTP_SOCKET_STATE_H
 
@@ -7,17 +7,18 @@
 
 namespace crowstep {
 
-/// Gives back the reference to a socket.
+/// Deleter that drops the reference to a socket.
 struct SocketRelease {
   void operator()(GSocket *Socket) const { g_object_unref(Socket); }
 };
 using SocketPtr = std::unique_ptr<GSocket, SocketRelease>;
 
-/// Returns whether a call failed with \p Error only because it would have to
-/// wait.
+/// Returns whether a call that failed with \p Error can be tried again later:
+/// it would have blocked, or was interrupted.
 bool wouldBlock(int Error);
 
-/// Returns whether the peer has closed its sending side.
+/// Returns whether the peer has closed its sending side, or the connection has
+/// failed.
 bool closedByPeer(GSocket *Socket);
 
 } // namespace crowstep
--- a/src/http/sse_splitter.cpp
+++ b/src/http/sse_splitter.cpp
@@ -1,4 +1,4 @@
-/// Server-sent events, split into whole ones.
+/// Splitting of a byte stream into server-sent events.
 #include "http/sse_splitter.h"
 
 #include <charconv>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Returns the length up to and with the first blank line, or npos.
+/// Returns the length through the first blank line, or npos if there is none.
 std::size_t firstEventLength(std::string_view Text) {
   const std::size_t LfEnd = Text.find("\n\n");
   const std::size_t CrLfEnd = Text.find("\r\n\r\n");
--- a/src/http/sse_splitter.h
+++ b/src/http/sse_splitter.h
@@ -1,4 +1,4 @@
-/// Server-sent events, split into whole ones.
+/// Splits a byte stream into server-sent events.
 #ifndef CROWSTEP_HTTP_SSE_SPLITTER_H
 #define CROWSTEP_HTTP_SSE_SPLITTER_H
 
@@ -10,24 +10,25 @@
 
 namespace crowstep {
 
-/// A whole event.
+/// A complete event.
 struct SseEvent {
-  std::string m_Bytes;               ///< As it came, with its blank line.
-  std::optional<std::uint64_t> m_Id; ///< Its id field, if it is a number.
+  std::string m_Bytes;               ///< As received, with its blank line.
+  std::optional<std::uint64_t> m_Id; ///< Of its id field, if numeric.
 };
 
-/// Splits a byte stream into whole events. Half an event is never handed out:
-/// a stream that breaks off within one can then go on from another upstream.
+/// Splits a byte stream into complete events. An incomplete event is never
+/// returned, so a stream that breaks off within one can be resumed from another
+/// upstream.
 class SseSplitter {
 public:
-  /// Takes bytes and returns the events that they complete.
+  /// Appends bytes and returns the events that they complete.
   std::vector<SseEvent> feed(std::string_view Bytes);
 
-  /// Returns whether bytes of an event that is not whole are held.
+  /// Returns whether part of an event has been received.
   [[nodiscard]] bool midEvent() const { return !m_Partial.empty(); }
 
 private:
-  std::string m_Partial; ///< Begin of an event that is not yet whole.
+  std::string m_Partial; ///< Start of an incomplete event.
 };
 
 } // namespace crowstep
--- a/src/http/upstream_call.cpp
+++ b/src/http/upstream_call.cpp
@@ -1,4 +1,4 @@
-/// Upstream calls: one request, one answer, on a connection of their own.
+/// Upstream calls: each has a connection for one request and one answer.
 #include "http/upstream_call.h"
 
 #include "http/answer_parser.h"
@@ -10,14 +10,15 @@
 
 namespace {
 
-/// A path with one of these would end the request line early.
+/// Rejects blanks and control characters, which would end the path or the
+/// request line early.
 bool isPath(const std::string &Text) {
   return Text.starts_with('/') && std::ranges::none_of(Text, [](char Ch) {
            return static_cast<unsigned char>(Ch) <= ' ' || Ch == '\x7f';
          });
 }
 
-/// A value with a line break would begin a header of its own.
+/// Rejects line breaks, which would start another header.
 bool isOneLine(const HeaderField &Field) {
   constexpr const char *LineBreaks = "\r\n";
   return Field.m_Name.find_first_of(LineBreaks) == std::string::npos &&
@@ -81,28 +82,28 @@
   IdleConnections &m_IdleConnections; ///< Outlives the call.
   UpstreamListener &m_Listener;       ///< Outlives the call.
   Address m_Address;                  ///< Of the upstream.
-  TimePoint m_SendDeadline;           ///< Last check.
-  std::function<bool()> m_SendCheck;  ///< Last check as well; may be empty.
-  bool m_CloseAfter;              ///< The connection serves no further call.
-  std::string m_Output;           ///< The request as it is sent.
-  std::size_t m_WrittenBytes = 0; ///< Of m_Out.
-  AnswerParser m_Parser;          ///< Of the answer.
+  TimePoint m_SendDeadline;           ///< See UpstreamRequest.
+  std::function<bool()> m_SendCheck;  ///< May be empty.
+  bool m_CloseAfter;                  ///< Don't keep the connection.
+  std::string m_Output;               ///< The serialized request.
+  std::size_t m_WrittenBytes = 0;     ///< Part of m_Output already written.
+  AnswerParser m_Parser;              ///< Of the answer.
   std::unique_ptr<UpstreamConnection> m_Connection; ///< Null once ended.
-  bool m_RetryStaleConnection;  ///< See UpstreamSend; false once it was done.
-  bool m_IsReused = false;      ///< The connection served a call before.
-  bool m_IsConnecting = false;  ///< The connection doesn't stand yet.
-  bool m_SendStarted = false;   ///< A byte may have been sent.
-  bool m_WriteFailed = false;   ///< The request was not sent whole.
+  bool m_RetryStaleConnection;  ///< See UpstreamRequest; false after the retry.
+  bool m_IsReused = false;      ///< The first connection came from the pool.
+  bool m_IsConnecting = false;  ///< Not established yet.
+  bool m_SendStarted = false;   ///< Bytes may have been sent.
+  bool m_WriteFailed = false;   ///< The request was not sent in full.
   bool m_IsPaused = false;      ///< The caller reads slowly.
-  bool m_AnswerStarted = false; ///< Some of the answer, or its end, was read.
-  bool m_HeadDelivered = false; ///< The listener knows the head.
-  bool *m_Destroyed = nullptr;  ///< Set while the listener is called.
-  TimePoint m_LastByte;         ///< For the silence limit.
-  Timer m_SilenceTimer;         ///< For the silence limit.
-  Timer m_ConnectTimer;         ///< For the connect limit, and endSoon().
+  bool m_AnswerStarted = false; ///< Bytes or the end of the answer were read.
+  bool m_HeadDelivered = false; ///< The listener has the head.
+  bool *m_Destroyed = nullptr;  ///< Set during a call of the listener.
+  TimePoint m_LastByte;         ///< For the silence timeout.
+  Timer m_SilenceTimer;         ///< For the silence timeout.
+  Timer m_ConnectTimer;         ///< For the connect timeout and scheduleEnd().
   Duration m_SilenceTimeout;    ///< 0: none.
   Duration m_ConnectTimeout;    ///< 0: none.
-  Timer m_AnswerTimer;          ///< For the limit on the whole answer.
+  Timer m_AnswerTimer;          ///< For the timeout of the whole call.
 };
 
 HttpUpstreamCall::HttpUpstreamCall(const Clock &Time, Scheduler &Timers,
@@ -121,8 +122,9 @@
   startSilenceTimer(m_SilenceTimeout);
   if (Request.m_AnswerLimit > Duration::zero())
     m_AnswerTimer.start(Request.m_AnswerLimit, [this] { fail(); });
-  // A kept connection that the upstream closes just now would leave the outcome
-  // of a call unknown; on a fresh one a failure to connect proves "not sent".
+  // If the upstream closes an idle connection just as a request is sent on it,
+  // the outcome of the call is unknown. A new connection that fails to open
+  // proves that nothing was sent.
   if (Request.m_Repeatable)
     m_Connection = m_IdleConnections.take(m_Address, *this);
   m_IsReused = m_Connection != nullptr;
@@ -147,7 +149,7 @@
   startConnectTimer();
 }
 
-/// A kept connection that the upstream has closed says nothing of the upstream.
+/// The close of an idle connection by the upstream is no sign of its failure.
 bool HttpUpstreamCall::mayRetry() const {
   return m_RetryStaleConnection && m_IsReused && !m_AnswerStarted;
 }
@@ -196,9 +198,10 @@
     end(TransportEnd::TooOld);
 }
 
-/// The last step at which a call can still be kept back: the connection stands
-/// and no byte is written. What remains is a freeze between this check and the
-/// write; the claim, which is never stolen, keeps such a call at most once.
+/// The last point at which a call can be withheld: the connection is
+/// established and nothing has been written to it. The process may still be
+/// suspended between this check and the write; the claim, which no other
+/// instance takes over, ensures that such a call runs at most once.
 bool HttpUpstreamCall::maySend() const {
   return m_Clock.fresh() < m_SendDeadline && (!m_SendCheck || m_SendCheck());
 }
@@ -212,8 +215,8 @@
   if (m_WrittenBytes < m_Output.size()) {
     const auto Size =
         m_Connection->write(std::string_view(m_Output).substr(m_WrittenBytes));
-    // An upstream that closed before it read all may have answered: what is
-    // there to read decides.
+    // An upstream that closes before it has read the whole request may have
+    // answered, so the outcome depends on what can be read.
     m_WriteFailed = !Size;
     m_WrittenBytes = Size ? m_WrittenBytes + *Size : m_Output.size();
   }
@@ -240,7 +243,7 @@
   deliver(Outcome == ReadOutcome::Failed);
 }
 
-/// Passes on what the parser has. The listener may destroy the call.
+/// Delivers what the parser has. The listener may destroy the call.
 void HttpUpstreamCall::deliver(bool Failed) {
   bool Destroyed = false;
   m_Destroyed = &Destroyed;
@@ -264,23 +267,23 @@
   }
 }
 
-/// An upstream that answers before it has read the whole body would take a
-/// further request for the rest of it.
+/// An upstream that answers before it has read the whole body would take the
+/// next request for the rest of that body.
 void HttpUpstreamCall::keepConnection() {
   const bool SentWhole = m_WrittenBytes == m_Output.size() && !m_WriteFailed;
   if (SentWhole && m_Parser.mayKeepConnection() && !m_CloseAfter)
     m_IdleConnections.keep(m_Address, std::move(m_Connection));
 }
 
-/// A dark machine answers no opening packet; the kernel's own limit is over a
-/// minute, and until then the caller would wait for nothing.
+/// A machine that is down does not answer the SYN. The kernel's own timeout is
+/// over a minute, and the caller would wait for all of it.
 void HttpUpstreamCall::startConnectTimer() {
   if (m_ConnectTimeout > Duration::zero())
     m_ConnectTimer.start(m_ConnectTimeout, [this] { fail(); });
 }
 
-/// A hung upstream closes nothing; without a limit its callers would wait for
-/// ever and its slot would stay taken.
+/// An upstream that hangs does not close its connections; without a timeout its
+/// callers would wait forever and its slots would stay occupied.
 void HttpUpstreamCall::startSilenceTimer(Duration Delay) {
   if (m_SilenceTimeout <= Duration::zero())
     return;
@@ -298,13 +301,14 @@
   end(m_SendStarted ? TransportEnd::Broken : TransportEnd::NotSent);
 }
 
-/// The listener hears nothing from within send().
+/// Ends the call from the event loop, as the listener must not be called from
+/// within send().
 void HttpUpstreamCall::scheduleEnd(TransportEnd End) {
   m_Connection.reset();
   m_ConnectTimer.start(Duration::zero(), [this, End] { end(End); });
 }
 
-/// The listener may destroy the call, so nothing follows.
+/// The listener may destroy the call, so upstreamEnded() must come last.
 void HttpUpstreamCall::end(TransportEnd End) {
   m_SilenceTimer.stop();
   m_ConnectTimer.stop();
@@ -313,7 +317,7 @@
   m_Listener.upstreamEnded(End);
 }
 
-/// A connection that is opened to see whether anybody listens.
+/// Opens a connection to check whether an upstream accepts it.
 class HttpUpstreamProbe final : public UpstreamProbe, public SocketListener {
 public:
   HttpUpstreamProbe(Scheduler &Timers, IdleConnections &Idle,
@@ -333,7 +337,7 @@
   }
 
 private:
-  /// The owner may destroy the probe, so nothing follows m_Done.
+  /// The callback may destroy the probe, so it must come last.
   void socketReady(SocketEvents) override {
     m_Timer.stop();
     const ConnectOutcome Result = m_Connection->connected();
@@ -347,8 +351,8 @@
   IdleConnections &m_IdleConnections; ///< Outlives the probe.
   Address m_Address;                  ///< Of the upstream.
   ProbeDone m_OnDone;                 ///< Never empty.
-  Timer m_Timer;                      ///< Or the outcome of the opening.
-  std::unique_ptr<UpstreamConnection> m_Connection; ///< Null once it failed.
+  Timer m_Timer; ///< For the timeout, or an immediate failure.
+  std::unique_ptr<UpstreamConnection> m_Connection; ///< Null when done.
 };
 
 } // namespace
--- a/src/http/upstream_call.h
+++ b/src/http/upstream_call.h
@@ -1,4 +1,4 @@
-/// One HTTP call to an upstream, read as it comes.
+/// HTTP calls to upstreams, whose answers are delivered as they arrive.
 #ifndef CROWSTEP_HTTP_UPSTREAM_CALL_H
 #define CROWSTEP_HTTP_UPSTREAM_CALL_H
 
@@ -15,34 +15,34 @@
 
 namespace crowstep {
 
-/// How the transport ended.
+/// How a call ended at the transport level.
 enum class TransportEnd : std::uint8_t {
-  Complete, ///< The body arrived whole, to its length or last chunk.
-  NotSent,  ///< No connection: not a byte was sent.
-  TooOld,   ///< The last check stopped it: not a byte was sent.
-  Broken,   ///< Sent perhaps; closed, reset or silent for too long.
+  Complete, ///< The answer was received in full.
+  NotSent,  ///< No connection; no byte was sent.
+  TooOld,   ///< Stopped by the last check; no byte was sent.
+  Broken,   ///< Closed, reset or timed out; maybe sent.
 };
 
-/// What to send.
+/// A request to an upstream.
 struct UpstreamSend {
   Address m_Where;                ///< Of the upstream's server.
   std::string m_Method = "POST";  ///< HTTP method.
-  std::string m_Path;             ///< Path and query, escaped.
-  HeaderList m_Headers;           ///< All but those that frame the body.
-  std::string m_Body;             ///< Whole.
-  bool m_Repeatable = false;      ///< False: fresh connection, then closed.
-  bool m_CloseAfter = false;      ///< Ask the upstream to close afterwards.
-  TimePoint m_SendBefore;         ///< Last check, by Clock::fresh().
-  std::function<bool()> m_Wanted; ///< Last check as well; may be empty.
-  Duration m_SilenceLimit{};      ///< Longest wait for a byte; 0: none.
-  Duration m_ConnectLimit{};      ///< Longest wait for a connection; 0: none.
-  Duration m_AnswerLimit{};       ///< Longest wait for the whole; 0: none.
-  bool m_SendAgain = false;       ///< Once, where a kept connection breaks
+  std::string m_Path;             ///< Path and query, percent-encoded.
+  HeaderList m_Headers;           ///< Without those that frame the body.
+  std::string m_Body;             ///< Complete.
+  bool m_Repeatable = false;      ///< False: always on a new connection.
+  bool m_CloseAfter = false;      ///< Ask the upstream to close the connection.
+  TimePoint m_SendBefore;         ///< Last check, against Clock::fresh().
+  std::function<bool()> m_Wanted; ///< Part of the last check; may be empty.
+  Duration m_SilenceLimit{};      ///< Between two received bytes; 0: none.
+  Duration m_ConnectLimit{};      ///< For the connection; 0: none.
+  Duration m_AnswerLimit{};       ///< For the whole call; 0: none.
+  bool m_SendAgain = false;       ///< Once, if a reused connection fails
                                   ///< before a byte of the answer.
 };
 
-/// Who hears of one call; nothing more comes after upstreamEnded() or once
-/// the call is destroyed.
+/// Receives the events of one call; none follow upstreamEnded() or the
+/// destruction of the call.
 class UpstreamListener {
 public:
   virtual ~UpstreamListener() = default;
@@ -51,25 +51,25 @@
   virtual void upstreamEnded(TransportEnd End) = 0;
 };
 
-/// A call on its way; destroying it closes its connection.
+/// An open call; destroying it closes its connection.
 class UpstreamCall {
 public:
   virtual ~UpstreamCall() = default;
-  /// Stops and continues reading, for a caller that reads slowly.
+  /// Pause and resume reading, for a caller that reads slowly.
   virtual void pauseReading() = 0;
   virtual void continueReading() = 0;
 };
 
-/// Starts calls; mocked in tests.
+/// Interface that starts calls; mocked in tests.
 class UpstreamCaller {
 public:
   virtual ~UpstreamCaller() = default;
-  /// \p Listener outlives the call; it hears nothing from within send().
+  /// \p Listener outlives the call and is not called from within send().
   virtual std::unique_ptr<UpstreamCall> send(const UpstreamSend &Request,
                                              UpstreamListener &Listener) = 0;
 };
 
-/// A probe on its way; destroying it ends it.
+/// An open probe; destroying it cancels it.
 class UpstreamProbe {
 public:
   virtual ~UpstreamProbe() = default;
@@ -77,16 +77,16 @@
 
 using ProbeDone = std::function<void(ConnectOutcome)>;
 
-/// Finds out whether anybody listens at an upstream's address; mocked in tests.
+/// Checks whether an upstream accepts connections; mocked in tests.
 class UpstreamProber {
 public:
   virtual ~UpstreamProber() = default;
-  /// \p OnDone runs once, not from within probe(), and may destroy the probe.
+  /// \p OnDone runs once, not within probe(), and may destroy the probe.
   virtual std::unique_ptr<UpstreamProbe>
   probe(const Address &Upstream, Duration Timeout, ProbeDone OnDone) = 0;
 };
 
-/// Calls over HTTP/1.1; outlives them.
+/// Calls and probes over HTTP/1.1; outlives them.
 class HttpUpstreamCaller final : public UpstreamCaller, public UpstreamProber {
 public:
   HttpUpstreamCaller(const Clock &Time, Scheduler &Timers)
@@ -98,14 +98,14 @@
   std::unique_ptr<UpstreamCall> send(const UpstreamSend &Request,
                                      UpstreamListener &Listener) override;
 
-  /// A connection that stands is kept for the next call.
+  /// An established connection is kept for the next call.
   std::unique_ptr<UpstreamProbe>
   probe(const Address &Upstream, Duration Timeout, ProbeDone OnDone) override;
 
 private:
-  const Clock &m_Clock;              ///< Outlives the caller.
-  Scheduler &m_Timers;               ///< Outlives the caller.
-  IdleConnections m_IdleConnections; ///< For calls that may be repeated.
+  const Clock &m_Clock;              ///< Outlives this object.
+  Scheduler &m_Timers;               ///< Outlives this object.
+  IdleConnections m_IdleConnections; ///< Taken by repeatable calls.
 };
 
 } // namespace crowstep
--- a/src/http/upstream_connection.cpp
+++ b/src/http/upstream_connection.cpp
@@ -16,8 +16,8 @@
 
 constexpr std::size_t ReadSize = 16384;
 
-/// Upstreams close an idle connection after about ten seconds; one that is
-/// given up before is never found closed by a call.
+/// Upstreams close an idle connection after about ten seconds. The router
+/// closes it earlier, so that a call does not pick a connection being closed.
 constexpr Duration IdleTimeout = std::chrono::seconds(8);
 
 GSocketAddress *socketAddress(const Address &Upstream) {
@@ -28,7 +28,7 @@
   return g_socket_address_new_from_native(&Native, sizeof(Native));
 }
 
-/// Returns what became of a connection, and frees \p Failure.
+/// Returns the outcome for \p Failure, which may be null, and frees it.
 ConnectOutcome outcomeOf(GError *Failure) {
   if (Failure == nullptr)
     return ConnectOutcome::Stands;
@@ -38,7 +38,7 @@
   return Refused ? ConnectOutcome::Refused : ConnectOutcome::Failed;
 }
 
-/// Returns Stands where the socket is connecting or connected.
+/// Returns Connected if the socket is connected or still connecting.
 ConnectOutcome beginConnecting(GSocket *Socket, const Address &Upstream) {
   GSocketAddress *Target = socketAddress(Upstream);
   GError *Failure = nullptr;
@@ -55,7 +55,7 @@
 UpstreamConnection::open(const Address &Upstream, SocketListener &Listener) {
   SocketPtr Socket(g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM,
                                 G_SOCKET_PROTOCOL_TCP, nullptr));
-  if (Socket == nullptr) // Out of descriptors.
+  if (Socket == nullptr) // Out of file descriptors.
     return ConnectOutcome::Failed;
   g_socket_set_blocking(Socket.get(), 0);
   g_socket_set_option(Socket.get(), IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
@@ -136,7 +136,7 @@
   while (Result == nullptr && !Entries.empty()) {
     Result = std::move(Entries.back()->m_Connection);
     Entries.pop_back();
-    // The loop may not have seen yet that the peer has closed it.
+    // The event loop may not have reported yet that the peer has closed it.
     if (!Result->quiet())
       Result.reset();
   }
--- a/src/http/upstream_connection.h
+++ b/src/http/upstream_connection.h
@@ -1,4 +1,4 @@
-/// Connections to upstreams, and those that are kept between two calls.
+/// Connections to upstreams, and a pool of idle ones.
 #ifndef CROWSTEP_HTTP_UPSTREAM_CONNECTION_H
 #define CROWSTEP_HTTP_UPSTREAM_CONNECTION_H
 
@@ -16,44 +16,45 @@
 
 namespace crowstep {
 
-/// What a read has brought.
+/// Result of a read.
 enum class ReadOutcome : std::uint8_t {
-  Bytes,   ///< Some.
-  Nothing, ///< None yet.
-  Closed,  ///< The peer has closed the connection in order.
-  Failed,  ///< The connection is broken.
+  Bytes,   ///< Bytes were read.
+  Nothing, ///< No bytes yet.
+  Closed,  ///< The peer has closed the connection, without a reset.
+  Failed,  ///< The connection has failed.
 };
 
-/// Whether a connection came to stand.
+/// Result of a connection attempt.
 enum class ConnectOutcome : std::uint8_t {
-  Stands,  ///< It does.
-  Refused, ///< The machine is there, and nobody listens.
-  Failed,  ///< For any other reason.
+  Stands,  ///< Established, or still in progress.
+  Refused, ///< The machine is up, but nothing listens on the port.
+  Failed,  ///< Any other failure.
 };
 
 /// One TCP connection; destroying it closes it.
 class UpstreamConnection {
 public:
-  /// Begins to connect to \p Where; the outcome if that fails at once. The
-  /// connection becomes writable once it stands or has failed.
+  /// Starts to connect to \p Upstream; returns the outcome if that fails at
+  /// once. The socket becomes writable once the attempt has succeeded or
+  /// failed.
   static std::variant<std::unique_ptr<UpstreamConnection>, ConnectOutcome>
   open(const Address &Upstream, SocketListener &Listener);
   ~UpstreamConnection();
   UpstreamConnection(const UpstreamConnection &) = delete;
   UpstreamConnection &operator=(const UpstreamConnection &) = delete;
 
-  /// Returns whether the connection stands, asked once it is writable.
+  /// Returns the result of the attempt; called once the socket is writable.
   [[nodiscard]] ConnectOutcome connected();
 
-  /// Writes what the socket takes now; returns how much, or nothing if the
-  /// connection is broken.
+  /// Writes what the socket accepts without blocking; returns the number of
+  /// bytes, or nullopt if the connection has failed.
   std::optional<std::size_t> write(std::string_view Bytes);
 
-  /// Reads what is there into a buffer that all connections share; \p Bytes is
-  /// valid until the next read.
+  /// Reads available bytes into a buffer that all connections share; \p Bytes
+  /// is valid until the next read on any connection.
   ReadOutcome read(std::string_view &Bytes);
 
-  /// Returns whether the peer is still there and has sent nothing unasked.
+  /// Returns whether the connection is open and has no unread bytes.
   [[nodiscard]] bool quiet();
 
   [[nodiscard]] SocketWatch &watch() { return m_Watch; }
@@ -66,7 +67,7 @@
   SocketWatch m_Watch; ///< For m_Socket.
 };
 
-/// Connections without a call, by upstream.
+/// Pool of connections without a call, by upstream.
 class IdleConnections {
 public:
   IdleConnections(const Clock &Time, Scheduler &Timers)
@@ -75,11 +76,11 @@
   IdleConnections &operator=(const IdleConnections &) = delete;
 
   /// Keeps a connection until a call takes it, its peer closes it or sends
-  /// anything, or it has been idle for too long.
+  /// bytes, or its idle timeout ends.
   void keep(const Address &Upstream,
             std::unique_ptr<UpstreamConnection> Connection);
 
-  /// Returns the connection to \p Where that was used last, or null.
+  /// Returns the most recently used connection to \p Upstream, or null.
   std::unique_ptr<UpstreamConnection> take(const Address &Upstream,
                                            SocketListener &Listener);
 
@@ -88,9 +89,9 @@
   struct IdleConnection final : SocketListener {
     void socketReady(SocketEvents) override { m_Pool->remove(*this); }
 
-    IdleConnections *m_Pool = nullptr;                ///< Never null.
-    Address m_Address;                                ///< Of the upstream.
-    TimePoint m_ExpiresAt;                            ///< Closed then.
+    IdleConnections *m_Pool = nullptr; ///< Never null.
+    Address m_Address;                 ///< Of the upstream.
+    TimePoint m_ExpiresAt;             ///< Time at which it is closed.
     std::unique_ptr<UpstreamConnection> m_Connection; ///< Never null.
   };
 
@@ -98,8 +99,8 @@
   void closeExpired();
 
   const Clock &m_Clock; ///< Outlives this object.
-  Timer m_ExpiryTimer;  ///< Runs while any are kept.
-  /// By upstream, none empty, each in the order of m_Until.
+  Timer m_ExpiryTimer;  ///< Runs while the pool is not empty.
+  /// No list is empty; each is in the order of m_ExpiresAt.
   std::map<Address, std::vector<std::unique_ptr<IdleConnection>>> m_ByUpstream;
 };
 
