--- a/src/http/http_error.h
+++ b/src/http/http_error.h
@@ -10,7 +10,7 @@
 class UpstreamUriError : public Error {
 public:
   explicit UpstreamUriError(const std::string &Path)
-      : Error("no path that can be sent: " + Path) {}
+      : Error("invalid upstream request path: " + Path) {}
 };
 
 } // namespace crowstep
