--- a/tests/benchmark/connections_benchmark.cpp
+++ b/tests/benchmark/connections_benchmark.cpp
@@ -1,6 +1,5 @@
-/// Processor time that the loop spends on one forwarded request, against the
-/// number of connections that are open and silent. docs/CAPACITY.md has the
-/// figures.
+/// Processor time per forwarded request as a function of the number of idle
+/// open connections. docs/CAPACITY.md has the results.
 #include "http/front.h"
 #include "http/upstream_call.h"
 #include "unit/loopback_peer.h"
@@ -18,7 +17,7 @@
 const std::string RequestText = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n";
 const std::string Answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// Sends \p Text and reads until two bytes of a body have come.
+/// Sends \p Text and reads until the body of the answer, "ok", has arrived.
 void exchange(int Fd, const std::string &Text) {
   (void)::send(Fd, Text.data(), Text.size(), MSG_NOSIGNAL);
   std::string Received;
@@ -41,7 +40,7 @@
   return Fd;
 }
 
-/// Answers on every connection from a thread of its own, one at a time.
+/// An upstream on its own thread that serves one connection at a time.
 class BusyUpstream {
 public:
   BusyUpstream() {
@@ -75,7 +74,7 @@
   std::thread m_Thread;
 };
 
-/// A caller's request on its way.
+/// A caller's request while it is being forwarded.
 struct ForwardedCall final : UpstreamListener {
   void upstreamHeaders(unsigned, const HeaderList &) override {}
   void upstreamBytes(std::string_view Bytes) override { m_Body += Bytes; }
@@ -102,7 +101,7 @@
       {1000, 4096, 10s, 600s}, [](RefusalReason) {}, Timers);
   Address ListenAddress;
   {
-    const FakeUpstream Free; // Only for a port that is free.
+    const FakeUpstream Free; // Only to find a free port.
     ListenAddress = Free.m_Address;
   }
   Callers.listen(
--- a/tests/unit/answer_end_test.cpp
+++ b/tests/unit/answer_end_test.cpp
@@ -1,4 +1,5 @@
-/// Which ends of an answer count as whole, however its bytes arrive.
+/// Tests that complete and truncated answers are told apart, however their
+/// bytes are split over packets.
 #define BOOST_TEST_MODULE answer_end
 #include "http/upstream_call.h"
 #include "unit/broken_upstream.h"
@@ -33,8 +34,8 @@
 struct EndCounts {
   int m_Whole = 0;
   int m_Broken = 0;
-  int m_Other = 0;       ///< Other ends, and plays without one.
-  int m_WrongBodies = 0; ///< Whole, but not the body given.
+  int m_Other = 0;       ///< Other ends, and runs without an end.
+  int m_WrongBodies = 0; ///< Complete, but with a wrong body.
 };
 
 EndCounts countEnds(const std::string &Answer, const std::string &Body,
@@ -85,8 +86,8 @@
 
 } // namespace
 
-/// Guards against a whole answer that is taken for a cut one: its caller is
-/// told that the outcome is unknown, or the work is done again.
+/// Guards against a complete answer that is taken for a truncated one: the
+/// caller would get "outcome unknown", or the work would be done again.
 BOOST_AUTO_TEST_CASE(AWholeAnswerIsWholeHoweverItsBytesArrive) {
   const std::string Body = "5\r\nwhole\r\n0\r\n\r\n";
   checkWhole(ChunkedAndCloses + Body, "whole", 1, 0us);
@@ -95,7 +96,7 @@
   checkWhole(Chunked + Body, "whole", 4, 60us, 2 * Runs);
 }
 
-/// Guards against the same for last chunks that are spelled in other ways.
+/// Guards against the same for other valid forms of the last chunk.
 BOOST_AUTO_TEST_CASE(EverySpellingOfALastChunkIsAnEnd) {
   for (const char *LastChunk :
        {"000\r\n\r\n", "0;ext=1\r\n\r\n", "0\r\nX-Trailer: a\r\n\r\n"})
@@ -107,19 +108,19 @@
     }
 }
 
-/// Guards against a cut answer that counts as whole.
+/// Guards against a truncated answer that is taken for a complete one.
 BOOST_AUTO_TEST_CASE(ACutAnswerIsBrokenHoweverItsBytesArrive) {
   for (const std::string &Head : {Chunked, ChunkedAndCloses}) {
     checkBroken(Head + "4\r\nhalf\r\n0\r\n", 4, 60us);
     checkBroken(Head + "4\r\nhalf\r\n0", 4, 60us);
     checkBroken(Head + "4\r\nhalf\r\n", 4, 60us);
-    // Data that ends as a last chunk does, before the end of its own chunk.
+    // Data that ends like a last chunk, without the CRLF of its own chunk.
     checkBroken(Head + "7\r\n\r\n0\r\n\r\n", 1, 0us, Runs / 3);
     checkBroken(Head + "7\r\n\r\n0\r\n\r\n", 4, 60us, Runs / 3);
   }
 }
 
-/// Guards against ends that depend on the number or size of chunks.
+/// Guards against results that depend on the number or size of chunks.
 BOOST_AUTO_TEST_CASE(ManyAndLargeChunksEndAsFewDo) {
   std::string Many;
   std::string Body;
@@ -137,7 +138,7 @@
   }
 }
 
-/// Guards against the wrong end of answers that have no chunks.
+/// Guards against a wrong end of answers without chunked encoding.
 BOOST_AUTO_TEST_CASE(AnswersWithoutChunksEndByLengthOrClose) {
   const std::string Ok = "HTTP/1.1 200 OK\r\n";
   checkWhole(Ok + "Content-Length: 5\r\n\r\nwhole", "whole", 3, 60us);
--- a/tests/unit/broken_upstream.h
+++ b/tests/unit/broken_upstream.h
@@ -1,4 +1,4 @@
-/// An upstream that breaks off, for tests of the ends of answers.
+/// An upstream that closes early, for tests of the ends of answers.
 #ifndef CROWSTEP_TESTS_UNIT_BROKEN_UPSTREAM_H
 #define CROWSTEP_TESTS_UNIT_BROKEN_UPSTREAM_H
 
@@ -14,8 +14,8 @@
 
 namespace crowstep::test {
 
-/// An upstream on a thread of its own: answers each connection with the same
-/// bytes, cut into random pieces with pauses between them, and closes at once.
+/// An upstream on its own thread: answers each connection with the same bytes,
+/// split at random with gaps between the pieces, and closes right after them.
 class BrokenUpstream {
 public:
   BrokenUpstream(std::string Answer, unsigned Pieces,
@@ -78,7 +78,7 @@
   std::string m_Answer;
   unsigned m_Pieces;
   std::chrono::microseconds m_MaxGap;
-  std::mt19937 m_Random{34}; ///< Fixed, for plays that can be repeated.
+  std::mt19937 m_Random{34}; ///< Fixed seed, for reproducible runs.
   std::atomic<bool> m_IsStopping = false;
   int m_Fd;
   std::thread m_Thread;
--- a/tests/unit/front_test.cpp
+++ b/tests/unit/front_test.cpp
@@ -1,4 +1,5 @@
-/// The caller side of HTTP on loopback: framing, closes and idle connections.
+/// Tests of the HTTP server for callers over loopback: framing, closes and idle
+/// connections.
 #define BOOST_TEST_MODULE front
 #include "http/caller.h"
 #include "http/front.h"
@@ -24,7 +25,7 @@
   Address m_Address{INADDR_LOOPBACK, 0};
 
   FrontFixture() {
-    FakeUpstream FreePort; // Only for a port that is free.
+    FakeUpstream FreePort; // Only to find a free port.
     m_Address = FreePort.m_Address;
     FreePort.stopListening();
     m_Front.listen(m_Address, [this](const IncomingRequest &,
@@ -53,8 +54,9 @@
 
 } // namespace
 
-/// One reader goes by the length, another by the chunks: the rest of the body
-/// would be a second request, with whatever key its sender chose.
+/// Guards against request smuggling: if one parser goes by the length and
+/// another by the chunks, the rest of the body is taken for a second request,
+/// with a key that the sender chose.
 BOOST_AUTO_TEST_CASE(AmbiguousFramingIsRefused) {
   FrontFixture Fixture;
   for (const char *Framing :
@@ -71,8 +73,8 @@
   }
 }
 
-/// Guards against a request that breaks off and is handed on as a whole one: it
-/// would run with half of its body.
+/// Guards against a truncated request that is passed on as a complete one: it
+/// would run with part of its body.
 BOOST_AUTO_TEST_CASE(ARequestThatBreaksOffIsNotHandedOn) {
   const std::string Head = "POST /x HTTP/1.1\r\nHost: h\r\n";
   const std::string Chunked = Head + "Transfer-Encoding: chunked\r\n\r\n";
@@ -100,8 +102,8 @@
         }
 }
 
-/// The caller closes its sending side while it waits, also behind bytes of a
-/// further request that nobody has read: its work must stop.
+/// Guards against work for a caller that has closed its sending side while it
+/// waits, also after unread bytes of a further request.
 BOOST_AUTO_TEST_CASE(AHalfClosedCallerIsGone) {
   for (const std::string &Text : {Get, Get + Get}) {
     FrontFixture Fixture;
@@ -114,8 +116,8 @@
   }
 }
 
-/// A kept connection that lies idle is closed by its limit, or at shutdown; one
-/// whose request is being answered is not.
+/// An idle connection is closed by its timeout or at shutdown; one whose
+/// request is being answered is not.
 BOOST_AUTO_TEST_CASE(IdleConnectionsAreClosed) {
   FrontFixture Fixture;
   const auto Idle = Fixture.connectAndSend(Get);
@@ -130,11 +132,11 @@
   BOOST_TEST(!Busy->closed());
   Fixture.answerLast();
   BOOST_TEST(pumpUntil([&] { return Busy->has("ok"); }));
-  BOOST_TEST(pumpUntil([&] { return Busy->closed(); })); // After its limit.
+  BOOST_TEST(pumpUntil([&] { return Busy->closed(); })); // By its idle timeout.
 }
 
-/// Guards against a header that two readers take for two different ones, the
-/// length of the body among them.
+/// Guards against a header that two parsers read as different ones, such as the
+/// length of the body.
 BOOST_AUTO_TEST_CASE(ABlankBehindAHeadersNameIsRefused) {
   FrontFixture Fixture;
   for (const char *Field : {"Content-Length : 5", "X-Key : k"}) {
@@ -147,8 +149,8 @@
   }
 }
 
-/// Guards against requests that are lost, answered out of turn or joined where
-/// a caller sends the next one before the last is answered.
+/// Guards against pipelined requests that are lost, joined or answered out of
+/// order.
 BOOST_AUTO_TEST_CASE(RequestsSentAheadAreAnsweredInTurn) {
   FrontFixture Fixture;
   const auto Caller = Fixture.connectAndSend(
@@ -167,8 +169,8 @@
   BOOST_TEST(Fixture.m_DisconnectCount == 0);
 }
 
-/// Guards against a part of the next request that is forgotten as the last one
-/// is answered.
+/// Guards against the loss of a partly received next request when the current
+/// one is answered.
 BOOST_AUTO_TEST_CASE(APartOfTheNextRequestIsKept) {
   FrontFixture Fixture;
   const auto Caller = Fixture.connectAndSend(Get + Get.substr(0, 9));
@@ -182,7 +184,7 @@
 }
 
 /// Guards against a refusal that is lost by a reset while the caller still
-/// sends the body that was refused, on a connection that has served before.
+/// sends the refused body, on a connection that has served a request before.
 BOOST_AUTO_TEST_CASE(ARefusedBodyIsReadToItsLimit) {
   FrontFixture Fixture;
   const auto Caller = Fixture.connectAndSend(Get);
@@ -198,7 +200,7 @@
   BOOST_TEST((Fixture.m_Refused == std::vector{RefusalReason::BodyTooLarge}));
 }
 
-/// Guards against a stream that is cut and looks complete.
+/// Guards against a truncated stream that looks complete.
 BOOST_AUTO_TEST_CASE(ACutStreamHasNoEnd) {
   for (const char *Version : {"1.1", "1.0"}) {
     FrontFixture Fixture;
@@ -211,13 +213,13 @@
     Fixture.m_Callers[0]->drop();
     BOOST_TEST(pumpUntil([&] { return Caller->closed(); }));
     BOOST_TEST(!Caller->has("0\r\n\r\n"));
-    // Without chunks nothing but a reset tells that the stream is cut.
+    // Without chunks only a reset shows that the stream is truncated.
     BOOST_TEST(Caller->wasReset() == (std::string_view(Version) == "1.0"));
   }
 }
 
-/// Guards against a process that holds the whole answer of a caller that reads
-/// slowly, and against one that forgets to go on.
+/// Guards against buffering the whole answer for a caller that reads slowly,
+/// and against a stream that is not resumed once the caller has read.
 BOOST_AUTO_TEST_CASE(ASlowReaderIsToldByTheBacklog) {
   FrontFixture Fixture;
   const auto Caller = Fixture.connectAndSend(Get);
@@ -242,8 +244,9 @@
   BOOST_TEST(Caller->received().size() > Given);
 }
 
-/// Guards against a stream that stops for good: its upstream is held back for
-/// the backlog, and a later event finds room and writes the backlog along.
+/// Guards against a stream that stalls: its upstream is paused for the backlog,
+/// and a later append() writes that backlog without running the callback that
+/// resumes the upstream.
 BOOST_AUTO_TEST_CASE(ABacklogIsAlwaysReportedAsDrained) {
   FrontFixture Fixture;
   const auto Caller = Fixture.connectAndSend(Get);
@@ -263,7 +266,7 @@
   BOOST_TEST(Drained > 0);
 }
 
-/// Guards against bodies where HTTP has none, which the caller would take for
+/// Guards against a body where HTTP allows none: the caller would take it for
 /// the next answer.
 BOOST_AUTO_TEST_CASE(AnswersWithoutABodyHaveNone) {
   FrontFixture Fixture;
@@ -280,7 +283,7 @@
   BOOST_TEST(Caller->received().ends_with("\r\n\r\n"));
 }
 
-/// Guards against a caller that waits for leave to send its body.
+/// Guards against a caller that waits for "100 Continue" and gets none.
 BOOST_AUTO_TEST_CASE(ACallerThatAsksFirstIsToldToGoOn) {
   FrontFixture Fixture;
   const auto Caller = Fixture.connectAndSend("POST /x HTTP/1.1\r\nHost: h\r\n"
@@ -292,8 +295,8 @@
   BOOST_TEST(pumpUntil([&] { return Fixture.m_Callers.size() == 1; }));
 }
 
-/// Guards against a reset for a request that came in time and was not read yet,
-/// as the process was held up over the end of the idle limit.
+/// Guards against a reset for a request that arrived in time but was not read
+/// yet, as the process was suspended past the end of the idle timeout.
 BOOST_AUTO_TEST_CASE(ARequestThatCameInTimeIsReadAfterAPause) {
   FrontFixture Fixture;
   const auto Caller = Fixture.connectAndSend(Get);
@@ -306,7 +309,7 @@
   BOOST_TEST(!Caller->closed());
 }
 
-/// Guards against a request that is reset at shutdown though it has come.
+/// Guards against a reset at shutdown for a request that has arrived unread.
 BOOST_AUTO_TEST_CASE(ARequestThatHasComeIsReadBeforeIdleOnesAreClosed) {
   FrontFixture Fixture;
   const auto Caller = Fixture.connectAndSend(Get);
@@ -321,7 +324,7 @@
   BOOST_TEST(Fixture.m_Front.unfinished() == 1U);
 }
 
-/// Events are handed out whole, however the bytes come.
+/// Events are returned complete, however their bytes are split.
 BOOST_AUTO_TEST_CASE(EventsAreSplitWhole) {
   const std::string Text = "id: 4\ndata: a\n\nx: 1\nid:5\r\ndata: b\r\n\r\n";
   for (std::size_t Step = 1; Step < Text.size(); ++Step) {
--- a/tests/unit/leaving_cut_test.cpp
+++ b/tests/unit/leaving_cut_test.cpp
@@ -1,5 +1,5 @@
-/// The end of an answer from an upstream that closes its connections and breaks
-/// off as well.
+/// Test of a truncated answer from an upstream that announces the close of its
+/// connection.
 #define BOOST_TEST_MODULE leaving_cut
 #include "http/upstream_call.h"
 #include "unit/loopback_peer.h"
@@ -23,10 +23,10 @@
 
 } // namespace
 
-// A caller gets half an answer, or a stream without its last events, as a whole
-// one. The upstream leaves, so its answers say that the connection closes, and
-// it breaks off between two chunks. Cause: of such answers the close alone
-// counts as their end, whether the last chunk came or not.
+// Guards against a truncated answer that is taken for a complete one. A
+// draining upstream sends "Connection: close" and breaks off between two
+// chunks; if the close alone counted as the end of such an answer, the missing
+// last chunk would go unnoticed.
 BOOST_AUTO_TEST_CASE(ACutAnswerOfALeavingUpstreamIsBroken) {
   LoopClock Clock;
   LoopScheduler Timers;
--- a/tests/unit/loopback_peer.h
+++ b/tests/unit/loopback_peer.h
@@ -1,4 +1,4 @@
-/// Plain TCP peers for tests: a caller's and an upstream's end, played by hand.
+/// Plain TCP peers for tests, which act as callers and upstreams.
 #ifndef CROWSTEP_TESTS_UNIT_LOOPBACK_PEER_H
 #define CROWSTEP_TESTS_UNIT_LOOPBACK_PEER_H
 
@@ -19,7 +19,7 @@
 
 namespace crowstep::test {
 
-/// Runs the main loop until \p Holds, for at most a few seconds.
+/// Runs the main loop until \p Predicate holds, for at most 10 s.
 template <typename Condition> bool pumpUntil(Condition Predicate) {
   const gint64 End = g_get_monotonic_time() + gint64(10) * G_USEC_PER_SEC;
   while (!Predicate()) {
@@ -57,7 +57,7 @@
     return std::make_unique<Peer>(Fd);
   }
 
-  /// Reads what is there; returns everything that ever came.
+  /// Reads available bytes; returns all bytes received so far.
   const std::string &received() {
     char Buffer[65536];
     while (m_Fd >= 0) {
@@ -78,7 +78,7 @@
     received();
     return m_Closed;
   }
-  /// Returns whether the other end closed by a reset.
+  /// Returns whether the other end closed with a reset.
   bool wasReset() {
     received();
     return m_Reset;
@@ -125,7 +125,7 @@
   return {Fd, {INADDR_LOOPBACK, ntohs(Local.sin_port)}};
 }
 
-/// An upstream's socket; the test plays the upstream.
+/// A listening socket with which a test acts as an upstream.
 class FakeUpstream {
 public:
   FakeUpstream() {
@@ -136,7 +136,8 @@
   FakeUpstream(const FakeUpstream &) = delete;
   FakeUpstream &operator=(const FakeUpstream &) = delete;
 
-  /// Waits for the next connection and a whole request on it, or null.
+  /// Waits for the next connection and a complete request on it; returns null
+  /// if no connection is made.
   Peer *next() {
     const std::size_t Before = m_Peers.size();
     pumpUntil([&] { return accept() > Before; });
@@ -146,7 +147,8 @@
     pumpUntil([&] { return whole(NewPeer->received()) || NewPeer->closed(); });
     return NewPeer;
   }
-  /// Returns the number of connections so far.
+  /// Accepts a pending connection, if any; returns the number of connections so
+  /// far.
   std::size_t accept() {
     const int Fd = ::accept(m_Fd, nullptr, nullptr);
     if (Fd >= 0)
@@ -159,10 +161,10 @@
       ::close(m_Fd);
     m_Fd = -1;
   }
-  /// Drops the opening packets of new connections from now on.
+  /// Makes the kernel drop the SYN of further connections.
   void goDeaf() {
     listen(m_Fd, 0);
-    // The queue holds one more than it is told.
+    // The accept queue holds one connection more than the backlog.
     m_QueueFiller = Peer::connect(m_Address);
   }
   static bool whole(const std::string &Text) {
@@ -177,7 +179,7 @@
 private:
   int m_Fd;
   std::vector<std::unique_ptr<Peer>> m_Peers;
-  std::unique_ptr<Peer> m_QueueFiller; ///< Fills the queue; see goDeaf().
+  std::unique_ptr<Peer> m_QueueFiller; ///< See dropNewConnections().
 };
 
 } // namespace crowstep::test
--- a/tests/unit/upstream_call_test.cpp
+++ b/tests/unit/upstream_call_test.cpp
@@ -1,4 +1,4 @@
-/// Calls to upstreams over real sockets: which ends count as whole.
+/// Tests of calls to upstreams over real sockets: how a call ends.
 #define BOOST_TEST_MODULE upstream_call
 #include "http/upstream_call.h"
 #include "unit/loopback_peer.h"
@@ -56,9 +56,9 @@
 
 } // namespace
 
-/// The upstream crashes in the middle of its answer. By its length, its chunks
-/// or the reset the call must end as broken: a caller that got the rest as a
-/// whole answer would act on half a receipt.
+/// The upstream crashes within its answer. The length, the chunks or the reset
+/// show it, so the call must end as Broken: otherwise the caller would act on a
+/// truncated answer.
 BOOST_AUTO_TEST_CASE(ACutAnswerIsBroken) {
   for (const char *Text :
        {"Content-Length: 10\r\n\r\nhalf", "Content-Length: 10\r\n\r\n",
@@ -83,10 +83,10 @@
       }
 }
 
-/// An engine begins to leave while it streams. It ends its last streams, each
-/// with the last chunk, and closes its connections in the same moment. Callers
-/// must get the end: taken for a crash between two chunks, which libsoup does
-/// not tell apart, a stream that is whole would be cut after its last event.
+/// A draining engine ends its last streams with the last chunk and closes its
+/// connections at the same time. Guards against taking that for a crash between
+/// two chunks, as libsoup does: a complete stream would end with an error after
+/// its last event.
 BOOST_AUTO_TEST_CASE(AWholeAnswerOfALeavingUpstreamIsWhole) {
   for (const bool Together : {true, false})
     for (int Run = 0; Run < 20; ++Run) {
@@ -108,8 +108,8 @@
     }
 }
 
-/// Guards against a whole answer taken for a cut one where the upstream says
-/// that it closes, however the bytes of its end are spread over packets.
+/// Guards against a complete answer that is taken for a truncated one if it has
+/// "Connection: close", however the bytes of its end are split over packets.
 BOOST_AUTO_TEST_CASE(AWholeAnswerThatAnnouncesItsCloseIsWhole) {
   using Pieces = std::vector<std::string>;
   const std::string Head = "HTTP/1.1 200 OK\r\nConnection: close\r\n"
@@ -138,8 +138,8 @@
     }
 }
 
-/// The upstream crashes after an event that ends as a last chunk would. The
-/// chunk around it has an end of its own, so the answer is still cut.
+/// The upstream crashes after an event whose bytes look like a last chunk. They
+/// are data of another chunk, so the answer is truncated.
 BOOST_AUTO_TEST_CASE(AnEventLikeALastChunkIsNoEnd) {
   CallFixture Fixture;
   Fixture.send();
@@ -153,7 +153,8 @@
   BOOST_TEST((Fixture.m_Listener.m_End == TransportEnd::Broken));
 }
 
-/// An answer without a length ends with its connection; a reset is no end.
+/// An answer without a length ends with the close of its connection; a reset is
+/// a failure.
 BOOST_AUTO_TEST_CASE(AnAnswerWithoutLengthEndsWithItsConnection) {
   for (const bool Reset : {false, true}) {
     CallFixture Fixture;
@@ -171,8 +172,8 @@
   }
 }
 
-/// libsoup sends a call again by itself where a kept connection closes before
-/// an answer. The repeat would draw on no budget, so the call ends instead.
+/// Guards against a hidden retry if an idle connection closes before an answer,
+/// as libsoup does it: that retry would bypass the retry budget.
 BOOST_AUTO_TEST_CASE(AStaleKeptConnectionIsNoSecondCall) {
   CallFixture Fixture;
   Fixture.send(true);
@@ -190,7 +191,7 @@
   BOOST_TEST(Fixture.m_Upstream.accept() == 1U);
 }
 
-/// The last check says no: not a byte may leave.
+/// If the last check fails, no byte may be sent.
 BOOST_AUTO_TEST_CASE(TheLastCheckKeepsACallBack) {
   CallFixture Fixture;
   UpstreamSend Request;
