--- a/tests/unit/loopback_peer.h
+++ b/tests/unit/loopback_peer.h
@@ -47,12 +47,12 @@
   Peer(const Peer &) = delete;
   Peer &operator=(const Peer &) = delete;
 
-  static std::unique_ptr<Peer> connect(const Address &Where) {
+  static std::unique_ptr<Peer> connect(const Address &Server) {
     const int Fd = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in Remote{};
     Remote.sin_family = AF_INET;
-    Remote.sin_port = htons(Where.m_Port);
-    Remote.sin_addr.s_addr = htonl(Where.m_Ip);
+    Remote.sin_port = htons(Server.m_Port);
+    Remote.sin_addr.s_addr = htonl(Server.m_Ip);
     (void)::connect(Fd, reinterpret_cast<sockaddr *>(&Remote), sizeof(Remote));
     return std::make_unique<Peer>(Fd);
   }
