--- a/src/http/keep_alive.cpp
+++ b/src/http/keep_alive.cpp
@@ -1,4 +1,4 @@
-/// Keep-alive probes of connections.
+/// TCP keep-alive options of a socket.
 #include "http/keep_alive.h"
 
 #include <netinet/in.h>
@@ -11,20 +11,20 @@
 constexpr int ProbeAfterSeconds = 1;
 constexpr int ProbeIntervalSeconds = 1;
 constexpr int ProbeCount = 2;
-constexpr int UnacknowledgedMilliseconds = 3000;
+constexpr int UserTimeoutMilliseconds = 3000;
 
 } // namespace
 
 void probeConnection(GSocket *Socket) {
   g_socket_set_keepalive(Socket, 1);
-  // A refused option leaves the kernel's default, which only takes longer.
+  // If an option is rejected, the kernel's default applies: slower detection.
   g_socket_set_option(Socket, IPPROTO_TCP, TCP_KEEPIDLE, ProbeAfterSeconds,
                       nullptr);
   g_socket_set_option(Socket, IPPROTO_TCP, TCP_KEEPINTVL, ProbeIntervalSeconds,
                       nullptr);
   g_socket_set_option(Socket, IPPROTO_TCP, TCP_KEEPCNT, ProbeCount, nullptr);
   g_socket_set_option(Socket, IPPROTO_TCP, TCP_USER_TIMEOUT,
-                      UnacknowledgedMilliseconds, nullptr);
+                      UserTimeoutMilliseconds, nullptr);
 }
 
 } // namespace crowstep
--- a/tests/unit/answer_end_test.cpp
+++ b/tests/unit/answer_end_test.cpp
@@ -1,4 +1,5 @@
-/// Which ends of an answer count as whole, however its bytes arrive.
+/// Tests that complete and truncated answers are told apart, however their
+/// bytes are split over packets.
 #define BOOST_TEST_MODULE answer_end
 #include "http/upstream_call.h"
 #include "unit/broken_upstream.h"
@@ -13,7 +14,7 @@
 
 namespace {
 
-constexpr int Plays = 300;
+constexpr int Runs = 300;
 
 const std::string Chunked =
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -23,41 +24,42 @@
 struct Listener final : UpstreamListener {
   void upstreamHeaders(unsigned, const HeaderList &) override {}
   void upstreamBytes(std::string_view Bytes) override { m_Body += Bytes; }
-  void upstreamEnded(TransportEnd How) override { m_End = How; }
+  void upstreamEnded(TransportEnd End) override { m_End = End; }
 
   std::string m_Body;
   std::optional<TransportEnd> m_End;
 };
 
-/// How the plays of one answer ended.
-struct Ends {
+/// How the runs of one answer ended.
+struct EndCounts {
   int m_Whole = 0;
   int m_Broken = 0;
-  int m_Other = 0;       ///< Other ends, and plays without one.
-  int m_WrongBodies = 0; ///< Whole, but not the body given.
+  int m_Other = 0;       ///< Other ends, and runs without an end.
+  int m_WrongBodies = 0; ///< Complete, but with a wrong body.
 };
 
-Ends play(const std::string &Answer, const std::string &Body, unsigned Pieces,
-          std::chrono::microseconds LongestGap, int Times = Plays) {
-  BrokenUpstream Upstream(Answer, Pieces, LongestGap);
+EndCounts countEnds(const std::string &Answer, const std::string &Body,
+                    unsigned Pieces, std::chrono::microseconds MaxGap,
+                    int RunCount = Runs) {
+  BrokenUpstream Upstream(Answer, Pieces, MaxGap);
   LoopClock Clock;
   LoopScheduler Timers;
   HttpUpstreamCaller Caller(Clock, Timers);
-  Ends Result;
-  for (int Play = 0; Play < Times; ++Play) {
-    Listener Heard;
-    UpstreamSend What;
-    What.m_Where = Upstream.m_Address;
-    What.m_Path = "/x";
-    What.m_Body = "b";
-    What.m_SendBefore = Clock.fresh() + 10s;
-    const auto Call = Caller.send(What, Heard);
-    pumpUntil([&] { return Heard.m_End.has_value(); });
-    if (Heard.m_End == TransportEnd::Complete) {
+  EndCounts Result;
+  for (int Run = 0; Run < RunCount; ++Run) {
+    Listener CallListener;
+    UpstreamSend Request;
+    Request.m_Where = Upstream.m_Address;
+    Request.m_Path = "/x";
+    Request.m_Body = "b";
+    Request.m_SendBefore = Clock.fresh() + 10s;
+    const auto Call = Caller.send(Request, CallListener);
+    pumpUntil([&] { return CallListener.m_End.has_value(); });
+    if (CallListener.m_End == TransportEnd::Complete) {
       ++Result.m_Whole;
-      if (Heard.m_Body != Body)
+      if (CallListener.m_Body != Body)
         ++Result.m_WrongBodies;
-    } else if (Heard.m_End == TransportEnd::Broken) {
+    } else if (CallListener.m_End == TransportEnd::Broken) {
       ++Result.m_Broken;
     } else {
       ++Result.m_Other;
@@ -67,57 +69,58 @@
 }
 
 void checkWhole(const std::string &Answer, const std::string &Body,
-                unsigned Pieces, std::chrono::microseconds LongestGap,
-                int Times = Plays) {
-  const Ends Result = play(Answer, Body, Pieces, LongestGap, Times);
-  BOOST_TEST(Result.m_Whole == Times);
+                unsigned Pieces, std::chrono::microseconds MaxGap,
+                int RunCount = Runs) {
+  const EndCounts Result = countEnds(Answer, Body, Pieces, MaxGap, RunCount);
+  BOOST_TEST(Result.m_Whole == RunCount);
   BOOST_TEST(Result.m_Broken == 0);
   BOOST_TEST(Result.m_WrongBodies == 0);
 }
 
 void checkBroken(const std::string &Answer, unsigned Pieces,
-                 std::chrono::microseconds LongestGap, int Times = Plays) {
-  const Ends Result = play(Answer, "", Pieces, LongestGap, Times);
-  BOOST_TEST(Result.m_Broken == Times);
+                 std::chrono::microseconds MaxGap, int RunCount = Runs) {
+  const EndCounts Result = countEnds(Answer, "", Pieces, MaxGap, RunCount);
+  BOOST_TEST(Result.m_Broken == RunCount);
   BOOST_TEST(Result.m_Whole == 0);
 }
 
 } // namespace
 
-/// Guards against a whole answer that is taken for a cut one: its caller is
-/// told that the outcome is unknown, or the work is done again.
+/// Guards against a complete answer that is taken for a truncated one: the
+/// caller would get "outcome unknown", or the work would be done again.
 BOOST_AUTO_TEST_CASE(AWholeAnswerIsWholeHoweverItsBytesArrive) {
   const std::string Body = "5\r\nwhole\r\n0\r\n\r\n";
   checkWhole(ChunkedAndCloses + Body, "whole", 1, 0us);
-  checkWhole(ChunkedAndCloses + Body, "whole", 4, 60us, 2 * Plays);
+  checkWhole(ChunkedAndCloses + Body, "whole", 4, 60us, 2 * Runs);
   checkWhole(ChunkedAndCloses + Body, "whole", 4, 300us);
-  checkWhole(Chunked + Body, "whole", 4, 60us, 2 * Plays);
+  checkWhole(Chunked + Body, "whole", 4, 60us, 2 * Runs);
 }
 
-/// Guards against the same for last chunks that are spelled in other ways.
+/// Guards against the same for other valid forms of the last chunk.
 BOOST_AUTO_TEST_CASE(EverySpellingOfALastChunkIsAnEnd) {
-  for (const char *Last :
+  for (const char *LastChunk :
        {"000\r\n\r\n", "0;ext=1\r\n\r\n", "0\r\nX-Trailer: a\r\n\r\n"})
     for (const std::string &Head : {Chunked, ChunkedAndCloses}) {
-      BOOST_TEST_CONTEXT(Last) {
-        checkWhole(Head + "5\r\nwhole\r\n" + Last, "whole", 2, 60us, Plays / 3);
+      BOOST_TEST_CONTEXT(LastChunk) {
+        checkWhole(Head + "5\r\nwhole\r\n" + LastChunk, "whole", 2, 60us,
+                   Runs / 3);
       }
     }
 }
 
-/// Guards against a cut answer that counts as whole.
+/// Guards against a truncated answer that is taken for a complete one.
 BOOST_AUTO_TEST_CASE(ACutAnswerIsBrokenHoweverItsBytesArrive) {
   for (const std::string &Head : {Chunked, ChunkedAndCloses}) {
     checkBroken(Head + "4\r\nhalf\r\n0\r\n", 4, 60us);
     checkBroken(Head + "4\r\nhalf\r\n0", 4, 60us);
     checkBroken(Head + "4\r\nhalf\r\n", 4, 60us);
-    // Data that ends as a last chunk does, before the end of its own chunk.
-    checkBroken(Head + "7\r\n\r\n0\r\n\r\n", 1, 0us, Plays / 3);
-    checkBroken(Head + "7\r\n\r\n0\r\n\r\n", 4, 60us, Plays / 3);
+    // Data that ends like a last chunk, without the CRLF of its own chunk.
+    checkBroken(Head + "7\r\n\r\n0\r\n\r\n", 1, 0us, Runs / 3);
+    checkBroken(Head + "7\r\n\r\n0\r\n\r\n", 4, 60us, Runs / 3);
   }
 }
 
-/// Guards against ends that depend on the number or size of chunks.
+/// Guards against results that depend on the number or size of chunks.
 BOOST_AUTO_TEST_CASE(ManyAndLargeChunksEndAsFewDo) {
   std::string Many;
   std::string Body;
@@ -128,14 +131,14 @@
   const std::string Data(40000, 'x');
   const std::string Large = "9c40\r\n" + Data + "\r\n";
   for (const std::string &Head : {Chunked, ChunkedAndCloses}) {
-    checkWhole(Head + Many + "0\r\n\r\n", Body, 8, 60us, Plays / 3);
-    checkBroken(Head + Many, 8, 60us, Plays / 3);
-    checkWhole(Head + Large + "0\r\n\r\n", Data, 8, 60us, Plays / 3);
-    checkBroken(Head + Large, 8, 60us, Plays / 3);
+    checkWhole(Head + Many + "0\r\n\r\n", Body, 8, 60us, Runs / 3);
+    checkBroken(Head + Many, 8, 60us, Runs / 3);
+    checkWhole(Head + Large + "0\r\n\r\n", Data, 8, 60us, Runs / 3);
+    checkBroken(Head + Large, 8, 60us, Runs / 3);
   }
 }
 
-/// Guards against the wrong end of answers that have no chunks.
+/// Guards against a wrong end of answers without chunked encoding.
 BOOST_AUTO_TEST_CASE(AnswersWithoutChunksEndByLengthOrClose) {
   const std::string Ok = "HTTP/1.1 200 OK\r\n";
   checkWhole(Ok + "Content-Length: 5\r\n\r\nwhole", "whole", 3, 60us);
--- a/tests/unit/loopback_peer.h
+++ b/tests/unit/loopback_peer.h
@@ -1,4 +1,4 @@
-/// Plain TCP peers for tests: a caller's and an upstream's end, played by hand.
+/// Plain TCP peers for tests, which act as callers and upstreams.
 #ifndef CROWSTEP_TESTS_UNIT_LOOPBACK_PEER_H
 #define CROWSTEP_TESTS_UNIT_LOOPBACK_PEER_H
 
@@ -19,10 +19,10 @@
 
 namespace crowstep::test {
 
-/// Runs the main loop until \p Holds, for at most a few seconds.
-template <typename Condition> bool pumpUntil(Condition Holds) {
+/// Runs the main loop until \p Predicate holds, for at most 10 s.
+template <typename Condition> bool pumpUntil(Condition Predicate) {
   const gint64 End = g_get_monotonic_time() + gint64(10) * G_USEC_PER_SEC;
-  while (!Holds()) {
+  while (!Predicate()) {
     if (g_get_monotonic_time() > End)
       return false;
     if (g_main_context_iteration(nullptr, 0) == 0)
@@ -47,17 +47,17 @@
   Peer(const Peer &) = delete;
   Peer &operator=(const Peer &) = delete;
 
-  static std::unique_ptr<Peer> connect(const Address &Where) {
+  static std::unique_ptr<Peer> connect(const Address &Server) {
     const int Fd = socket(AF_INET, SOCK_STREAM, 0);
-    sockaddr_in To{};
-    To.sin_family = AF_INET;
-    To.sin_port = htons(Where.m_Port);
-    To.sin_addr.s_addr = htonl(Where.m_Ip);
-    (void)::connect(Fd, reinterpret_cast<sockaddr *>(&To), sizeof(To));
+    sockaddr_in Remote{};
+    Remote.sin_family = AF_INET;
+    Remote.sin_port = htons(Server.m_Port);
+    Remote.sin_addr.s_addr = htonl(Server.m_Ip);
+    (void)::connect(Fd, reinterpret_cast<sockaddr *>(&Remote), sizeof(Remote));
     return std::make_unique<Peer>(Fd);
   }
 
-  /// Reads what is there; returns everything that ever came.
+  /// Reads available bytes; returns all bytes received so far.
   const std::string &received() {
     char Buffer[65536];
     while (m_Fd >= 0) {
@@ -78,7 +78,7 @@
     received();
     return m_Closed;
   }
-  /// Returns whether the other end closed by a reset.
+  /// Returns whether the other end closed with a reset.
   bool wasReset() {
     received();
     return m_Reset;
@@ -115,17 +115,17 @@
 /// Returns a socket that listens on a free port of loopback, and its address.
 inline std::pair<int, Address> listenOnLoopback() {
   const int Fd = socket(AF_INET, SOCK_STREAM, 0);
-  sockaddr_in Own{};
-  Own.sin_family = AF_INET;
-  Own.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  (void)bind(Fd, reinterpret_cast<sockaddr *>(&Own), sizeof(Own));
+  sockaddr_in Local{};
+  Local.sin_family = AF_INET;
+  Local.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  (void)bind(Fd, reinterpret_cast<sockaddr *>(&Local), sizeof(Local));
   listen(Fd, 64);
-  socklen_t Size = sizeof(Own);
-  getsockname(Fd, reinterpret_cast<sockaddr *>(&Own), &Size);
-  return {Fd, {INADDR_LOOPBACK, ntohs(Own.sin_port)}};
+  socklen_t Size = sizeof(Local);
+  getsockname(Fd, reinterpret_cast<sockaddr *>(&Local), &Size);
+  return {Fd, {INADDR_LOOPBACK, ntohs(Local.sin_port)}};
 }
 
-/// An upstream's socket; the test plays the upstream.
+/// A listening socket with which a test acts as an upstream.
 class FakeUpstream {
 public:
   FakeUpstream() {
@@ -136,17 +136,19 @@
   FakeUpstream(const FakeUpstream &) = delete;
   FakeUpstream &operator=(const FakeUpstream &) = delete;
 
-  /// Waits for the next connection and a whole request on it, or null.
+  /// Waits for the next connection and a complete request on it; returns null
+  /// if no connection is made.
   Peer *next() {
     const std::size_t Before = m_Peers.size();
     pumpUntil([&] { return accept() > Before; });
     if (m_Peers.size() == Before)
       return nullptr;
-    Peer *Fresh = m_Peers[Before].get();
-    pumpUntil([&] { return whole(Fresh->received()) || Fresh->closed(); });
-    return Fresh;
+    Peer *NewPeer = m_Peers[Before].get();
+    pumpUntil([&] { return whole(NewPeer->received()) || NewPeer->closed(); });
+    return NewPeer;
   }
-  /// Returns the number of connections so far.
+  /// Accepts a pending connection, if any; returns the number of connections so
+  /// far.
   std::size_t accept() {
     const int Fd = ::accept(m_Fd, nullptr, nullptr);
     if (Fd >= 0)
@@ -159,11 +161,11 @@
       ::close(m_Fd);
     m_Fd = -1;
   }
-  /// Drops the opening packets of new connections from now on.
+  /// Makes the kernel drop the SYN of further connections.
   void goDeaf() {
     listen(m_Fd, 0);
-    // The queue holds one more than it is told.
-    m_Queued = Peer::connect(m_Address);
+    // The accept queue holds one connection more than the backlog.
+    m_QueueFiller = Peer::connect(m_Address);
   }
   static bool whole(const std::string &Text) {
     const std::size_t Head = Text.find("\r\n\r\n");
@@ -177,7 +179,7 @@
 private:
   int m_Fd;
   std::vector<std::unique_ptr<Peer>> m_Peers;
-  std::unique_ptr<Peer> m_Queued; ///< Fills the queue; see goDeaf().
+  std::unique_ptr<Peer> m_QueueFiller; ///< See dropNewConnections().
 };
 
 } // namespace crowstep::test
