--- a/src/ctl/admin_client.h
+++ b/src/ctl/admin_client.h
@@ -13,8 +13,8 @@
 /// The administration API can't be reached.
 class AdminUnreachable : public Error {
 public:
-  AdminUnreachable(const Address &Where, const std::string &Why)
-      : Error(toString(Where) + ": " + Why) {}
+  AdminUnreachable(const Address &Api, const std::string &Reason)
+      : Error(toString(Api) + ": " + Reason) {}
 };
 
 /// An answer of the administration API.
@@ -35,13 +35,13 @@
 /// Makes calls with an operator's key, one after the other.
 class AdminClient {
 public:
-  AdminClient(const Address &Where, std::string Key);
+  AdminClient(const Address &Api, std::string Key);
   ~AdminClient();
   AdminClient(const AdminClient &) = delete;
   AdminClient &operator=(const AdminClient &) = delete;
 
   /// \throws AdminUnreachable.
-  AdminAnswer call(const AdminCall &What);
+  AdminAnswer call(const AdminCall &Call);
 
 private:
   Address m_Where;        ///< A dispatcher's administration API.
--- a/src/ctl/ctl_command.cpp
+++ b/src/ctl/ctl_command.cpp
@@ -16,30 +16,31 @@
 
 namespace {
 
-using Words = std::vector<std::string>;
+using ArgumentList = std::vector<std::string>;
 
-AdminCall tableCall(const Words &Given, const std::string &ReadVersion) {
-  const std::string What = Given.size() > 1 ? Given[1] : "";
-  if (What == "show" && Given.size() == 2)
+AdminCall tableCall(const ArgumentList &Arguments,
+                    const std::string &ReadVersion) {
+  const std::string Action = Arguments.size() > 1 ? Arguments[1] : "";
+  if (Action == "show" && Arguments.size() == 2)
     return {"GET", "/v1/table", "", ""};
-  if (What == "history" && Given.size() == 2)
+  if (Action == "history" && Arguments.size() == 2)
     return {"GET", "/v1/table/history", "", ""};
-  if (What == "check" && Given.size() == 3)
-    return {"POST", "/v1/table/check", readFile(Given[2]), ""};
-  if (What != "apply" || Given.size() != 3)
+  if (Action == "check" && Arguments.size() == 3)
+    return {"POST", "/v1/table/check", readFile(Arguments[2]), ""};
+  if (Action != "apply" || Arguments.size() != 3)
     throw CommandError(CommandHelp);
   if (ReadVersion.empty())
     throw CommandError("table apply needs --read-version: the version that "
                        "'table show' printed when the table was read");
-  return {"PUT", "/v1/table", readFile(Given[2]), ReadVersion};
+  return {"PUT", "/v1/table", readFile(Arguments[2]), ReadVersion};
 }
 
-AdminCall drainCall(const Words &Given, const std::string &Method) {
-  const bool Complete =
-      Given.size() == 3 && (Given[1] == "upstream" || Given[1] == "instance");
+AdminCall drainCall(const ArgumentList &Arguments, const std::string &Method) {
+  const bool Complete = Arguments.size() == 3 && (Arguments[1] == "upstream" ||
+                                                  Arguments[1] == "instance");
   if (!Complete)
     throw CommandError(CommandHelp);
-  return {Method, "/v1/drains/" + Given[1] + "/" + Given[2], "", ""};
+  return {Method, "/v1/drains/" + Arguments[1] + "/" + Arguments[2], "", ""};
 }
 
 } // namespace
@@ -53,19 +54,22 @@
   return Text.str();
 }
 
-AdminCall callOf(const Words &Given, const std::string &ReadVersion) {
-  const std::string Command = Given.empty() ? "" : Given[0];
+AdminCall callOf(const ArgumentList &Arguments,
+                 const std::string &ReadVersion) {
+  const std::string Command = Arguments.empty() ? "" : Arguments[0];
   if (Command == "table")
-    return tableCall(Given, ReadVersion);
-  if (Command == "status" && Given.size() == 1)
+    return tableCall(Arguments, ReadVersion);
+  if (Command == "status" && Arguments.size() == 1)
     return {"GET", "/v1/status", "", ""};
   if (Command == "drain")
-    return drainCall(Given, "PUT");
+    return drainCall(Arguments, "PUT");
   if (Command == "undrain")
-    return drainCall(Given, "DELETE");
-  if (Command == "order" && Given.size() == 4)
-    return {"POST", "/v1/orders/" + Given[1],
-            nlohmann::json{{"order", Given[2]}, {"name", Given[3]}}.dump(), ""};
+    return drainCall(Arguments, "DELETE");
+  if (Command == "order" && Arguments.size() == 4)
+    return {
+        "POST", "/v1/orders/" + Arguments[1],
+        nlohmann::json{{"order", Arguments[2]}, {"name", Arguments[3]}}.dump(),
+        ""};
   throw CommandError(CommandHelp);
 }
 
--- a/src/ctl/ctl_command.h
+++ b/src/ctl/ctl_command.h
@@ -24,10 +24,10 @@
 /// Returns the text of a file. \throws FileError.
 std::string readFile(const std::string &Path);
 
-/// Returns the call for the words of a command, such as {"table", "check",
-/// "new.csv"}; \p ReadVersion is the version that a change is made against.
-/// \throws CommandError, FileError.
-AdminCall callOf(const std::vector<std::string> &Words,
+/// Returns the call for a command and its arguments, such as {"table",
+/// "check", "new.csv"}; \p ReadVersion is the table version that a change is
+/// based on. \throws CommandError, FileError.
+AdminCall callOf(const std::vector<std::string> &Arguments,
                  const std::string &ReadVersion);
 
 /// The commands, for the help text.
--- a/src/ctl/ctl_main.cpp
+++ b/src/ctl/ctl_main.cpp
@@ -14,11 +14,11 @@
 using namespace crowstep;
 
 struct Options {
-  std::string m_Admin;              ///< Address of a dispatcher's API.
-  std::string m_KeyFile;            ///< File with the operator's key.
-  std::string m_ReadVersion;        ///< For table apply.
-  bool m_CheckOnly = false;         ///< Validate and stop.
-  std::vector<std::string> m_Words; ///< The command.
+  std::string m_AdminAddress;           ///< Address of a dispatcher's API.
+  std::string m_KeyFile;                ///< File with the operator's key.
+  std::string m_ReadVersion;            ///< For table apply, else empty.
+  bool m_CheckOnly = false;             ///< Validate only; make no call.
+  std::vector<std::string> m_Arguments; ///< Command and arguments.
 };
 
 Options parse(int Argc, char **Argv) {
@@ -43,7 +43,7 @@
           Check.getValue(), Words.getValue()};
 }
 
-std::string keyOf(const std::string &Path) {
+std::string readKey(const std::string &Path) {
   if (Path.empty())
     throw ctl::CommandError("--key-file is needed");
   std::string Key = ctl::readFile(Path);
@@ -58,30 +58,31 @@
   return Status / 100 == 2 ? ExitCode::Success : ExitCode::Failure;
 }
 
-/// explain REQUEST FILE...: works on saved logs and asks no instance.
-ExitCode explainRequest(const std::vector<std::string> &Words) {
-  if (Words.size() < 3)
+/// Runs "explain REQUEST FILE..." on saved logs, without calls to instances.
+ExitCode explainRequest(const std::vector<std::string> &Arguments) {
+  if (Arguments.size() < 3)
     throw ctl::CommandError(ctl::CommandHelp);
   std::vector<std::string> Logs;
-  for (std::size_t I = 2; I < Words.size(); ++I)
-    Logs.push_back(ctl::readFile(Words[I]));
-  const std::string Story = ctl::explain(Words[1], Logs);
-  std::cout << Story;
-  return Story.empty() ? ExitCode::Failure : ExitCode::Success;
+  for (std::size_t I = 2; I < Arguments.size(); ++I)
+    Logs.push_back(ctl::readFile(Arguments[I]));
+  const std::string Report = ctl::explain(Arguments[1], Logs);
+  std::cout << Report;
+  return Report.empty() ? ExitCode::Failure : ExitCode::Success;
 }
 
-ExitCode run(const Options &Chosen) {
-  if (Chosen.m_Words.front() == "explain")
-    return explainRequest(Chosen.m_Words);
-  const ctl::AdminCall Call = ctl::callOf(Chosen.m_Words, Chosen.m_ReadVersion);
-  // A table file is checked here as well, so that a bad cell is told even
-  // while no instance can be reached.
+ExitCode run(const Options &Parsed) {
+  if (Parsed.m_Arguments.front() == "explain")
+    return explainRequest(Parsed.m_Arguments);
+  const ctl::AdminCall Call =
+      ctl::callOf(Parsed.m_Arguments, Parsed.m_ReadVersion);
+  // A table file is validated here as well, so that an invalid cell is reported
+  // even while no instance can be reached.
   if (Call.m_Path.starts_with("/v1/table") && !Call.m_Body.empty())
     contract::validate(contract::readCsv(Call.m_Body));
-  if (Chosen.m_CheckOnly)
+  if (Parsed.m_CheckOnly)
     return ExitCode::Success;
-  ctl::AdminClient Client(parseAddress(Chosen.m_Admin),
-                          keyOf(Chosen.m_KeyFile));
+  ctl::AdminClient Client(parseAddress(Parsed.m_AdminAddress),
+                          readKey(Parsed.m_KeyFile));
   const ctl::AdminAnswer Answer = Client.call(Call);
   std::cout << Answer.m_Body;
   if (!Answer.m_TableVersion.empty())
--- a/src/ctl/explain.cpp
+++ b/src/ctl/explain.cpp
@@ -25,7 +25,7 @@
              : Found->get<std::int64_t>();
 }
 
-std::vector<Json> linesOf(const std::vector<std::string> &Logs) {
+std::vector<Json> parseLogs(const std::vector<std::string> &Logs) {
   std::vector<Json> Result;
   for (const std::string &Log : Logs) {
     std::istringstream Lines(Log);
@@ -46,7 +46,7 @@
   return Result;
 }
 
-std::string printed(const Json &Line) {
+std::string formatLine(const Json &Line) {
   std::string Result =
       std::to_string(timeOf(Line)) + " " + textOf(Line, "name");
   for (const auto &[Name, Value] : Line.items())
@@ -60,7 +60,7 @@
 
 std::string explain(const std::string &Request,
                     const std::vector<std::string> &Logs) {
-  const std::vector<Json> Lines = linesOf(Logs);
+  const std::vector<Json> Lines = parseLogs(Logs);
   std::set<std::string> Upstreams;
   std::set<std::string> Contents;
   for (const Json &Line : Lines) {
@@ -73,13 +73,13 @@
   }
   std::string Result;
   for (const Json &Line : Lines) {
-    const bool Own = textOf(Line, "request") == Request;
-    const bool AboutUpstream = !Line.contains("request") &&
-                               Upstreams.contains(textOf(Line, "upstream"));
-    const bool AboutContent =
+    const bool IsAboutRequest = textOf(Line, "request") == Request;
+    const bool IsAboutUpstream = !Line.contains("request") &&
+                                 Upstreams.contains(textOf(Line, "upstream"));
+    const bool IsAboutContent =
         !Line.contains("request") && Contents.contains(textOf(Line, "content"));
-    if (Own || AboutUpstream || AboutContent)
-      Result += printed(Line);
+    if (IsAboutRequest || IsAboutUpstream || IsAboutContent)
+      Result += formatLine(Line);
   }
   return Result;
 }
--- a/src/dispatcher/admin_api.cpp
+++ b/src/dispatcher/admin_api.cpp
@@ -33,20 +33,20 @@
       {{"error", {{"type", "admin"}, {"code", Code}, {"message", Text}}}});
 }
 
-/// Keeps a message paused until its answer is known, which is after the
-/// handler has returned.
-class LaterAnswer {
+/// Keeps a message paused while its answer is computed asynchronously, after
+/// the handler has returned. The last owner resumes it.
+class DeferredAnswer {
 public:
-  explicit LaterAnswer(SoupServerMessage *Message)
+  explicit DeferredAnswer(SoupServerMessage *Message)
       : m_Message(SOUP_SERVER_MESSAGE(g_object_ref(Message))) {
     soup_server_message_pause(m_Message);
   }
-  ~LaterAnswer() {
+  ~DeferredAnswer() {
     soup_server_message_unpause(m_Message);
     g_object_unref(m_Message);
   }
-  LaterAnswer(const LaterAnswer &) = delete;
-  LaterAnswer &operator=(const LaterAnswer &) = delete;
+  DeferredAnswer(const DeferredAnswer &) = delete;
+  DeferredAnswer &operator=(const DeferredAnswer &) = delete;
 
   [[nodiscard]] SoupServerMessage *message() const { return m_Message; }
 
@@ -54,31 +54,33 @@
   SoupServerMessage *m_Message; ///< A reference of its own.
 };
 
-/// Answers an operator with what became of a change.
-class OutcomeAnswer {
+/// Answers an operator with the outcome of a change of the table.
+class ChangeOutcomeVisitor {
 public:
-  explicit OutcomeAnswer(SoupServerMessage *Message) : m_Message(Message) {}
+  explicit ChangeOutcomeVisitor(SoupServerMessage *Message)
+      : m_Message(Message) {}
 
-  void operator()(const contract::ChangeAccepted &What) const {
-    respondJson(m_Message, 200,
-                {{"outcome", "accepted"}, {"version", What.m_Version.value()}});
+  void operator()(const contract::ChangeAccepted &Outcome) const {
+    respondJson(
+        m_Message, 200,
+        {{"outcome", "accepted"}, {"version", Outcome.m_Version.value()}});
   }
-  void operator()(const contract::ChangePending &What) const {
+  void operator()(const contract::ChangePending &Outcome) const {
     respondJson(m_Message, 202,
                 {{"outcome", "pending"},
-                 {"version", What.m_Version.value()},
-                 {"unconfirmed", What.m_Unconfirmed}});
+                 {"version", Outcome.m_Version.value()},
+                 {"unconfirmed", Outcome.m_Unconfirmed}});
   }
-  void operator()(const contract::ChangeConflict &What) const {
+  void operator()(const contract::ChangeConflict &Outcome) const {
     respondJson(m_Message, 409,
                 {{"outcome", "conflict"},
-                 {"version", What.m_Present.value()},
-                 {"difference", What.m_Difference}});
+                 {"version", Outcome.m_Present.value()},
+                 {"difference", Outcome.m_Difference}});
   }
-  void operator()(const contract::ChangeUnavailable &What) const {
+  void operator()(const contract::ChangeUnavailable &Outcome) const {
     respondJson(m_Message, 503,
                 {{"outcome", "unavailable"},
-                 {"may_have_committed", What.m_MayHaveCommitted}});
+                 {"may_have_committed", Outcome.m_MayHaveCommitted}});
   }
 
 private:
@@ -123,33 +125,33 @@
   return 503;
 }
 
-json memberRow(const membership::Member &Each) {
-  return {{"name", Each.m_Name},
-          {"zone", Each.m_Zone.m_Name},
-          {"link", toString(Each.m_Address)},
-          {"state", nameOf(Each.m_State)},
-          {"table_version", Each.m_TableVersion.value()}};
+json memberRow(const membership::Member &Member) {
+  return {{"name", Member.m_Name},
+          {"zone", Member.m_Zone.m_Name},
+          {"link", toString(Member.m_Address)},
+          {"state", nameOf(Member.m_State)},
+          {"table_version", Member.m_TableVersion.value()}};
 }
 
-json poolRow(const PoolRunner &Each) {
-  const decision::DeciderStats Stats = Each.stats();
+json poolRow(const PoolRunner &Runner) {
+  const decision::DeciderStats Stats = Runner.stats();
   json Ejected = json::array();
-  for (const auto &[Id, Name] : Each.ejected())
+  for (const auto &[Id, Name] : Runner.ejected())
     Ejected.push_back(Name);
-  return {{"service", Each.service()},      {"waiting", Stats.m_Waiting},
+  return {{"service", Runner.service()},    {"waiting", Stats.m_Waiting},
           {"running", Stats.m_Running},     {"granted", Stats.m_Granted},
           {"preempted", Stats.m_Preempted}, {"ejected", Ejected}};
 }
 
-json upstreamRow(const Upstream &Each) {
-  return {{"name", Each.m_Name},
-          {"service", Each.m_Service},
-          {"address", toString(Each.m_Address)},
-          {"zone", Each.m_Zone.m_Name},
-          {"leaving", Each.m_Leaving}};
+json upstreamRow(const Upstream &Info) {
+  return {{"name", Info.m_Name},
+          {"service", Info.m_Service},
+          {"address", toString(Info.m_Address)},
+          {"zone", Info.m_Zone.m_Name},
+          {"leaving", Info.m_Leaving}};
 }
 
-std::string keyOf(SoupServerMessage *Message) {
+std::string bearerKeyOf(SoupServerMessage *Message) {
   const std::string Header = requestHeader(Message, "Authorization");
   if (!Header.starts_with(BearerPrefix))
     return {};
@@ -157,7 +159,7 @@
 }
 
 /// Returns the version in If-Match, with or without quotes, or nothing.
-std::optional<TableVersion> versionRead(SoupServerMessage *Message) {
+std::optional<TableVersion> ifMatchVersion(SoupServerMessage *Message) {
   std::string Text = requestHeader(Message, "If-Match");
   std::erase(Text, '"');
   std::uint64_t Number = 0;
@@ -174,24 +176,26 @@
     : m_Parts(Parts),
       m_Refused(Parts.m_Stats.counter("crowstep_admin_refused_total")) {}
 
-void AdminApi::listen(const Address &Where) {
-  m_Server.listen(Where, [this](SoupServerMessage *Message, const char *Path) {
-    handle(Message, Path);
-  });
+void AdminApi::listen(const Address &ListenAddress) {
+  m_Server.listen(ListenAddress,
+                  [this](SoupServerMessage *Message, const char *Path) {
+                    handle(Message, Path);
+                  });
 }
 
 void AdminApi::handle(SoupServerMessage *Message, const std::string &Path) {
   if (Path == "/healthz") {
-    const bool Serves = m_Parts.m_Table.rightToServe();
-    respond(Message, Serves ? 200 : 503, "text/plain",
-            Serves ? "ok\n" : "no\n");
+    const bool HasRight = m_Parts.m_Table.rightToServe();
+    respond(Message, HasRight ? 200 : 503, "text/plain",
+            HasRight ? "ok\n" : "no\n");
     return;
   }
   if (Path == "/metrics") {
     respond(Message, 200, "text/plain; version=0.0.4", m_Parts.m_Stats.text());
     return;
   }
-  const Workspace *Operator = m_Parts.m_Workspaces.operatorWith(keyOf(Message));
+  const Workspace *Operator =
+      m_Parts.m_Workspaces.operatorWith(bearerKeyOf(Message));
   if (Operator == nullptr) {
     m_Refused.add();
     logEvent(LogEvent::AdminRefused, {{"path", Path}});
@@ -239,53 +243,54 @@
 }
 
 void AdminApi::checkTable(SoupServerMessage *Message) const {
-  const ContractTable Changed = contract::readCsv(requestBody(Message));
+  const ContractTable NewTable = contract::readCsv(requestBody(Message));
   respondJson(Message, 200,
               {{"version", m_Parts.m_Table.table().m_Version.value()},
-               {"difference", m_Parts.m_Table.tryChange(Changed)}});
+               {"difference", m_Parts.m_Table.tryChange(NewTable)}});
 }
 
 void AdminApi::putTable(SoupServerMessage *Message, const Workspace &Operator) {
-  const std::optional<TableVersion> Read = versionRead(Message);
-  if (!Read)
+  const std::optional<TableVersion> BaseVersion = ifMatchVersion(Message);
+  if (!BaseVersion)
     return respondError(Message, 428, "version_needed",
                         "If-Match must give the version that was read");
-  const ContractTable Changed = contract::readCsv(requestBody(Message));
-  const auto Answer = std::make_shared<LaterAnswer>(Message);
+  const ContractTable NewTable = contract::readCsv(requestBody(Message));
+  const auto Answer = std::make_shared<DeferredAnswer>(Message);
   m_Parts.m_Table.change(
-      Changed, *Read, Operator.m_Name,
-      [Answer, Name = Operator.m_Name](const contract::ChangeOutcome &Outcome) {
+      NewTable, *BaseVersion, Operator.m_Name,
+      [Answer,
+       OperatorName = Operator.m_Name](const contract::ChangeOutcome &Outcome) {
         logEvent(LogEvent::AdminChanged,
-                 {{"operator", Name},
+                 {{"operator", OperatorName},
                   {"what", "table"},
                   {"outcome", std::to_string(Outcome.index())}});
-        std::visit(OutcomeAnswer(Answer->message()), Outcome);
+        std::visit(ChangeOutcomeVisitor(Answer->message()), Outcome);
       });
 }
 
 void AdminApi::getHistory(SoupServerMessage *Message) {
-  const auto Answer = std::make_shared<LaterAnswer>(Message);
+  const auto Answer = std::make_shared<DeferredAnswer>(Message);
   m_Parts.m_Table.history(
       [Answer](const std::vector<contract::HistoryEntry> &Entries) {
         json Rows = json::array();
-        for (const contract::HistoryEntry &Each : Entries)
-          Rows.push_back({{"version", Each.m_Version.value()},
-                          {"operator", Each.m_Operator},
-                          {"time", Each.m_Time}});
+        for (const contract::HistoryEntry &Entry : Entries)
+          Rows.push_back({{"version", Entry.m_Version.value()},
+                          {"operator", Entry.m_Operator},
+                          {"time", Entry.m_Time}});
         respondJson(Answer->message(), 200, {{"history", Rows}});
       });
 }
 
 void AdminApi::getStatus(SoupServerMessage *Message) const {
   json Members = json::array();
-  for (const membership::Member &Each : m_Parts.m_Fleet.members())
-    Members.push_back(memberRow(Each));
+  for (const membership::Member &Member : m_Parts.m_Fleet.members())
+    Members.push_back(memberRow(Member));
   json Pools = json::array();
   for (const auto &[Id, Runner] : m_Parts.m_Pools.pools())
     Pools.push_back(poolRow(*Runner));
   json Upstreams = json::array();
-  for (const Upstream &Each : m_Parts.m_Upstreams.upstreams())
-    Upstreams.push_back(upstreamRow(Each));
+  for (const Upstream &Info : m_Parts.m_Upstreams.upstreams())
+    Upstreams.push_back(upstreamRow(Info));
   respondJson(Message, 200,
               {{"table_version", m_Parts.m_Table.table().m_Version.value()},
                {"right_to_serve", m_Parts.m_Table.rightToServe()},
@@ -294,24 +299,26 @@
                {"upstreams", Upstreams}});
 }
 
-void AdminApi::changeDrain(SoupServerMessage *Message, const std::string &What,
+void AdminApi::changeDrain(SoupServerMessage *Message,
+                           const std::string &DrainKey,
                            const Workspace &Operator) {
-  if (!What.starts_with("upstream/") && !What.starts_with("instance/"))
+  if (!DrainKey.starts_with("upstream/") && !DrainKey.starts_with("instance/"))
     return respondError(Message, 404, "unknown_path",
                         "drains/upstream/NAME or drains/instance/NAME");
   const bool Drained =
       std::string(soup_server_message_get_method(Message)) == "PUT";
-  const auto Answer = std::make_shared<LaterAnswer>(Message);
+  const auto Answer = std::make_shared<DeferredAnswer>(Message);
   m_Parts.m_Upstreams.setDrained(
-      What, Drained,
-      [Answer, What, Drained, Name = Operator.m_Name](bool Written) {
+      DrainKey, Drained,
+      [Answer, DrainKey, Drained,
+       OperatorName = Operator.m_Name](bool Written) {
         logEvent(LogEvent::AdminChanged,
-                 {{"operator", Name},
-                  {"what", What},
+                 {{"operator", OperatorName},
+                  {"what", DrainKey},
                   {"outcome", Written ? "written" : "unknown"}});
         if (Written)
           return respondJson(Answer->message(), 200,
-                             {{"what", What}, {"drained", Drained}});
+                             {{"what", DrainKey}, {"drained", Drained}});
         respondError(Answer->message(), 503, "table_service",
                      "not known to be written; read the status and try again");
       });
@@ -321,20 +328,21 @@
                          const std::string &Upstream,
                          const Workspace &Operator) {
   const json Body = json::parse(requestBody(Message), nullptr, false);
-  const bool Readable = Body.is_object() && Body.contains("order") &&
-                        Body.contains("name") && Body["order"].is_string() &&
-                        Body["name"].is_string();
+  const bool IsValid = Body.is_object() && Body.contains("order") &&
+                       Body.contains("name") && Body["order"].is_string() &&
+                       Body["name"].is_string();
   const auto Kind =
-      Readable ? orderKindOf(Body["order"].get<std::string>()) : std::nullopt;
+      IsValid ? orderKindOf(Body["order"].get<std::string>()) : std::nullopt;
   if (!Kind)
     return respondError(Message, 422, "bad_order",
                         "order: load_model, load_adapter, unload_model or "
                         "set_role; name: a text");
-  const auto Answer = std::make_shared<LaterAnswer>(Message);
+  const auto Answer = std::make_shared<DeferredAnswer>(Message);
   const bool Known = m_Parts.m_Orders.order(
       Upstream, *Kind, Body["name"].get<std::string>(),
-      [Answer, Upstream, Name = Operator.m_Name](lease::OrderOutcome Outcome) {
-        logEvent(LogEvent::AdminChanged, {{"operator", Name},
+      [Answer, Upstream,
+       OperatorName = Operator.m_Name](lease::OrderOutcome Outcome) {
+        logEvent(LogEvent::AdminChanged, {{"operator", OperatorName},
                                           {"what", "order " + Upstream},
                                           {"outcome", nameOf(Outcome)}});
         respondJson(Answer->message(), statusOf(Outcome),
--- a/src/dispatcher/admin_api.h
+++ b/src/dispatcher/admin_api.h
@@ -43,7 +43,7 @@
   explicit AdminApi(const AdminParts &Parts);
 
   /// \throws ListenError.
-  void listen(const Address &Where);
+  void listen(const Address &ListenAddress);
 
 private:
   void handle(SoupServerMessage *Message, const std::string &Path);
@@ -54,7 +54,7 @@
   void putTable(SoupServerMessage *Message, const Workspace &Operator);
   void getHistory(SoupServerMessage *Message);
   void getStatus(SoupServerMessage *Message) const;
-  void changeDrain(SoupServerMessage *Message, const std::string &What,
+  void changeDrain(SoupServerMessage *Message, const std::string &DrainKey,
                    const Workspace &Operator);
   void giveOrder(SoupServerMessage *Message, const std::string &Upstream,
                  const Workspace &Operator);
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -11,9 +11,10 @@
 namespace {
 
 constexpr Duration WorkspaceInterval = 5s;
-constexpr Duration RightInterval = 100ms;
-/// Long enough for goodbyes to leave the send queues.
-constexpr Duration GoodbyeTime = 300ms;
+constexpr Duration RightCheckInterval = 100ms;
+/// Time between stop() and exit; long enough for the last frames to leave the
+/// send queues.
+constexpr Duration StopFlushTime = 300ms;
 
 membership::Member selfOf(const link::LinkConfig &Link) {
   membership::Member Self;
@@ -25,20 +26,21 @@
   return Self;
 }
 
-/// Returns a name that no other start of any process has.
-std::string holderOf(const link::LinkConfig &Link) {
+/// Returns a lease holder's name that no other incarnation of any process has.
+std::string leaseHolderOf(const link::LinkConfig &Link) {
   return Link.m_Name + "#" + std::to_string(Link.m_Incarnation.value());
 }
 
-/// Returns a share from 0 to 1 that differs between instances.
-double spreadOf(const std::string &Name) {
+/// Returns a fraction from 0 to 1, hashed from the name, so that instances
+/// spread their readings over an interval.
+double readingOffsetOf(const std::string &Name) {
   return static_cast<double>(instanceIdOf(Name).value() % 1000) / 1000.0;
 }
 
 } // namespace
 
-Dispatcher::Dispatcher(DispatcherSettings Chosen)
-    : m_Settings(std::move(Chosen)),
+Dispatcher::Dispatcher(DispatcherSettings Config)
+    : m_Settings(std::move(Config)),
       m_Platform(m_Http, m_Settings.m_Platform, m_Settings.m_PlatformTimeout,
                  m_Stats),
       m_Links(m_Settings.m_Link, m_Timers, m_Stats, *this),
@@ -47,14 +49,14 @@
       m_Table(m_Settings.m_Table, m_Clock, m_Timers, m_Platform, m_Fleet,
               m_Links, m_Stats),
       m_Upstreams(m_Timers, m_Platform, m_Platform, m_Settings.m_ListInterval,
-                  spreadOf(m_Settings.m_Link.m_Name)),
+                  readingOffsetOf(m_Settings.m_Link.m_Name)),
       m_Workspaces(m_Timers, m_Platform, WorkspaceInterval),
       m_Pools(instanceIdOf(m_Settings.m_Link.m_Name), m_Settings.m_Policy,
               m_Clock, m_Timers, m_Links, m_Http, m_Settings.m_LoadInterval,
               m_Upstreams),
       m_Entries(m_Clock, m_Timers, m_Links, attachmentSource()),
       m_Claims({}, m_Clock, m_Timers, m_Platform, m_Links, m_Stats),
-      m_Orders(holderOf(m_Settings.m_Link), m_Clock, m_Timers, m_Platform,
+      m_Orders(leaseHolderOf(m_Settings.m_Link), m_Clock, m_Timers, m_Platform,
                m_Http, m_Stats, m_Upstreams),
       m_Admin({m_Table, m_Fleet, m_Upstreams, m_Workspaces, m_Pools, m_Orders,
                m_Stats}),
@@ -117,11 +119,12 @@
 }
 
 void Dispatcher::watchRight() {
-  const bool Serves = m_Table.rightToServe();
-  if (Serves != m_Serves)
-    logEvent(Serves ? LogEvent::RightToServeHeld : LogEvent::RightToServeLost);
-  m_Serves = Serves;
-  m_RightTimer.start(RightInterval, [this] { watchRight(); });
+  const bool HasRight = m_Table.rightToServe();
+  if (HasRight != m_Serves)
+    logEvent(HasRight ? LogEvent::RightToServeHeld
+                      : LogEvent::RightToServeLost);
+  m_Serves = HasRight;
+  m_RightTimer.start(RightCheckInterval, [this] { watchRight(); });
 }
 
 void Dispatcher::stop(std::function<void()> Done) {
@@ -130,36 +133,36 @@
   // owns them now instead of finding a closed link.
   m_Fleet.leave();
   m_Pools.release();
-  m_StopTimer.start(GoodbyeTime, std::move(Done));
+  m_StopTimer.start(StopFlushTime, std::move(Done));
 }
 
-void Dispatcher::linkUp(link::LinkId Link, const link::Peer &Who) {
-  m_Fleet.linkUp(Link, Who);
-  m_Table.linkUp(Link, Who);
-  m_Pools.linkUp(Link, Who);
-  m_Entries.linkUp(Link, Who);
-  if (Who.m_Role == wire::Role::Dispatcher)
+void Dispatcher::linkUp(link::LinkId Link, const link::Peer &Peer) {
+  m_Fleet.linkUp(Link, Peer);
+  m_Table.linkUp(Link, Peer);
+  m_Pools.linkUp(Link, Peer);
+  m_Entries.linkUp(Link, Peer);
+  if (Peer.m_Role == wire::Role::Dispatcher)
     tellKnowledge(Link);
 }
 
 void Dispatcher::tellKnowledge(link::LinkId Link) {
   auto Out = std::make_unique<wire::KnowledgeT>();
-  for (const Upstream &Each : m_Upstreams.upstreams())
-    Out->upstreams.push_back(toWire(Each));
-  for (const Workspace &Each : m_Workspaces.workspaces())
-    Out->workspaces.push_back(toWire(Each));
+  for (const Upstream &Info : m_Upstreams.upstreams())
+    Out->upstreams.push_back(toWire(Info));
+  for (const Workspace &Info : m_Workspaces.workspaces())
+    Out->workspaces.push_back(toWire(Info));
   m_Links.outbox(Link).knowledge = std::move(Out);
 }
 
-void Dispatcher::learn(const wire::Knowledge &From) {
+void Dispatcher::learn(const wire::Knowledge &Received) {
   std::vector<Upstream> Upstreams;
-  if (From.upstreams() != nullptr)
-    for (const wire::UpstreamInfo *Each : *From.upstreams())
-      Upstreams.push_back(fromWire(*Each));
+  if (Received.upstreams() != nullptr)
+    for (const wire::UpstreamInfo *Info : *Received.upstreams())
+      Upstreams.push_back(fromWire(*Info));
   std::vector<Workspace> Workspaces;
-  if (From.workspaces() != nullptr)
-    for (const wire::WorkspaceInfo *Each : *From.workspaces())
-      Workspaces.push_back(fromWire(*Each));
+  if (Received.workspaces() != nullptr)
+    for (const wire::WorkspaceInfo *Info : *Received.workspaces())
+      Workspaces.push_back(fromWire(*Info));
   m_Upstreams.learn(std::move(Upstreams));
   m_Workspaces.learn(std::move(Workspaces));
 }
@@ -174,16 +177,16 @@
     learn(*Frame.knowledge());
 }
 
-void Dispatcher::linkDown(link::LinkId Link, const link::Peer &Who,
-                          link::CloseReason Why) {
-  m_Fleet.linkDown(Link, Who, Why);
-  m_Table.linkDown(Link, Who, Why);
+void Dispatcher::linkDown(link::LinkId Link, const link::Peer &Peer,
+                          link::CloseReason Reason) {
+  m_Fleet.linkDown(Link, Peer, Reason);
+  m_Table.linkDown(Link, Peer, Reason);
   m_Entries.linkDown(Link);
-  m_Pools.linkDown(Link, Who);
+  m_Pools.linkDown(Link, Peer);
 }
 
-void Dispatcher::dialFailed(const Address &Where, link::CloseReason Why) {
-  m_Fleet.dialFailed(Where, Why);
+void Dispatcher::dialFailed(const Address &Target, link::CloseReason Reason) {
+  m_Fleet.dialFailed(Target, Reason);
 }
 
 } // namespace crowstep::dispatcher
--- a/src/dispatcher/dispatcher.h
+++ b/src/dispatcher/dispatcher.h
@@ -18,22 +18,22 @@
 
 class Dispatcher final : public Daemon, private link::LinkListener {
 public:
-  explicit Dispatcher(DispatcherSettings Chosen);
+  explicit Dispatcher(DispatcherSettings Config);
 
   void start() override;
   void stop(std::function<void()> Done) override;
 
 private:
-  void linkUp(link::LinkId Link, const link::Peer &Who) override;
+  void linkUp(link::LinkId Link, const link::Peer &Peer) override;
   void linkFrame(link::LinkId Link, const wire::Frame &Frame) override;
-  void linkDown(link::LinkId Link, const link::Peer &Who,
-                link::CloseReason Why) override;
-  void dialFailed(const Address &Where, link::CloseReason Why) override;
+  void linkDown(link::LinkId Link, const link::Peer &Peer,
+                link::CloseReason Reason) override;
+  void dialFailed(const Address &Target, link::CloseReason Reason) override;
 
   AttachmentSource attachmentSource();
   void connectParts();
   void tellKnowledge(link::LinkId Link);
-  void learn(const wire::Knowledge &From);
+  void learn(const wire::Knowledge &Received);
   void watchRight();
 
   DispatcherSettings m_Settings;       ///< As read.
--- a/src/dispatcher/dispatcher_settings.cpp
+++ b/src/dispatcher/dispatcher_settings.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-decision::PolicyKind policyOf(const std::string &Name) {
+decision::PolicyKind parsePolicy(const std::string &Name) {
   if (Name == "crowstep")
     return decision::PolicyKind::Crowstep;
   if (Name == "round_robin")
@@ -67,7 +67,8 @@
   Result.m_Table.m_Incarnation = Result.m_Link.m_Incarnation;
   Result.m_Table.m_EntryRight = EntryRightToServe;
   readMembership(File, Result.m_Membership);
-  Result.m_Policy.m_Policy = policyOf(File.text("policy", "kind", "crowstep"));
+  Result.m_Policy.m_Policy =
+      parsePolicy(File.text("policy", "kind", "crowstep"));
   Result.m_Policy.m_Seed = static_cast<std::uint64_t>(
       File.integer("policy", "seed", 0, INT64_MAX, 1));
   Result.m_Policy.m_MaxEjectedShare = File.number(
--- a/src/dispatcher/entry_attachments.cpp
+++ b/src/dispatcher/entry_attachments.cpp
@@ -16,15 +16,15 @@
   m_Timer.start(AttachmentInterval, [this] { tick(); });
 }
 
-void EntryAttachments::linkUp(link::LinkId Link, const link::Peer &Who) {
-  if (Who.m_Role == wire::Role::Entry)
-    m_Names[Link] = Who.m_Name;
+void EntryAttachments::linkUp(link::LinkId Link, const link::Peer &Peer) {
+  if (Peer.m_Role == wire::Role::Entry)
+    m_Names[Link] = Peer.m_Name;
 }
 
 void EntryAttachments::attach(link::LinkId Link) {
-  Entry Fresh;
-  Fresh.m_AckedAt = m_Clock.now();
-  send(Link, m_Entries.emplace(Link, Fresh).first->second);
+  Entry Added;
+  Added.m_AckedAt = m_Clock.now();
+  send(Link, m_Entries.emplace(Link, Added).first->second);
   logEvent(LogEvent::EntryAttached, {{"instance", m_Names.at(Link)}});
 }
 
@@ -34,15 +34,16 @@
     return;
   if (!m_Entries.contains(Link))
     attach(Link);
-  Entry &From = m_Entries.at(Link);
-  const bool First = From.m_Acked == 0 && Ack->sequence() != 0;
-  From.m_Acked = std::max(From.m_Acked, Ack->sequence());
-  From.m_AckedAt = m_Clock.now();
-  From.m_Version = std::max(From.m_Version, TableVersion(Ack->table_version()));
-  // The first echo gives the right to serve; an entry that has lost its home
-  // must not wait an interval for it.
-  if (First)
-    send(Link, From);
+  Entry &Sender = m_Entries.at(Link);
+  const bool IsFirstEcho = Sender.m_Acked == 0 && Ack->sequence() != 0;
+  Sender.m_Acked = std::max(Sender.m_Acked, Ack->sequence());
+  Sender.m_AckedAt = m_Clock.now();
+  Sender.m_Version =
+      std::max(Sender.m_Version, TableVersion(Ack->table_version()));
+  // The first echo gives the entry its right to serve. An entry that has lost
+  // its home dispatcher must not wait an interval for it.
+  if (IsFirstEcho)
+    send(Link, Sender);
   if (m_Held)
     m_Held(heldByAll(TableVersion(UINT64_MAX)));
 }
@@ -52,8 +53,9 @@
   const auto Found = m_Entries.find(Link);
   if (Found == m_Entries.end())
     return;
-  const Entry &Gone = Found->second;
-  m_Detached.push_back({Gone.m_AckedAt + EntryRightToServe, Gone.m_Version});
+  const Entry &Closed = Found->second;
+  m_Detached.push_back(
+      {Closed.m_AckedAt + EntryRightToServe, Closed.m_Version});
   m_Entries.erase(Found);
   logEvent(LogEvent::EntryDetached);
 }
@@ -61,39 +63,41 @@
 TableVersion EntryAttachments::heldByAll(TableVersion Highest) const {
   const TimePoint Now = m_Clock.now();
   TableVersion Result = Highest;
-  for (const auto &[Link, Each] : m_Entries)
-    // The acknowledgement was sent before it came, so an entry that counts the
-    // same span from the sending has lost its right by now.
-    if (Each.m_AckedAt + EntryRightToServe >= Now)
-      Result = std::min(Result, Each.m_Version);
-  for (const Detached &Each : m_Detached)
-    if (Each.m_ServesUntil >= Now)
-      Result = std::min(Result, Each.m_Version);
+  for (const auto &[Link, Attached] : m_Entries)
+    // The entry counts the same time from the sending of the acknowledgement,
+    // which precedes its receipt, so one that is skipped here has already lost
+    // its right.
+    if (Attached.m_AckedAt + EntryRightToServe >= Now)
+      Result = std::min(Result, Attached.m_Version);
+  for (const Detached &Closed : m_Detached)
+    if (Closed.m_ServesUntil >= Now)
+      Result = std::min(Result, Closed.m_Version);
   return Result;
 }
 
 void EntryAttachments::membersChanged() {
-  for (auto &[Link, Each] : m_Entries)
-    Each.m_SendMembers = true;
+  for (auto &[Link, Attached] : m_Entries)
+    Attached.m_SendMembers = true;
   sendAll();
 }
 
 void EntryAttachments::upstreamsChanged() {
-  for (auto &[Link, Each] : m_Entries)
-    Each.m_SendUpstreams = true;
+  for (auto &[Link, Attached] : m_Entries)
+    Attached.m_SendUpstreams = true;
   sendAll();
 }
 
 void EntryAttachments::workspacesChanged() {
-  for (auto &[Link, Each] : m_Entries)
-    Each.m_SendWorkspaces = true;
+  for (auto &[Link, Attached] : m_Entries)
+    Attached.m_SendWorkspaces = true;
   sendAll();
 }
 
 void EntryAttachments::tick() {
   const TimePoint Now = m_Clock.now();
-  std::erase_if(m_Detached,
-                [&](const Detached &Each) { return Each.m_ServesUntil < Now; });
+  std::erase_if(m_Detached, [&](const Detached &Closed) {
+    return Closed.m_ServesUntil < Now;
+  });
   sendAll();
   // An entry that fell silent may have been the last one to wait for.
   if (m_Held)
@@ -102,50 +106,51 @@
 }
 
 void EntryAttachments::sendAll() {
-  for (auto &[Link, Each] : m_Entries)
-    send(Link, Each);
+  for (auto &[Link, Attached] : m_Entries)
+    send(Link, Attached);
 }
 
-void EntryAttachments::send(link::LinkId Link, Entry &To) {
+void EntryAttachments::send(link::LinkId Link, Entry &Recipient) {
   auto Out = std::make_unique<wire::AttachmentT>();
   Out->sequence = ++m_Sequence;
-  Out->acked = To.m_Acked;
+  Out->acked = Recipient.m_Acked;
   Out->right_to_serve = m_Source.m_RightToServe();
   Out->draining = m_Source.m_Draining();
-  if (To.m_SendMembers)
+  if (Recipient.m_SendMembers)
     addMembers(*Out);
-  if (To.m_SendUpstreams)
+  if (Recipient.m_SendUpstreams)
     addUpstreams(*Out);
-  if (To.m_SendWorkspaces)
+  if (Recipient.m_SendWorkspaces)
     addWorkspaces(*Out);
-  std::unique_ptr<wire::AttachmentT> &Slot = m_Links.outbox(Link).attachment;
-  // Two attachments of one loop iteration share a frame, which has room for
-  // one: what the first one carried whole must not be lost.
-  if (Slot != nullptr) {
+  std::unique_ptr<wire::AttachmentT> &Queued = m_Links.outbox(Link).attachment;
+  // Attachments of one loop iteration share a frame, which has room for one:
+  // the lists of an attachment that is still queued must not be lost.
+  if (Queued != nullptr) {
     if (Out->members.empty())
-      Out->members = std::move(Slot->members);
+      Out->members = std::move(Queued->members);
     if (Out->upstreams.empty())
-      Out->upstreams = std::move(Slot->upstreams);
+      Out->upstreams = std::move(Queued->upstreams);
     if (Out->workspaces.empty())
-      Out->workspaces = std::move(Slot->workspaces);
+      Out->workspaces = std::move(Queued->workspaces);
   }
-  Slot = std::move(Out);
-  To.m_SendMembers = To.m_SendUpstreams = To.m_SendWorkspaces = false;
+  Queued = std::move(Out);
+  Recipient.m_SendMembers = Recipient.m_SendUpstreams =
+      Recipient.m_SendWorkspaces = false;
 }
 
 void EntryAttachments::addMembers(wire::AttachmentT &Out) const {
-  for (const membership::Member &Each : m_Source.m_Members())
-    Out.members.push_back(membership::wireOf(Each));
+  for (const membership::Member &Member : m_Source.m_Members())
+    Out.members.push_back(membership::wireOf(Member));
 }
 
 void EntryAttachments::addUpstreams(wire::AttachmentT &Out) const {
-  for (const Upstream &Each : m_Source.m_Upstreams())
-    Out.upstreams.push_back(toWire(Each));
+  for (const Upstream &Info : m_Source.m_Upstreams())
+    Out.upstreams.push_back(toWire(Info));
 }
 
 void EntryAttachments::addWorkspaces(wire::AttachmentT &Out) const {
-  for (const Workspace &Each : m_Source.m_Workspaces())
-    Out.workspaces.push_back(toWire(Each));
+  for (const Workspace &Info : m_Source.m_Workspaces())
+    Out.workspaces.push_back(toWire(Info));
 }
 
 } // namespace crowstep::dispatcher
--- a/src/dispatcher/entry_attachments.h
+++ b/src/dispatcher/entry_attachments.h
@@ -38,10 +38,11 @@
     m_Held = std::move(Job);
   }
 
-  /// An entry's link is up; it is attached once it has asked for it. Entries
-  /// that only bid or claim here are not: a claim home has links to all entries
-  /// of a fleet and must not tell each of them everything.
-  void linkUp(link::LinkId Link, const link::Peer &Who);
+  /// Registers the link of an entry. The entry is attached with its first
+  /// acknowledgement. Entries that only bid or claim here send none: a claim
+  /// home has links to all entries of the fleet and must not send attachments
+  /// to each of them.
+  void linkUp(link::LinkId Link, const link::Peer &Peer);
   void linkFrame(link::LinkId Link, const wire::Frame &Frame);
   void linkDown(link::LinkId Link);
 
@@ -75,7 +76,7 @@
   void attach(link::LinkId Link);
   void tick();
   void sendAll();
-  void send(link::LinkId Link, Entry &To);
+  void send(link::LinkId Link, Entry &Recipient);
   void addMembers(wire::AttachmentT &Out) const;
   void addUpstreams(wire::AttachmentT &Out) const;
   void addWorkspaces(wire::AttachmentT &Out) const;
--- a/src/dispatcher/load_monitor.cpp
+++ b/src/dispatcher/load_monitor.cpp
@@ -11,8 +11,8 @@
 /// One upstream that is asked again and again. A question on its way keeps it
 /// alive after the monitor has dropped it; m_Active is then false.
 struct LoadMonitor::Watched {
-  Watched(Scheduler &Timers, Upstream Of)
-      : m_Upstream(std::move(Of)), m_Timer(Timers) {}
+  Watched(Scheduler &Timers, Upstream Info)
+      : m_Upstream(std::move(Info)), m_Timer(Timers) {}
 
   Upstream m_Upstream;  ///< Whom.
   Timer m_Timer;        ///< For the next question.
@@ -21,11 +21,11 @@
 
 namespace {
 
-constexpr Duration AskLimit = std::chrono::seconds(1);
+constexpr Duration PollTimeout = std::chrono::seconds(1);
 
-decision::LoadReport reportOf(UpstreamId From, const json &Body) {
+decision::LoadReport parseLoadReport(UpstreamId Source, const json &Body) {
   decision::LoadReport Result;
-  Result.m_Upstream = From;
+  Result.m_Upstream = Source;
   Result.m_Sequence = Body.at("sequence").get<std::uint64_t>();
   Result.m_Age = std::chrono::milliseconds(Body.value("age_ms", 0));
   Result.m_Running = Body.at("running").get<std::uint32_t>();
@@ -35,9 +35,9 @@
   return Result;
 }
 
-decision::CacheEvent cacheEventOf(UpstreamId From, const json &Body) {
+decision::CacheEvent parseCacheEvent(UpstreamId Source, const json &Body) {
   decision::CacheEvent Result;
-  Result.m_Upstream = From;
+  Result.m_Upstream = Source;
   Result.m_Sequence = Body.at("sequence").get<std::uint64_t>();
   Result.m_Prefix =
       std::stoull(Body.at("prefix").get<std::string>(), nullptr, 16);
@@ -48,27 +48,27 @@
 } // namespace
 
 LoadMonitor::LoadMonitor(HttpCaller &Http, Scheduler &Timers, Duration Interval,
-                         Report OnReport)
+                         Report OnEvent)
     : m_Http(Http), m_Timers(Timers), m_Interval(Interval),
-      m_Report(std::move(OnReport)) {}
+      m_Report(std::move(OnEvent)) {}
 
 void LoadMonitor::watch(const std::vector<Upstream> &Upstreams) {
   std::set<UpstreamId> Wanted;
-  for (const Upstream &Each : Upstreams) {
-    Wanted.insert(Each.m_Id);
-    std::shared_ptr<Watched> &Slot = m_Watched[Each.m_Id];
-    if (Slot != nullptr && Slot->m_Upstream.m_Address == Each.m_Address)
+  for (const Upstream &Info : Upstreams) {
+    Wanted.insert(Info.m_Id);
+    std::shared_ptr<Watched> &Slot = m_Watched[Info.m_Id];
+    if (Slot != nullptr && Slot->m_Upstream.m_Address == Info.m_Address)
       continue;
     if (Slot != nullptr)
       Slot->m_Active = false;
-    Slot = std::make_shared<Watched>(m_Timers, Each);
+    Slot = std::make_shared<Watched>(m_Timers, Info);
     ask(Slot);
   }
-  std::erase_if(m_Watched, [&](const auto &Each) {
-    const bool Dropped = !Wanted.contains(Each.first);
-    if (Dropped)
-      Each.second->m_Active = false;
-    return Dropped;
+  std::erase_if(m_Watched, [&](const auto &Item) {
+    const bool IsDropped = !Wanted.contains(Item.first);
+    if (IsDropped)
+      Item.second->m_Active = false;
+    return IsDropped;
   });
 }
 
@@ -76,7 +76,7 @@
   HttpCall Call;
   Call.m_Where = Target->m_Upstream.m_Address;
   Call.m_Path = "/v1/load";
-  Call.m_Timeout = AskLimit;
+  Call.m_Timeout = PollTimeout;
   m_Http.call(Call, [this, Target](HttpResult Result) {
     if (Target->m_Active)
       answered(Target, std::move(Result));
@@ -89,17 +89,17 @@
   if (Answer != nullptr && Answer->m_Status == 200) {
     try {
       const json Body = json::parse(Answer->m_Body);
-      m_Report(reportOf(Target->m_Upstream.m_Id, Body));
-      for (const json &Each : Body.value("cache_events", json::array()))
-        m_Report(cacheEventOf(Target->m_Upstream.m_Id, Each));
+      m_Report(parseLoadReport(Target->m_Upstream.m_Id, Body));
+      for (const json &CacheEvent : Body.value("cache_events", json::array()))
+        m_Report(parseCacheEvent(Target->m_Upstream.m_Id, CacheEvent));
     } catch (const std::exception &) {
       // A report is a hint: one that can't be read is as good as a late one.
     }
   }
   const std::weak_ptr<Watched> Weak = Target;
   Target->m_Timer.start(m_Interval, [this, Weak] {
-    if (const std::shared_ptr<Watched> Again = Weak.lock())
-      ask(Again);
+    if (const std::shared_ptr<Watched> Alive = Weak.lock())
+      ask(Alive);
   });
 }
 
--- a/src/dispatcher/load_monitor.h
+++ b/src/dispatcher/load_monitor.h
@@ -21,7 +21,7 @@
   using Report = std::function<void(const decision::Event &)>;
 
   LoadMonitor(HttpCaller &Http, Scheduler &Timers, Duration Interval,
-              Report OnReport);
+              Report OnEvent);
 
   /// Asks these upstreams from now on, and no others.
   void watch(const std::vector<Upstream> &Upstreams);
--- a/src/dispatcher/pool_runner.cpp
+++ b/src/dispatcher/pool_runner.cpp
@@ -34,16 +34,16 @@
     : m_Pool(Pool), m_Service(std::move(Service)), m_Clock(Time), m_Links(Wire),
       m_Timer(Timers), m_Decider(Config) {}
 
-void PoolRunner::handle(const decision::Event &What) {
-  m_Decider.handle(What, m_Clock.now(), m_Actions);
+void PoolRunner::handle(const decision::Event &Event) {
+  m_Decider.handle(Event, m_Clock.now(), m_Actions);
   carryOut();
   armTimer();
 }
 
 void PoolRunner::setUpstreams(std::vector<Upstream> Upstreams) {
   m_Upstreams.clear();
-  for (const Upstream &Each : Upstreams)
-    m_Upstreams[Each.m_Id] = Each;
+  for (const Upstream &Info : Upstreams)
+    m_Upstreams[Info.m_Id] = Info;
   handle(decision::UpstreamsChanged{std::move(Upstreams)});
 }
 
@@ -53,15 +53,15 @@
 }
 
 decision::Bid PoolRunner::bidOf(const wire::Bid &In,
-                                const EntrySession &From) const {
+                                const EntrySession &Sender) const {
   decision::Bid Out;
-  Out.m_Request = {From.m_Id, In.request()};
+  Out.m_Request = {Sender.m_Id, In.request()};
   Out.m_Class = ClassId(In.class_id());
   Out.m_Workspace = WorkspaceId(In.workspace());
   Out.m_PromptTokens = In.prompt_tokens();
   Out.m_MaxTokens = In.max_tokens();
   Out.m_DoneTokens = In.done_tokens();
-  Out.m_Zone = From.m_Zone;
+  Out.m_Zone = Sender.m_Zone;
   Out.m_UntilTarget = milliseconds(In.until_target_ms());
   Out.m_UntilLimit = milliseconds(In.until_limit_ms());
   Out.m_IsRetry = In.is_retry();
@@ -72,47 +72,49 @@
   return Out;
 }
 
-void PoolRunner::frame(link::LinkId Link, const EntrySession &From,
+void PoolRunner::frame(link::LinkId Link, const EntrySession &Sender,
                        const wire::Frame &Frame) {
-  m_Entries[From.m_Id] = Link;
-  const auto Mine = [&](std::uint64_t Pool) { return PoolId(Pool) == m_Pool; };
-  // Ends first: they free the slots that the frame's bids ask for.
+  m_Entries[Sender.m_Id] = Link;
+  const auto IsOwnPool = [&](std::uint64_t Pool) {
+    return PoolId(Pool) == m_Pool;
+  };
+  // Ends come first: they free slots that the bids of the frame may take.
   if (Frame.work_ends() != nullptr)
-    for (const wire::WorkEnd *Each : *Frame.work_ends())
-      if (Mine(Each->pool()))
+    for (const wire::WorkEnd *End : *Frame.work_ends())
+      if (IsOwnPool(End->pool()))
         handle(
-            decision::WorkEnded{{From.m_Id, Each->request()},
-                                UpstreamId(Each->upstream()),
-                                static_cast<decision::WorkEnd>(Each->end()),
-                                Each->tokens(),
-                                std::chrono::microseconds(Each->elapsed_us())});
+            decision::WorkEnded{{Sender.m_Id, End->request()},
+                                UpstreamId(End->upstream()),
+                                static_cast<decision::WorkEnd>(End->end()),
+                                End->tokens(),
+                                std::chrono::microseconds(End->elapsed_us())});
   if (Frame.withdrawals() != nullptr)
-    for (const wire::Withdrawal *Each : *Frame.withdrawals())
-      if (Mine(Each->pool()))
-        handle(decision::BidWithdrawn{{From.m_Id, Each->request()}});
-  // What already runs comes before new bids, so that a new owner knows which
-  // slots are taken before it grants any.
+    for (const wire::Withdrawal *Withdrawal : *Frame.withdrawals())
+      if (IsOwnPool(Withdrawal->pool()))
+        handle(decision::BidWithdrawn{{Sender.m_Id, Withdrawal->request()}});
+  // Running requests come before new bids, so that a new owner of the pool
+  // knows which slots are taken before it grants any.
   if (Frame.running() != nullptr)
-    for (const wire::Running *Each : *Frame.running())
-      if (Each->bid() != nullptr && Mine(Each->bid()->pool()))
-        handle(decision::WorkRunning{bidOf(*Each->bid(), From),
-                                     UpstreamId(Each->upstream()),
-                                     Each->tokens()});
+    for (const wire::Running *Running : *Frame.running())
+      if (Running->bid() != nullptr && IsOwnPool(Running->bid()->pool()))
+        handle(decision::WorkRunning{bidOf(*Running->bid(), Sender),
+                                     UpstreamId(Running->upstream()),
+                                     Running->tokens()});
   if (Frame.first_tokens() != nullptr)
-    for (const wire::FirstToken *Each : *Frame.first_tokens())
-      if (Mine(Each->pool()))
+    for (const wire::FirstToken *First : *Frame.first_tokens())
+      if (IsOwnPool(First->pool()))
         handle(decision::FirstToken{
-            {From.m_Id, Each->request()},
-            std::chrono::microseconds(Each->latency_us())});
+            {Sender.m_Id, First->request()},
+            std::chrono::microseconds(First->latency_us())});
   if (Frame.bids() != nullptr)
-    for (const wire::Bid *Each : *Frame.bids())
-      if (Mine(Each->pool()))
-        handle(bidOf(*Each, From));
+    for (const wire::Bid *Bid : *Frame.bids())
+      if (IsOwnPool(Bid->pool()))
+        handle(bidOf(*Bid, Sender));
 }
 
 void PoolRunner::carryOut() {
-  for (const decision::Action &Each : m_Actions)
-    std::visit([this](const auto &What) { carryOut(What); }, Each);
+  for (const decision::Action &Action : m_Actions)
+    std::visit([this](const auto &Details) { carryOut(Details); }, Action);
   m_Actions.clear();
 }
 
@@ -121,42 +123,42 @@
   return Found == m_Entries.end() ? nullptr : &m_Links.outbox(Found->second);
 }
 
-void PoolRunner::carryOut(const decision::Grant &What) {
-  wire::FrameT *Out = outboxOf(What.m_Request);
-  const auto Target = m_Upstreams.find(What.m_Upstream);
+void PoolRunner::carryOut(const decision::Grant &Grant) {
+  wire::FrameT *Out = outboxOf(Grant.m_Request);
+  const auto Target = m_Upstreams.find(Grant.m_Upstream);
   if (Out == nullptr || Target == m_Upstreams.end())
     return;
-  const auto *AsEngine = std::get_if<Engine>(&Target->second.m_Kind);
-  Out->grants.emplace_back(What.m_Request.m_Number, What.m_Upstream.value(),
+  const auto *EngineInfo = std::get_if<Engine>(&Target->second.m_Kind);
+  Out->grants.emplace_back(Grant.m_Request.m_Number, Grant.m_Upstream.value(),
                            Target->second.m_Address.m_Ip,
-                           Target->second.m_Address.m_Port, What.m_Priority,
-                           AsEngine != nullptr && AsEngine->m_CanResume,
-                           roundedUpMilliseconds(What.m_ValidFor));
+                           Target->second.m_Address.m_Port, Grant.m_Priority,
+                           EngineInfo != nullptr && EngineInfo->m_CanResume,
+                           roundedUpMilliseconds(Grant.m_ValidFor));
 }
 
-void PoolRunner::carryOut(const decision::Refuse &What) {
-  if (wire::FrameT *Out = outboxOf(What.m_Request))
-    Out->refusals.emplace_back(What.m_Request.m_Number,
-                               roundedUpMilliseconds(What.m_RetryAfter),
-                               static_cast<std::uint8_t>(What.m_Reason));
+void PoolRunner::carryOut(const decision::Refuse &Refusal) {
+  if (wire::FrameT *Out = outboxOf(Refusal.m_Request))
+    Out->refusals.emplace_back(Refusal.m_Request.m_Number,
+                               roundedUpMilliseconds(Refusal.m_RetryAfter),
+                               static_cast<std::uint8_t>(Refusal.m_Reason));
 }
 
-void PoolRunner::carryOut(const decision::Preempt &What) {
-  if (wire::FrameT *Out = outboxOf(What.m_Request))
-    Out->preempts.emplace_back(What.m_Request.m_Number,
-                               What.m_Upstream.value());
+void PoolRunner::carryOut(const decision::Preempt &Preemption) {
+  if (wire::FrameT *Out = outboxOf(Preemption.m_Request))
+    Out->preempts.emplace_back(Preemption.m_Request.m_Number,
+                               Preemption.m_Upstream.value());
 }
 
-void PoolRunner::carryOut(const decision::EjectionChanged &What) {
-  const auto Found = m_Upstreams.find(What.m_Upstream);
+void PoolRunner::carryOut(const decision::EjectionChanged &Change) {
+  const auto Found = m_Upstreams.find(Change.m_Upstream);
   const std::string Name =
       Found == m_Upstreams.end() ? "gone" : Found->second.m_Name;
-  if (What.m_Ejected)
-    m_Ejected[What.m_Upstream] = Name;
+  if (Change.m_Ejected)
+    m_Ejected[Change.m_Upstream] = Name;
   else
-    m_Ejected.erase(What.m_Upstream);
-  logEvent(What.m_Ejected ? LogEvent::UpstreamEjected
-                          : LogEvent::UpstreamRestored,
+    m_Ejected.erase(Change.m_Upstream);
+  logEvent(Change.m_Ejected ? LogEvent::UpstreamEjected
+                            : LogEvent::UpstreamRestored,
            {{"upstream", Name}});
 }
 
--- a/src/dispatcher/pool_runner.h
+++ b/src/dispatcher/pool_runner.h
@@ -31,11 +31,11 @@
              const decision::DeciderConfig &Config, const Clock &Time,
              Scheduler &Timers, link::Links &Wire);
 
-  /// Hands in an event that does not come from an entry.
-  void handle(const decision::Event &What);
+  /// Passes an event to the Decider and carries out the resulting actions.
+  void handle(const decision::Event &Event);
 
-  /// Hands in what \p Frame says of this pool; \p Link is where answers go.
-  void frame(link::LinkId Link, const EntrySession &From,
+  /// Handles what \p Frame contains for this pool; answers go out on \p Link.
+  void frame(link::LinkId Link, const EntrySession &Sender,
              const wire::Frame &Frame);
 
   /// Drops the requests of an entry that has gone.
@@ -56,12 +56,13 @@
   void setUpstreams(std::vector<Upstream> Upstreams);
 
 private:
-  decision::Bid bidOf(const wire::Bid &In, const EntrySession &From) const;
+  decision::Bid bidOf(const wire::Bid &In, const EntrySession &Sender) const;
   void carryOut();
-  void carryOut(const decision::Grant &What);
-  void carryOut(const decision::Refuse &What);
-  void carryOut(const decision::Preempt &What);
-  void carryOut(const decision::EjectionChanged &What);
+  void carryOut(const decision::Grant &Grant);
+  void carryOut(const decision::Refuse &Refusal);
+  void carryOut(const decision::Preempt &Preemption);
+  void carryOut(const decision::EjectionChanged &Change);
+  /// Returns the frame to the request's entry, or null if it has no link.
   wire::FrameT *outboxOf(const decision::RequestId &Request);
   void armTimer();
 
--- a/src/dispatcher/pool_set.cpp
+++ b/src/dispatcher/pool_set.cpp
@@ -20,25 +20,25 @@
                  const UpstreamDirectory &Directory)
     : m_Self(Self), m_Config(Config), m_Clock(Time), m_Timers(Timers),
       m_Links(Wire), m_Directory(Directory),
-      m_Loads(Http, Timers, LoadInterval, [this](const decision::Event &What) {
+      m_Loads(Http, Timers, LoadInterval, [this](const decision::Event &Event) {
         for (auto &[Pool, Runner] : m_Pools)
-          Runner->handle(What);
+          Runner->handle(Event);
       }) {}
 
-void PoolSet::linkUp(link::LinkId Link, const link::Peer &Who) {
-  if (Who.m_Role != wire::Role::Entry)
+void PoolSet::linkUp(link::LinkId Link, const link::Peer &Peer) {
+  if (Peer.m_Role != wire::Role::Entry)
     return;
-  const InstanceId Id = sessionOf(Who);
+  const InstanceId Id = sessionOf(Peer);
   Session &Entry = m_Sessions[Id];
-  Entry.m_Entry = {Id, Who.m_Zone};
+  Entry.m_Entry = {Id, Peer.m_Zone};
   Entry.m_Link = Link;
   Entry.m_Gone.reset();
   m_SessionOfLink[Link] = Id;
 }
 
-void PoolSet::linkDown(link::LinkId Link, const link::Peer &Who) {
+void PoolSet::linkDown(link::LinkId Link, const link::Peer &Peer) {
   m_SessionOfLink.erase(Link);
-  const InstanceId Id = sessionOf(Who);
+  const InstanceId Id = sessionOf(Peer);
   const auto Found = m_Sessions.find(Id);
   if (Found == m_Sessions.end() || Found->second.m_Link != Link)
     return;
@@ -47,8 +47,9 @@
 }
 
 void PoolSet::lost(InstanceId Session) {
-  // The timer that runs this is part of the session: erased last.
-  const auto Held = m_Sessions.extract(Session);
+  // The timer that runs this belongs to the session, which must outlive the
+  // call.
+  const auto Extracted = m_Sessions.extract(Session);
   for (auto &[Pool, Runner] : m_Pools)
     Runner->entryLost(Session);
 }
@@ -57,19 +58,18 @@
   const auto Found = m_SessionOfLink.find(Link);
   if (Found == m_SessionOfLink.end())
     return;
-  const EntrySession &From = m_Sessions.at(Found->second).m_Entry;
+  const EntrySession &Sender = m_Sessions.at(Found->second).m_Entry;
   for (auto &[Pool, Runner] : m_Pools)
-    Runner->frame(Link, From, Frame);
+    Runner->frame(Link, Sender, Frame);
   refuseForeignBids(Link, Frame);
 }
 
 void PoolSet::refuseForeignBids(link::LinkId Link, const wire::Frame &Frame) {
   if (Frame.bids() == nullptr)
     return;
-  for (const wire::Bid *Each : *Frame.bids())
-    if (!m_Pools.contains(PoolId(Each->pool())))
-      m_Links.outbox(Link).not_owner.emplace_back(Each->request(),
-                                                  Each->pool());
+  for (const wire::Bid *Bid : *Frame.bids())
+    if (!m_Pools.contains(PoolId(Bid->pool())))
+      m_Links.outbox(Link).not_owner.emplace_back(Bid->request(), Bid->pool());
 }
 
 void PoolSet::membersChanged(const std::vector<membership::Member> &Members) {
@@ -96,16 +96,17 @@
 }
 
 void PoolSet::settle() {
-  const std::size_t Before = m_Pools.size();
-  std::erase_if(m_Pools, [&](const auto &Each) {
+  const std::size_t CountBefore = m_Pools.size();
+  std::erase_if(m_Pools, [&](const auto &Item) {
     const membership::Member *Owner =
-        membership::ownerOf(Each.first, m_Members);
-    const bool Kept = !m_Released && Owner != nullptr && Owner->m_Id == m_Self;
-    if (!Kept)
-      logEvent(LogEvent::PoolReleased, {{"service", Each.second->service()}});
-    return !Kept;
+        membership::ownerOf(Item.first, m_Members);
+    const bool IsKept =
+        !m_Released && Owner != nullptr && Owner->m_Id == m_Self;
+    if (!IsKept)
+      logEvent(LogEvent::PoolReleased, {{"service", Item.second->service()}});
+    return !IsKept;
   });
-  bool Changed = m_Pools.size() != Before;
+  bool Changed = m_Pools.size() != CountBefore;
   for (const PoolId Pool : m_Directory.pools()) {
     const membership::Member *Owner = membership::ownerOf(Pool, m_Members);
     if (m_Released || Owner == nullptr || Owner->m_Id != m_Self ||
@@ -129,11 +130,11 @@
 }
 
 void PoolSet::watchLoad() {
-  std::vector<Upstream> Mine;
+  std::vector<Upstream> Owned;
   for (const auto &[Pool, Runner] : m_Pools)
-    for (const Upstream &Each : m_Directory.ofService(Runner->service()))
-      Mine.push_back(Each);
-  m_Loads.watch(Mine);
+    for (const Upstream &Info : m_Directory.ofService(Runner->service()))
+      Owned.push_back(Info);
+  m_Loads.watch(Owned);
 }
 
 } // namespace crowstep::dispatcher
--- a/src/dispatcher/pool_set.h
+++ b/src/dispatcher/pool_set.h
@@ -22,9 +22,9 @@
           Scheduler &Timers, link::Links &Wire, HttpCaller &Http,
           Duration LoadInterval, const UpstreamDirectory &Directory);
 
-  void linkUp(link::LinkId Link, const link::Peer &Who);
+  void linkUp(link::LinkId Link, const link::Peer &Peer);
   void linkFrame(link::LinkId Link, const wire::Frame &Frame);
-  void linkDown(link::LinkId Link, const link::Peer &Who);
+  void linkDown(link::LinkId Link, const link::Peer &Peer);
 
   /// Takes over and gives up pools as the membership says.
   void membersChanged(const std::vector<membership::Member> &Members);
--- a/src/dispatcher/upstream_directory.cpp
+++ b/src/dispatcher/upstream_directory.cpp
@@ -32,9 +32,9 @@
 UpstreamDirectory::UpstreamDirectory(Scheduler &Timers,
                                      platform::InstanceList &List,
                                      platform::TableService &Store,
-                                     Duration Interval, double Spread)
+                                     Duration Interval, double Offset)
     : m_List(List), m_Store(Store), m_Interval(Interval),
-      m_FirstDelay(std::chrono::duration_cast<Duration>(Interval * Spread)),
+      m_FirstDelay(std::chrono::duration_cast<Duration>(Interval * Offset)),
       m_ListTimer(Timers), m_DrainTimer(Timers) {}
 
 void UpstreamDirectory::start() {
@@ -63,8 +63,8 @@
 
 void UpstreamDirectory::tellInstances() const {
   std::vector<std::string> Names;
-  for (const platform::ListedInstance &Each : m_Listing.m_Instances)
-    Names.push_back(Each.m_Name);
+  for (const platform::ListedInstance &Instance : m_Listing.m_Instances)
+    Names.push_back(Instance.m_Name);
   if (m_Instances)
     m_Instances(Names);
 }
@@ -82,12 +82,12 @@
 }
 
 void UpstreamDirectory::rebuild() {
-  std::vector<Upstream> Fresh = m_Listing.m_Upstreams;
-  for (Upstream &Each : Fresh)
-    if (m_Drains.contains(UpstreamPrefix + Each.m_Name))
-      Each.m_Leaving = true;
-  const bool Changed = !sameUpstreams(Fresh, m_Upstreams);
-  m_Upstreams = std::move(Fresh);
+  std::vector<Upstream> Updated = m_Listing.m_Upstreams;
+  for (Upstream &Info : Updated)
+    if (m_Drains.contains(UpstreamPrefix + Info.m_Name))
+      Info.m_Leaving = true;
+  const bool Changed = !sameUpstreams(Updated, m_Upstreams);
+  m_Upstreams = std::move(Updated);
   if (Changed && m_Changed)
     m_Changed();
 }
@@ -97,35 +97,35 @@
   std::vector<Upstream> Result;
   std::copy_if(m_Upstreams.begin(), m_Upstreams.end(),
                std::back_inserter(Result),
-               [&](const Upstream &Each) { return Each.m_Service == Service; });
+               [&](const Upstream &Info) { return Info.m_Service == Service; });
   return Result;
 }
 
 std::optional<std::string> UpstreamDirectory::serviceOf(PoolId Pool) const {
-  for (const Upstream &Each : m_Upstreams)
-    if (poolIdOf(Each.m_Service, 0) == Pool)
-      return Each.m_Service;
+  for (const Upstream &Info : m_Upstreams)
+    if (poolIdOf(Info.m_Service, 0) == Pool)
+      return Info.m_Service;
   return std::nullopt;
 }
 
 std::vector<PoolId> UpstreamDirectory::pools() const {
   std::set<PoolId> Result;
-  for (const Upstream &Each : m_Upstreams)
-    Result.insert(poolIdOf(Each.m_Service, 0));
+  for (const Upstream &Info : m_Upstreams)
+    Result.insert(poolIdOf(Info.m_Service, 0));
   return {Result.begin(), Result.end()};
 }
 
 const Upstream *UpstreamDirectory::find(UpstreamId Id) const {
   const auto Found =
       std::find_if(m_Upstreams.begin(), m_Upstreams.end(),
-                   [&](const Upstream &Each) { return Each.m_Id == Id; });
+                   [&](const Upstream &Info) { return Info.m_Id == Id; });
   return Found == m_Upstreams.end() ? nullptr : &*Found;
 }
 
 std::vector<Address> UpstreamDirectory::dispatcherHints() const {
   std::vector<Address> Result;
-  for (const platform::ListedInstance &Each : m_Listing.m_Instances)
-    Result.push_back(Each.m_Link);
+  for (const platform::ListedInstance &Instance : m_Listing.m_Instances)
+    Result.push_back(Instance.m_Link);
   return Result;
 }
 
@@ -133,22 +133,22 @@
   if (m_Drains.contains(InstancePrefix + Name))
     return true;
   return std::any_of(m_Listing.m_Instances.begin(), m_Listing.m_Instances.end(),
-                     [&](const platform::ListedInstance &Each) {
-                       return Each.m_Name == Name && Each.m_Leaving;
+                     [&](const platform::ListedInstance &Instance) {
+                       return Instance.m_Name == Name && Instance.m_Leaving;
                      });
 }
 
-void UpstreamDirectory::setDrained(const std::string &What, bool Drained,
+void UpstreamDirectory::setDrained(const std::string &Key, bool Drained,
                                    std::function<void(bool)> Done) {
-  const auto Present = m_Drains.find(What);
-  const bool IsDrained = Present != m_Drains.end();
+  const auto Found = m_Drains.find(Key);
+  const bool IsDrained = Found != m_Drains.end();
   if (IsDrained == Drained) {
     Done(true);
     return;
   }
-  RowWrite Write{What, {}, DrainedValue};
+  RowWrite Write{Key, {}, DrainedValue};
   if (!Drained)
-    Write = {What, Present->second, ""};
+    Write = {Key, Found->second, ""};
   m_Store.write(platform::DrainTableName, {Write},
                 [this, Done = std::move(Done)](platform::WriteResult Result) {
                   const auto *Rows =
--- a/src/dispatcher/upstream_directory.h
+++ b/src/dispatcher/upstream_directory.h
@@ -24,7 +24,7 @@
   /// that start together don't read together.
   UpstreamDirectory(Scheduler &Timers, platform::InstanceList &List,
                     platform::TableService &Store, Duration Interval,
-                    double Spread);
+                    double Offset);
 
   void start();
 
@@ -63,9 +63,10 @@
   /// Returns whether the instance \p Name is drained or listed as leaving.
   [[nodiscard]] bool instanceDrained(const std::string &Name) const;
 
-  /// Writes or takes back the drain of "upstream/NAME" or "instance/NAME" and
-  /// tells whether that is known to have been written.
-  void setDrained(const std::string &What, bool Drained,
+  /// Writes or deletes the drain of "upstream/NAME" or "instance/NAME". \p Done
+  /// gets false if the write failed or its outcome is unknown. If the last
+  /// reading shows the wanted state, \p Done gets true and nothing is written.
+  void setDrained(const std::string &Key, bool Drained,
                   std::function<void(bool Written)> Done);
 
 private:
--- a/src/dispatcher/workspace_directory.cpp
+++ b/src/dispatcher/workspace_directory.cpp
@@ -15,9 +15,9 @@
 /// unknown until then.
 constexpr Duration FirstReadInterval = std::chrono::milliseconds(500);
 
-/// Returns the workspace of a row; a row that can't be read is left out and
-/// logged, so that one bad row does not lock out all the others.
-std::optional<Workspace> workspaceOf(const platform::Row &Row) {
+/// Returns the workspace of a row, or nothing if the row is invalid. An invalid
+/// row is logged and left out, so that it does not lock out all the others.
+std::optional<Workspace> parseWorkspace(const platform::Row &Row) {
   try {
     const nlohmann::json Value = nlohmann::json::parse(Row.m_Value);
     Workspace Result;
@@ -43,12 +43,12 @@
   m_Store.list(
       platform::WorkspaceTableName, "", [this](platform::ReadResult Read) {
         if (const auto *Rows = std::get_if<std::vector<platform::Row>>(&Read)) {
-          std::vector<Workspace> Fresh;
+          std::vector<Workspace> Updated;
           for (const platform::Row &Row : *Rows)
-            if (std::optional<Workspace> Each = workspaceOf(Row))
-              Fresh.push_back(std::move(*Each));
+            if (std::optional<Workspace> Parsed = parseWorkspace(Row))
+              Updated.push_back(std::move(*Parsed));
           m_HasRead = true;
-          replace(std::move(Fresh));
+          replace(std::move(Updated));
         }
         m_Timer.start(m_HasRead ? m_Interval : FirstReadInterval,
                       [this] { read(); });
@@ -60,9 +60,9 @@
     replace(std::move(FromPeer));
 }
 
-void WorkspaceDirectory::replace(std::vector<Workspace> Fresh) {
-  const bool Changed = Fresh != m_Workspaces;
-  m_Workspaces = std::move(Fresh);
+void WorkspaceDirectory::replace(std::vector<Workspace> Updated) {
+  const bool Changed = Updated != m_Workspaces;
+  m_Workspaces = std::move(Updated);
   if (Changed && m_Changed)
     m_Changed();
 }
@@ -71,8 +71,8 @@
 WorkspaceDirectory::operatorWith(const std::string &Key) const {
   const std::string Hash = sha256Hex(Key);
   const auto Found = std::find_if(
-      m_Workspaces.begin(), m_Workspaces.end(), [&](const Workspace &Each) {
-        return Each.m_Operator && Each.m_KeyHash == Hash;
+      m_Workspaces.begin(), m_Workspaces.end(), [&](const Workspace &Info) {
+        return Info.m_Operator && Info.m_KeyHash == Hash;
       });
   return Found == m_Workspaces.end() ? nullptr : &*Found;
 }
--- a/src/dispatcher/workspace_directory.h
+++ b/src/dispatcher/workspace_directory.h
@@ -37,7 +37,7 @@
 
 private:
   void read();
-  void replace(std::vector<Workspace> Fresh);
+  void replace(std::vector<Workspace> Updated);
 
   platform::TableService &m_Store;     ///< Outlives this object.
   Duration m_Interval;                 ///< Between readings, > 0.
--- a/tests/unit/attachment_test.cpp
+++ b/tests/unit/attachment_test.cpp
@@ -42,10 +42,10 @@
 
   /// Links the entry \p Link, which then asks for attachments.
   void attach(std::uint64_t Link) {
-    link::Peer Who;
-    Who.m_Role = wire::Role::Entry;
-    Who.m_Name = "crowstep-" + std::to_string(Link);
-    m_Attached.linkUp(link::LinkId(Link), Who);
+    link::Peer Peer;
+    Peer.m_Role = wire::Role::Entry;
+    Peer.m_Name = "crowstep-" + std::to_string(Link);
+    m_Attached.linkUp(link::LinkId(Link), Peer);
     acknowledge(Link, 0, 0);
   }
 
@@ -62,7 +62,7 @@
                          *wire::GetFrame(Builder.GetBufferPointer()));
   }
 
-  std::uint64_t held() const {
+  std::uint64_t lowestHeldVersion() const {
     return m_Attached.heldByAll(TableVersion(99)).value();
   }
 };
@@ -73,12 +73,12 @@
 // must neither be told everything twice a second nor hold up a change.
 BOOST_AUTO_TEST_CASE(EntryThatDidNotAskIsNotAttached) {
   Bench Test;
-  link::Peer Who;
-  Who.m_Role = wire::Role::Entry;
-  Test.m_Attached.linkUp(link::LinkId(1), Who);
+  link::Peer Peer;
+  Peer.m_Role = wire::Role::Entry;
+  Test.m_Attached.linkUp(link::LinkId(1), Peer);
   Test.m_Timers.advance(600ms);
   BOOST_TEST(Test.m_Links.m_Out.empty());
-  BOOST_TEST(Test.held() == 99U);
+  BOOST_TEST(Test.lowestHeldVersion() == 99U);
 }
 
 BOOST_AUTO_TEST_CASE(TheSlowestEntryCounts) {
@@ -87,9 +87,9 @@
   Test.attach(2);
   Test.acknowledge(1, 1, 5);
   Test.acknowledge(2, 2, 4);
-  BOOST_TEST(Test.held() == 4U);
+  BOOST_TEST(Test.lowestHeldVersion() == 4U);
   Test.acknowledge(2, 3, 5);
-  BOOST_TEST(Test.held() == 5U);
+  BOOST_TEST(Test.lowestHeldVersion() == 5U);
 }
 
 // An entry is frozen while the operator changes the table. The change may be
@@ -101,9 +101,9 @@
   Test.attach(1);
   Test.acknowledge(1, 1, 4);
   Test.m_Timers.advance(EntryRightToServe - 100ms);
-  BOOST_TEST(Test.held() == 4U);
+  BOOST_TEST(Test.lowestHeldVersion() == 4U);
   Test.m_Timers.advance(200ms);
-  BOOST_TEST(Test.held() == 99U);
+  BOOST_TEST(Test.lowestHeldVersion() == 99U);
 }
 
 // A cut link does not end an entry's right to serve at once: until its span is
@@ -115,9 +115,9 @@
   Test.m_Timers.advance(1s);
   Test.m_Attached.linkDown(link::LinkId(1));
   Test.m_Timers.advance(EntryRightToServe - 1100ms);
-  BOOST_TEST(Test.held() == 4U);
+  BOOST_TEST(Test.lowestHeldVersion() == 4U);
   Test.m_Timers.advance(200ms);
-  BOOST_TEST(Test.held() == 99U);
+  BOOST_TEST(Test.lowestHeldVersion() == 99U);
 }
 
 // The entry's right runs from the sending of the acknowledgement that comes
