--- a/src/ctl/admin_client.cpp
+++ b/src/ctl/admin_client.cpp
@@ -1,4 +1,4 @@
-/// Blocking calls over libsoup.
+/// Makes blocking calls with libsoup.
 #include "ctl/admin_client.h"
 
 #include <libsoup/soup.h>
--- a/src/ctl/admin_client.h
+++ b/src/ctl/admin_client.h
@@ -1,4 +1,4 @@
-/// Calls of the operators' command to the administration API.
+/// HTTP client of the administration API, for the operators' command.
 #ifndef CROWSTEP_CTL_ADMIN_CLIENT_H
 #define CROWSTEP_CTL_ADMIN_CLIENT_H
 
@@ -10,7 +10,7 @@
 
 namespace crowstep::ctl {
 
-/// The administration API can't be reached.
+/// The administration API can't be reached, or its answer is incomplete.
 class AdminUnreachable : public Error {
 public:
   AdminUnreachable(const Address &Api, const std::string &Reason)
@@ -21,18 +21,18 @@
 struct AdminAnswer {
   unsigned m_Status = 0;      ///< HTTP status.
   std::string m_Body;         ///< JSON, or CSV of the table.
-  std::string m_TableVersion; ///< Of the table, where it is one.
+  std::string m_TableVersion; ///< Of the table; empty in other answers.
 };
 
-/// One call.
+/// One call to the administration API.
 struct AdminCall {
   std::string m_Method;  ///< HTTP method.
-  std::string m_Path;    ///< Path of the API.
-  std::string m_Body;    ///< CSV, or empty.
+  std::string m_Path;    ///< For example "/v1/table".
+  std::string m_Body;    ///< CSV or JSON, or empty.
   std::string m_Version; ///< For If-Match, or empty.
 };
 
-/// Makes calls with an operator's key, one after the other.
+/// Makes blocking calls with an operator's key.
 class AdminClient {
 public:
   AdminClient(const Address &Api, std::string Key);
--- a/src/ctl/ctl_command.cpp
+++ b/src/ctl/ctl_command.cpp
@@ -1,4 +1,4 @@
-/// From words to calls.
+/// Translates operators' commands to calls.
 #include "ctl/ctl_command.h"
 
 #include <fstream>
--- a/src/ctl/ctl_command.h
+++ b/src/ctl/ctl_command.h
@@ -1,4 +1,4 @@
-/// The operators' commands as calls to the administration API.
+/// Translates operators' commands to calls of the administration API.
 #ifndef CROWSTEP_CTL_CTL_COMMAND_H
 #define CROWSTEP_CTL_CTL_COMMAND_H
 
@@ -9,7 +9,7 @@
 
 namespace crowstep::ctl {
 
-/// The words of a command make no sense.
+/// A command is unknown or its arguments are invalid.
 class CommandError : public Error {
 public:
   using Error::Error;
@@ -21,7 +21,7 @@
   explicit FileError(const std::string &Path) : Error("can't read " + Path) {}
 };
 
-/// Returns the text of a file. \throws FileError.
+/// Returns the contents of a file. \throws FileError.
 std::string readFile(const std::string &Path);
 
 /// Returns the call for a command and its arguments, such as {"table",
--- a/src/ctl/explain.cpp
+++ b/src/ctl/explain.cpp
@@ -1,4 +1,4 @@
-/// One request's story from saved logs.
+/// Parses saved logs and selects the lines about one request.
 #include "ctl/explain.h"
 
 #include <algorithm>
@@ -30,7 +30,7 @@
   for (const std::string &Log : Logs) {
     std::istringstream Lines(Log);
     for (std::string Text; std::getline(Lines, Text);) {
-      // Collectors put their own words before a line.
+      // Log collectors put a prefix before each line.
       const std::size_t Begin = Text.find('{');
       if (Begin == std::string::npos)
         continue;
--- a/src/ctl/explain.h
+++ b/src/ctl/explain.h
@@ -1,4 +1,4 @@
-/// One request's story from the saved logs of several instances.
+/// Extracts one request's log lines from saved logs of several instances.
 #ifndef CROWSTEP_CTL_EXPLAIN_H
 #define CROWSTEP_CTL_EXPLAIN_H
 
@@ -7,11 +7,11 @@
 
 namespace crowstep::ctl {
 
-/// Returns the lines of \p Logs that belong to the request, in the order of
-/// their times, each as "time name field=value ...", what was believed of the
-/// upstreams that it was sent to, and why its content was quarantined. Lines
-/// that are no JSON are passed over, so output of other programs in a log does
-/// no harm. Times are of the instances' own clocks.
+/// Returns the lines of \p Logs about the request, with those that name no
+/// request but an upstream that it was sent to or its content (which say why
+/// that was quarantined), sorted by time, each as "time name field=value ...".
+/// Lines that are not JSON objects are skipped, as logs may contain the output
+/// of other programs. Times are in milliseconds, by the instances' own clocks.
 std::string explain(const std::string &Request,
                     const std::vector<std::string> &Logs);
 
--- a/src/dispatcher/admin_api.cpp
+++ b/src/dispatcher/admin_api.cpp
@@ -51,7 +51,7 @@
   [[nodiscard]] SoupServerMessage *message() const { return m_Message; }
 
 private:
-  SoupServerMessage *m_Message; ///< A reference of its own.
+  SoupServerMessage *m_Message; ///< Holds a reference.
 };
 
 /// Answers an operator with the outcome of a change of the table.
--- a/src/dispatcher/admin_api.h
+++ b/src/dispatcher/admin_api.h
@@ -1,15 +1,20 @@
 /// The operators' administration API over HTTP.
 ///
-/// GET  /v1/table               the table as CSV; Crowstep-Table-Version
-/// POST /v1/table/check         CSV in; what it would alter, nothing done
+/// GET  /v1/table               the table as CSV; its version is in the header
+///                              Crowstep-Table-Version
+/// POST /v1/table/check         CSV in; answers what it would change, changes
+///                              nothing
 /// PUT  /v1/table               CSV in, If-Match: the version that was read;
-///                              200 accepted, 202 pending, 409 conflict
+///                              200 accepted, 202 pending, 409 conflict, 503
+///                              unavailable
 /// GET  /v1/table/history       the last changes, newest first
 /// GET  /v1/status              instances, pools, upstreams
 /// PUT, DELETE /v1/drains/upstream/NAME, /v1/drains/instance/NAME
-/// POST /v1/orders/NAME         {"order", "name"} for an engine, given under a
-///                              lease with a fencing number
-/// GET  /healthz, /metrics      without a key
+///                              starts or ends a drain
+/// POST /v1/orders/NAME         {"order", "name"} for an engine, sent under a
+///                              lease with its fencing number
+/// GET  /healthz, /metrics      without a key; /healthz is 200 while this
+///                              instance has the right to serve, else 503
 /// All others need Authorization: Bearer with an operator's key.
 #ifndef CROWSTEP_DISPATCHER_ADMIN_API_H
 #define CROWSTEP_DISPATCHER_ADMIN_API_H
@@ -27,7 +32,7 @@
 
 namespace crowstep::dispatcher {
 
-/// What the API shows and changes; all outlive it.
+/// The components that the API reads and changes; all outlive it.
 struct AdminParts {
   contract::TableKeeper &m_Table;
   membership::Membership &m_Fleet;
@@ -59,9 +64,9 @@
   void giveOrder(SoupServerMessage *Message, const std::string &Upstream,
                  const Workspace &Operator);
 
-  AdminParts m_Parts;  ///< See above.
-  Counter &m_Refused;  ///< Calls without a valid operator's key.
-  HttpServer m_Server; ///< Listens.
+  AdminParts m_Parts;  ///< Outlive this object.
+  Counter &m_Refused;  ///< Without a valid operator's key.
+  HttpServer m_Server; ///< Calls handle() for each request.
 };
 
 } // namespace crowstep::dispatcher
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -1,4 +1,4 @@
-/// The dispatcher daemon's parts tied together.
+/// Connects the components of the dispatcher daemon.
 #include "dispatcher/dispatcher.h"
 
 #include "core/log.h"
@@ -98,7 +98,7 @@
   m_Workspaces.onChange([this] { m_Entries.workspacesChanged(); });
   m_Table.onChange([this] {
     m_Pools.tableChanged(m_Table.table());
-    // With no entry attached nobody will acknowledge: say so at once.
+    // Without an attached entry no acknowledgement comes to report the version.
     m_Table.entriesHold(m_Entries.heldByAll(m_Table.table().m_Version));
   });
   m_Entries.onHeld([this](TableVersion Held) {
@@ -129,8 +129,8 @@
 
 void Dispatcher::stop(std::function<void()> Done) {
   m_Stopping = true;
-  // Pools move while this process still listens, so that entries are told who
-  // owns them now instead of finding a closed link.
+  // The pools get new owners while the links are still up, so that entries are
+  // notified of them instead of finding a closed link.
   m_Fleet.leave();
   m_Pools.release();
   m_StopTimer.start(StopFlushTime, std::move(Done));
--- a/src/dispatcher/dispatcher.h
+++ b/src/dispatcher/dispatcher.h
@@ -1,8 +1,9 @@
-/// The dispatcher daemon: control of one instance.
+/// The dispatcher daemon: the control plane of one instance.
 ///
-/// It takes part in the membership, keeps the table in force, decides for the
-/// pools that it owns, tells its attached entries what they may do, and serves
-/// operators. Requests and answers of callers never pass through it.
+/// It takes part in the membership, keeps the table in force, places the
+/// requests of the pools that it owns, sends its attached entries their right
+/// to serve and the lists that they need, and serves operators. Requests and
+/// answers of callers never pass through it.
 #ifndef CROWSTEP_DISPATCHER_DISPATCHER_H
 #define CROWSTEP_DISPATCHER_DISPATCHER_H
 
@@ -32,29 +33,31 @@
 
   AttachmentSource attachmentSource();
   void connectParts();
+  /// Sends the upstreams and workspaces known here to a dispatcher, for the
+  /// case that it can't read the platform itself.
   void tellKnowledge(link::LinkId Link);
   void learn(const wire::Knowledge &Received);
   void watchRight();
 
-  DispatcherSettings m_Settings;       ///< As read.
-  LoopClock m_Clock;                   ///< Of this process.
-  LoopScheduler m_Timers;              ///< Of this process.
-  Metrics m_Stats;                     ///< Of this process.
+  DispatcherSettings m_Settings; ///< As read at start.
+  LoopClock m_Clock;
+  LoopScheduler m_Timers;
+  Metrics m_Stats;
   HttpClient m_Http;                   ///< To the platform and upstreams.
   platform::PlatformClient m_Platform; ///< Table service, instance list.
   link::TcpLinks m_Links;              ///< To dispatchers and entries.
   membership::Membership m_Fleet;      ///< The dispatchers.
   contract::TableKeeper m_Table;       ///< The table in force.
   UpstreamDirectory m_Upstreams;       ///< Engines and plain services.
-  WorkspaceDirectory m_Workspaces;     ///< Customers.
-  PoolSet m_Pools;                     ///< Owned here.
-  EntryAttachments m_Entries;          ///< Attached here.
-  claim::ClaimHome m_Claims;           ///< Of the keys whose home this is.
-  UpstreamOrders m_Orders;             ///< Of operators.
-  AdminApi m_Admin;                    ///< For operators.
-  Timer m_RightTimer;                  ///< For the next look at the right.
-  Timer m_StopTimer;                   ///< For the goodbyes to go out.
-  bool m_Serves = false;               ///< Right to serve, as last seen.
+  WorkspaceDirectory m_Workspaces;     ///< Customers and key hashes.
+  PoolSet m_Pools;                     ///< Owned by this dispatcher.
+  EntryAttachments m_Entries;          ///< To attached entries.
+  claim::ClaimHome m_Claims;           ///< For keys whose home this is.
+  UpstreamOrders m_Orders;             ///< From operators to engines.
+  AdminApi m_Admin;                    ///< Administration API.
+  Timer m_RightTimer;                  ///< For the next check of the right.
+  Timer m_StopTimer;                   ///< Until the last frames are out.
+  bool m_Serves = false;               ///< Right to serve, as last logged.
   bool m_Stopping = false;             ///< After stop().
 };
 
--- a/src/dispatcher/dispatcher_settings.cpp
+++ b/src/dispatcher/dispatcher_settings.cpp
@@ -1,4 +1,4 @@
-/// Reading of the dispatcher's settings.
+/// Reads the dispatcher's settings.
 #include "dispatcher/dispatcher_settings.h"
 
 #include "attachment_type.h"
--- a/src/dispatcher/dispatcher_settings.h
+++ b/src/dispatcher/dispatcher_settings.h
@@ -14,18 +14,18 @@
 
 struct DispatcherSettings {
   link::LinkConfig m_Link;                   ///< Own name, zone, address.
-  Address m_Admin;                           ///< Administration API.
-  std::vector<Address> m_Seeds;              ///< Other dispatchers, hints.
+  Address m_Admin;                           ///< Of the administration API.
+  std::vector<Address> m_Seeds;              ///< Of other dispatchers, hints.
   Address m_Platform;                        ///< The platform's server.
   Duration m_PlatformTimeout{};              ///< Of each call, > 0.
-  Duration m_ListInterval{};                 ///< Between reads of the list.
-  Duration m_LoadInterval{};                 ///< Between load reports.
-  membership::MembershipConfig m_Membership; ///< How silence is noticed.
-  contract::TableKeeperConfig m_Table;       ///< How the table spreads.
-  decision::DeciderConfig m_Policy;          ///< For every pool owned.
+  Duration m_ListInterval{};                 ///< Between list readings, > 0.
+  Duration m_LoadInterval{};                 ///< Between load polls, > 0.
+  membership::MembershipConfig m_Membership; ///< Failure detection.
+  contract::TableKeeperConfig m_Table;       ///< Table protocol.
+  decision::DeciderConfig m_Policy;          ///< For each pool owned.
 };
 
-/// Reads the settings of a dispatcher. \throws SettingError.
+/// Reads and checks the settings of a dispatcher. \throws SettingError.
 DispatcherSettings readDispatcherSettings(Settings &File);
 
 } // namespace crowstep::dispatcher
--- a/src/dispatcher/entry_attachments.cpp
+++ b/src/dispatcher/entry_attachments.cpp
@@ -1,4 +1,4 @@
-/// Attachments to entries and their acknowledgements.
+/// Sends attachments to entries and evaluates their acknowledgements.
 #include "dispatcher/entry_attachments.h"
 
 #include "core/log.h"
@@ -99,7 +99,7 @@
     return Closed.m_ServesUntil < Now;
   });
   sendAll();
-  // An entry that fell silent may have been the last one to wait for.
+  // The right of the last entry with an older version may have expired.
   if (m_Held)
     m_Held(heldByAll(TableVersion(UINT64_MAX)));
   m_Timer.start(AttachmentInterval, [this] { tick(); });
--- a/src/dispatcher/entry_attachments.h
+++ b/src/dispatcher/entry_attachments.h
@@ -1,8 +1,11 @@
-/// The entries attached to this dispatcher: what they are told, what they hold.
+/// The entries attached to this dispatcher: what is sent to them, and which
+/// table version they hold.
 ///
-/// An attached entry hears every half second what it may do; its right to
-/// serve runs from its own acknowledgements. A change of the table counts as
-/// in force here only when every entry holds it or has lost its right.
+/// An attached entry gets an attachment every 500 ms (AttachmentInterval),
+/// which says whether the instance has the right to serve and echoes the
+/// entry's last acknowledgement. The entry's own right runs from the sending of
+/// that acknowledgement. A change of the table counts as in force here only
+/// when every entry holds it or has lost its right to serve.
 #ifndef CROWSTEP_DISPATCHER_ENTRY_ATTACHMENTS_H
 #define CROWSTEP_DISPATCHER_ENTRY_ATTACHMENTS_H
 
@@ -19,7 +22,7 @@
 
 namespace crowstep::dispatcher {
 
-/// What the attachments are made from; the daemon supplies it.
+/// Supplies the contents of attachments.
 struct AttachmentSource {
   std::function<bool()> m_RightToServe; ///< Of this instance.
   std::function<bool()> m_Draining;     ///< The instance takes no new work.
@@ -33,7 +36,7 @@
   EntryAttachments(const Clock &Time, Scheduler &Timers, link::Links &Wire,
                    AttachmentSource Source);
 
-  /// Calls \p Job whenever the version that all entries hold may have grown.
+  /// Calls \p Job whenever the lowest version held may have changed.
   void onHeld(std::function<void(TableVersion)> Job) {
     m_Held = std::move(Job);
   }
@@ -46,14 +49,14 @@
   void linkFrame(link::LinkId Link, const wire::Frame &Frame);
   void linkDown(link::LinkId Link);
 
-  /// Marks a part as changed: it goes out whole with the next attachment,
-  /// which is sent at once.
+  /// Sends each attached entry an attachment with the whole changed list at
+  /// once. Lists that have not changed are left out of attachments.
   void membersChanged();
   void upstreamsChanged();
   void workspacesChanged();
 
-  /// Returns the lowest version that an entry which may still serve holds, or
-  /// \p Highest where there is no such entry.
+  /// Returns the lowest table version held by an entry that may still serve,
+  /// at most \p Highest; \p Highest if there is no such entry.
   [[nodiscard]] TableVersion heldByAll(TableVersion Highest) const;
 
   [[nodiscard]] std::size_t count() const { return m_Entries.size(); }
@@ -61,16 +64,16 @@
 private:
   struct Entry {
     std::uint64_t m_Acked = 0;    ///< Highest sequence acknowledged.
-    TimePoint m_AckedAt;          ///< When that acknowledgement came.
-    TableVersion m_Version;       ///< That it has in force.
+    TimePoint m_AckedAt;          ///< When the last one was received.
+    TableVersion m_Version;       ///< Highest version acknowledged.
     bool m_SendMembers = true;    ///< Not yet sent since the last change.
     bool m_SendUpstreams = true;  ///< As above.
     bool m_SendWorkspaces = true; ///< As above.
   };
-  /// An entry whose link closed may serve until its right has lapsed.
+  /// An entry whose link closed may serve until its right has expired.
   struct Detached {
     TimePoint m_ServesUntil; ///< At the latest.
-    TableVersion m_Version;  ///< That it held.
+    TableVersion m_Version;  ///< Highest version acknowledged.
   };
 
   void attach(link::LinkId Link);
@@ -83,12 +86,12 @@
 
   const Clock &m_Clock;                        ///< Outlives this object.
   link::Links &m_Links;                        ///< Outlives this object.
-  AttachmentSource m_Source;                   ///< All set.
+  AttachmentSource m_Source;                   ///< No function is empty.
   Timer m_Timer;                               ///< For the next attachments.
   std::uint64_t m_Sequence = 0;                ///< Of the last attachment.
-  std::map<link::LinkId, std::string> m_Names; ///< Entries with links, by name.
+  std::map<link::LinkId, std::string> m_Names; ///< Of entries with links.
   std::map<link::LinkId, Entry> m_Entries;     ///< Attached now.
-  std::vector<Detached> m_Detached;            ///< May still serve.
+  std::vector<Detached> m_Detached;            ///< Kept while they may serve.
   std::function<void(TableVersion)> m_Held;    ///< May be empty.
 };
 
--- a/src/dispatcher/load_monitor.cpp
+++ b/src/dispatcher/load_monitor.cpp
@@ -1,4 +1,4 @@
-/// Load reports and cache events over HTTP.
+/// Reads load reports and cache events over HTTP.
 #include "dispatcher/load_monitor.h"
 
 #include <nlohmann/json.hpp>
@@ -8,15 +8,15 @@
 
 using nlohmann::json;
 
-/// One upstream that is asked again and again. A question on its way keeps it
-/// alive after the monitor has dropped it; m_Active is then false.
+/// One upstream that is polled. A call in flight keeps the object alive after
+/// the monitor has dropped it; m_Active is then false.
 struct LoadMonitor::Watched {
   Watched(Scheduler &Timers, Upstream Info)
       : m_Upstream(std::move(Info)), m_Timer(Timers) {}
 
-  Upstream m_Upstream;  ///< Whom.
-  Timer m_Timer;        ///< For the next question.
-  bool m_Active = true; ///< False once it is dropped.
+  Upstream m_Upstream;  ///< As first listed.
+  Timer m_Timer;        ///< For the next poll.
+  bool m_Active = true; ///< False once dropped by the monitor.
 };
 
 namespace {
@@ -93,7 +93,7 @@
       for (const json &CacheEvent : Body.value("cache_events", json::array()))
         m_Report(parseCacheEvent(Target->m_Upstream.m_Id, CacheEvent));
     } catch (const std::exception &) {
-      // A report is a hint: one that can't be read is as good as a late one.
+      // Reports are only hints: an unreadable one counts as a late one.
     }
   }
   const std::weak_ptr<Watched> Weak = Target;
--- a/src/dispatcher/load_monitor.h
+++ b/src/dispatcher/load_monitor.h
@@ -1,7 +1,7 @@
-/// Asks the upstreams of the pools owned here for their load and cache events.
+/// Polls the upstreams of the pools owned here for load and cache events.
 ///
-/// Only a pool's owner asks, so an upstream answers one process however many
-/// instances there are.
+/// Only a pool's owner polls, so the load of polling on an upstream does not
+/// depend on the number of instances.
 #ifndef CROWSTEP_DISPATCHER_LOAD_MONITOR_H
 #define CROWSTEP_DISPATCHER_LOAD_MONITOR_H
 
@@ -23,7 +23,7 @@
   LoadMonitor(HttpCaller &Http, Scheduler &Timers, Duration Interval,
               Report OnEvent);
 
-  /// Asks these upstreams from now on, and no others.
+  /// Polls these upstreams from now on, and no others.
   void watch(const std::vector<Upstream> &Upstreams);
 
 private:
@@ -33,9 +33,9 @@
 
   HttpCaller &m_Http;  ///< Outlives this object.
   Scheduler &m_Timers; ///< Outlives this object.
-  Duration m_Interval; ///< Between two questions to one upstream.
-  Report m_Report;     ///< Hears of each report and cache event.
-  std::map<UpstreamId, std::shared_ptr<Watched>> m_Watched; ///< Asked now.
+  Duration m_Interval; ///< From an answer to the next poll, > 0.
+  Report m_Report;     ///< Gets each load report and cache event.
+  std::map<UpstreamId, std::shared_ptr<Watched>> m_Watched; ///< Polled now.
 };
 
 } // namespace crowstep::dispatcher
--- a/src/dispatcher/pool_runner.cpp
+++ b/src/dispatcher/pool_runner.cpp
@@ -1,4 +1,4 @@
-/// The deciding library between links.
+/// Translates between frames and the Decider's events and actions.
 #include "dispatcher/pool_runner.h"
 
 #include "core/log.h"
--- a/src/dispatcher/pool_runner.h
+++ b/src/dispatcher/pool_runner.h
@@ -1,4 +1,4 @@
-/// One pool that this dispatcher owns: the deciding library between links.
+/// Runs the Decider of one pool that this dispatcher owns.
 #ifndef CROWSTEP_DISPATCHER_POOL_RUNNER_H
 #define CROWSTEP_DISPATCHER_POOL_RUNNER_H
 
@@ -15,16 +15,16 @@
 
 /// An entry that holds requests of the pool.
 struct EntrySession {
-  InstanceId m_Id;         ///< Of this start of the entry; see sessionOf().
+  InstanceId m_Id;         ///< See sessionIdOf().
   AvailabilityZone m_Zone; ///< Where it is.
 };
 
-/// Returns the id of one start of an entry. Request numbers begin anew with
-/// each start, so the instance's own id would let a restarted entry's requests
-/// be taken for those of its last start.
+/// Returns the id of one incarnation of an entry. Request numbers restart with
+/// each incarnation, so under the instance's id the requests of a restarted
+/// entry would be taken for those of its previous incarnation.
 InstanceId sessionOf(const link::Peer &Entry);
 
-/// Drives one Decider: frames in, frames out, ticks when they are due.
+/// Passes entries' frames and due ticks to one Decider and sends its actions.
 class PoolRunner {
 public:
   PoolRunner(PoolId Pool, std::string Service,
@@ -38,7 +38,7 @@
   void frame(link::LinkId Link, const EntrySession &Sender,
              const wire::Frame &Frame);
 
-  /// Drops the requests of an entry that has gone.
+  /// Drops the requests of an entry that counts as dead.
   void entryLost(InstanceId Session);
 
   [[nodiscard]] PoolId pool() const { return m_Pool; }
@@ -66,14 +66,14 @@
   wire::FrameT *outboxOf(const decision::RequestId &Request);
   void armTimer();
 
-  PoolId m_Pool;                                ///< Which pool.
-  std::string m_Service;                        ///< Its service's name.
+  PoolId m_Pool;                                ///< Of the service below.
+  std::string m_Service;                        ///< Name of the service.
   const Clock &m_Clock;                         ///< Outlives this object.
   link::Links &m_Links;                         ///< Outlives this object.
   Timer m_Timer;                                ///< For the next Tick.
-  decision::Decider m_Decider;                  ///< Decides.
-  std::vector<decision::Action> m_Actions;      ///< Of the event at hand.
-  std::map<InstanceId, link::LinkId> m_Entries; ///< Present link of each.
+  decision::Decider m_Decider;                  ///< Places the pool's requests.
+  std::vector<decision::Action> m_Actions;      ///< Of the current event.
+  std::map<InstanceId, link::LinkId> m_Entries; ///< Newest link of each.
   std::map<UpstreamId, Upstream> m_Upstreams;   ///< For addresses in grants.
   std::map<UpstreamId, std::string> m_Ejected;  ///< Names of the ejected.
 };
--- a/src/dispatcher/pool_set.cpp
+++ b/src/dispatcher/pool_set.cpp
@@ -1,4 +1,4 @@
-/// Which pools are owned here, and what their entries send.
+/// Tracks pool ownership and passes entries' frames to the pools.
 #include "dispatcher/pool_set.h"
 
 #include "core/log.h"
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// A cut link comes back within this, and the entry sends everything again;
-/// after it the entry is taken for dead and its slots are free. Its upstream
-/// connections die with it, so the engines have stopped by then.
+/// Time for an entry whose link closed to reconnect and send its requests
+/// again. After it the entry counts as dead and its slots as free: its upstream
+/// connections close with it, so the engines have stopped by then.
 constexpr Duration EntryGrace = std::chrono::seconds(1);
 
 } // namespace
--- a/src/dispatcher/pool_set.h
+++ b/src/dispatcher/pool_set.h
@@ -1,7 +1,7 @@
 /// The pools that this dispatcher owns, and the entries that hold requests.
 ///
-/// Ownership follows from the membership: soft state that a new owner rebuilds
-/// from what entries send again.
+/// Ownership follows from the membership. The state of a pool is soft: a new
+/// owner rebuilds it from the requests that entries send again.
 #ifndef CROWSTEP_DISPATCHER_POOL_SET_H
 #define CROWSTEP_DISPATCHER_POOL_SET_H
 
@@ -26,16 +26,16 @@
   void linkFrame(link::LinkId Link, const wire::Frame &Frame);
   void linkDown(link::LinkId Link, const link::Peer &Peer);
 
-  /// Takes over and gives up pools as the membership says.
+  /// Acquires and releases pools according to the membership.
   void membersChanged(const std::vector<membership::Member> &Members);
 
-  /// Gives the pools their present upstreams.
+  /// Acquires the pools of new services; gives all pools their upstreams.
   void upstreamsChanged();
 
-  /// Gives the pools the table in force.
+  /// Passes the table in force to the pools.
   void tableChanged(const ContractTable &Table);
 
-  /// Gives up all pools; entries bid elsewhere.
+  /// Releases all pools for good; entries bid to the new owners.
   void release();
 
   [[nodiscard]] const std::map<PoolId, std::unique_ptr<PoolRunner>> &
@@ -45,13 +45,14 @@
 
 private:
   struct Session {
-    EntrySession m_Entry;          ///< Who.
+    EntrySession m_Entry;          ///< Incarnation and zone.
     link::LinkId m_Link;           ///< Its newest link.
     std::unique_ptr<Timer> m_Gone; ///< Runs while it has no link.
   };
 
   void settle();
   void acquire(PoolId Pool, const std::string &Service);
+  /// Answers bids for pools that are not owned here with not_owner.
   void refuseForeignBids(link::LinkId Link, const wire::Frame &Frame);
   void lost(InstanceId Session);
   void watchLoad();
@@ -63,12 +64,12 @@
   link::Links &m_Links;                      ///< Outlives this object.
   const UpstreamDirectory &m_Directory;      ///< Outlives this object.
   LoadMonitor m_Loads;                       ///< Of the owned pools' upstreams.
-  bool m_Released = false;                   ///< Owns nothing any more.
-  ContractTable m_Table;                     ///< In force.
-  std::vector<membership::Member> m_Members; ///< As last told.
+  bool m_Released = false;                   ///< After releaseAll().
+  ContractTable m_Table;                     ///< In force; version 0: none yet.
+  std::vector<membership::Member> m_Members; ///< As last received.
   std::map<PoolId, std::unique_ptr<PoolRunner>> m_Pools; ///< Owned now.
-  std::map<InstanceId, Session> m_Sessions; ///< Entries with requests here.
-  std::map<link::LinkId, InstanceId> m_SessionOfLink; ///< Entries' links.
+  std::map<InstanceId, Session> m_Sessions; ///< Linked or in grace time.
+  std::map<link::LinkId, InstanceId> m_SessionOfLink; ///< Of entries' links.
 };
 
 } // namespace crowstep::dispatcher
--- a/src/dispatcher/upstream_directory.cpp
+++ b/src/dispatcher/upstream_directory.cpp
@@ -1,4 +1,4 @@
-/// Readings of the platform's instance list and of the drains.
+/// Reads the platform's instance list and the drains.
 #include "dispatcher/upstream_directory.h"
 
 #include <algorithm>
--- a/src/dispatcher/upstream_directory.h
+++ b/src/dispatcher/upstream_directory.h
@@ -1,7 +1,7 @@
-/// What this dispatcher knows of upstreams: the platform's list and drains.
+/// The upstreams and instances in the platform's list, with their drains.
 ///
-/// The list lags and may be down; the last one read stays in use. A drain is a
-/// row in the table service, so that it holds on every instance.
+/// The list lags and may be unavailable; the last one read stays in use. A
+/// drain is a row in the table service, so that it holds on every instance.
 #ifndef CROWSTEP_DISPATCHER_UPSTREAM_DIRECTORY_H
 #define CROWSTEP_DISPATCHER_UPSTREAM_DIRECTORY_H
 
@@ -17,21 +17,22 @@
 
 namespace crowstep::dispatcher {
 
-/// Reads the instance list and the drains again and again.
+/// Reads the instance list and the drains periodically.
 class UpstreamDirectory {
 public:
-  /// Reads every \p Interval, spread by \p Spread (0 to 1) so that instances
-  /// that start together don't read together.
+  /// The pause between readings is \p Interval. The first reading of the drains
+  /// is delayed by the share \p Offset (0 to 1) of it, so that instances that
+  /// start together don't read the drains together.
   UpstreamDirectory(Scheduler &Timers, platform::InstanceList &List,
                     platform::TableService &Store, Duration Interval,
                     double Offset);
 
   void start();
 
-  /// Takes what a peer has read, while nothing was read here yet.
+  /// Takes the upstreams that a peer has read, until the list is read here.
   void learn(std::vector<Upstream> FromPeer);
 
-  /// Calls \p Job after each reading that changed anything.
+  /// Calls \p Job after each reading that changed the upstreams.
   void onChange(std::function<void()> Job) { m_Changed = std::move(Job); }
 
   /// Calls \p Job with the names of the listed instances after each reading.
@@ -39,7 +40,7 @@
     m_Instances = std::move(Job);
   }
 
-  /// Returns all upstreams; the drained and leaving ones are marked leaving.
+  /// Returns all upstreams; those with a drain are marked as draining too.
   [[nodiscard]] const std::vector<Upstream> &upstreams() const {
     return m_Upstreams;
   }
@@ -51,16 +52,17 @@
   /// Returns the name of the service whose pool \p Pool is, if there is one.
   [[nodiscard]] std::optional<std::string> serviceOf(PoolId Pool) const;
 
-  /// Returns the pools of all services known.
+  /// Returns the pools of all services that have upstreams.
   [[nodiscard]] std::vector<PoolId> pools() const;
 
   /// Returns the upstream with this id, or null.
   [[nodiscard]] const Upstream *find(UpstreamId Id) const;
 
-  /// Returns the links of the instances listed, as hints for the membership.
+  /// Returns the link addresses of the listed instances, as hints for the
+  /// membership.
   [[nodiscard]] std::vector<Address> dispatcherHints() const;
 
-  /// Returns whether the instance \p Name is drained or listed as leaving.
+  /// Returns whether the instance \p Name has a drain or is listed as draining.
   [[nodiscard]] bool instanceDrained(const std::string &Name) const;
 
   /// Writes or deletes the drain of "upstream/NAME" or "instance/NAME". \p Done
@@ -78,13 +80,13 @@
   platform::InstanceList &m_List;      ///< Outlives this object.
   platform::TableService &m_Store;     ///< Outlives this object.
   Duration m_Interval;                 ///< Between readings, > 0.
-  Duration m_FirstDelay;               ///< Before the first drains are read.
+  Duration m_FirstDelay;               ///< Before the first reading of drains.
   Timer m_ListTimer;                   ///< For the next reading of the list.
   Timer m_DrainTimer;                  ///< For the next reading of drains.
-  bool m_HasRead = false;              ///< From the list itself.
-  platform::InstanceListing m_Listing; ///< As last read or learned.
-  std::map<std::string, platform::RowVersion> m_Drains; ///< Rows present.
-  std::vector<Upstream> m_Upstreams; ///< Listing and drains together.
+  bool m_HasRead = false;              ///< Read here, not from a peer.
+  platform::InstanceListing m_Listing; ///< As last read, here or by a peer.
+  std::map<std::string, platform::RowVersion> m_Drains; ///< By key.
+  std::vector<Upstream> m_Upstreams; ///< Listing with drains applied.
   std::function<void(const std::vector<std::string> &)>
       m_Instances;                 ///< May be empty.
   std::function<void()> m_Changed; ///< May be empty.
--- a/src/dispatcher/upstream_orders.cpp
+++ b/src/dispatcher/upstream_orders.cpp
@@ -1,4 +1,4 @@
-/// Orders to engines by service.
+/// Sends orders to engines, by service.
 #include "dispatcher/upstream_orders.h"
 
 namespace crowstep::dispatcher {
--- a/src/dispatcher/upstream_orders.h
+++ b/src/dispatcher/upstream_orders.h
@@ -1,4 +1,4 @@
-/// Operators' orders to engines: one lease a service, taken when needed.
+/// Operators' orders to engines: one lease for each service, taken on demand.
 #ifndef CROWSTEP_DISPATCHER_UPSTREAM_ORDERS_H
 #define CROWSTEP_DISPATCHER_UPSTREAM_ORDERS_H
 
@@ -12,26 +12,27 @@
 
 namespace crowstep::dispatcher {
 
-/// Returns the kind called \p Name ("load_model", "load_adapter",
-/// "unload_model", "set_role"), or nothing.
+/// Returns the kind named "load_model", "load_adapter", "unload_model" or
+/// "set_role", or nothing for another name.
 std::optional<lease::OrderKind> orderKindOf(const std::string &Name);
 
 class UpstreamOrders {
 public:
-  /// \p Holder must differ from that of every other process ever.
+  /// \p Holder must be unique to this incarnation of this process.
   UpstreamOrders(std::string Holder, const Clock &Time, Scheduler &Timers,
                  platform::TableService &Store, HttpCaller &Http,
                  Metrics &Stats, const UpstreamDirectory &Directory);
 
-  /// Gives an order under the lease of the upstream's service. Returns false,
-  /// and does nothing, where there is no such engine.
+  /// Sends an order under the lease of the upstream's service. Returns false,
+  /// and does nothing, if there is no such engine. \p Name is that of a model,
+  /// an adapter or a role.
   bool order(const std::string &UpstreamName, lease::OrderKind Kind,
              const std::string &Name, lease::EngineOrders::Done OnDone);
 
 private:
   lease::EngineOrders &ordersOf(const std::string &Service);
 
-  std::string m_Holder;                 ///< Of all leases taken here.
+  std::string m_Holder;                 ///< Of the leases taken here.
   const Clock &m_Clock;                 ///< Outlives this object.
   Scheduler &m_Timers;                  ///< Outlives this object.
   platform::TableService &m_Store;      ///< Outlives this object.
@@ -39,7 +40,7 @@
   Metrics &m_Stats;                     ///< Outlives this object.
   const UpstreamDirectory &m_Directory; ///< Outlives this object.
   std::map<std::string, std::unique_ptr<lease::EngineOrders>>
-      m_ByService; ///< Made with a service's first order.
+      m_ByService; ///< Created with the first order.
 };
 
 } // namespace crowstep::dispatcher
--- a/src/dispatcher/workspace_directory.cpp
+++ b/src/dispatcher/workspace_directory.cpp
@@ -1,4 +1,4 @@
-/// Readings of the workspaces' rows.
+/// Reads the workspaces' rows.
 #include "dispatcher/workspace_directory.h"
 
 #include "core/digest.h"
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Between readings until the first one succeeds: callers are refused as
-/// unknown until then.
+/// Between readings until the first one succeeds: until then callers are
+/// refused because their keys are unknown.
 constexpr Duration FirstReadInterval = std::chrono::milliseconds(500);
 
 /// Returns the workspace of a row, or nothing if the row is invalid. An invalid
--- a/src/dispatcher/workspace_directory.h
+++ b/src/dispatcher/workspace_directory.h
@@ -12,8 +12,8 @@
 
 namespace crowstep::dispatcher {
 
-/// Reads the workspaces again and again; the last reading stays in use while
-/// the table service is down.
+/// Reads the workspaces periodically; the last reading stays in use while the
+/// table service is unavailable.
 class WorkspaceDirectory {
 public:
   WorkspaceDirectory(Scheduler &Timers, platform::TableService &Store,
@@ -21,11 +21,12 @@
 
   void start() { read(); }
 
-  /// Takes what a peer has read, while nothing was read here yet: an instance
-  /// that starts while the table service is down must know its callers' keys.
+  /// Takes the workspaces that a peer has read, until the table is read here:
+  /// an instance that starts while the table service is unavailable must know
+  /// its callers' keys.
   void learn(std::vector<Workspace> FromPeer);
 
-  /// Calls \p Job after each reading that changed anything.
+  /// Calls \p Job after each reading that changed the workspaces.
   void onChange(std::function<void()> Job) { m_Changed = std::move(Job); }
 
   [[nodiscard]] const std::vector<Workspace> &workspaces() const {
@@ -42,8 +43,8 @@
   platform::TableService &m_Store;     ///< Outlives this object.
   Duration m_Interval;                 ///< Between readings, > 0.
   Timer m_Timer;                       ///< For the next reading.
-  bool m_HasRead = false;              ///< From the table service itself.
-  std::vector<Workspace> m_Workspaces; ///< As last read or learned.
+  bool m_HasRead = false;              ///< Read here, not from a peer.
+  std::vector<Workspace> m_Workspaces; ///< As last read, here or by a peer.
   std::function<void()> m_Changed;     ///< May be empty.
 };
 
--- a/tests/unit/admin_client_test.cpp
+++ b/tests/unit/admin_client_test.cpp
@@ -1,4 +1,4 @@
-/// The operators' command and answers that break off.
+/// The client of the administration API and incomplete answers.
 #define BOOST_TEST_MODULE admin_client
 #include "ctl/admin_client.h"
 #include "unit/broken_upstream.h"
@@ -20,8 +20,8 @@
 
 } // namespace
 
-/// Guards against half of a table that is taken for all of it: put back after a
-/// change, it would take the missing rows away.
+/// Guards against a truncated table that is taken for a complete one: written
+/// back after an edit, it would delete the missing rows.
 BOOST_AUTO_TEST_CASE(AnAnswerThatBreaksOffIsNone) {
   const std::string Ok = "HTTP/1.1 200 OK\r\n";
   BOOST_TEST(answerTo(Ok + "Content-Length: 4\r\n\r\nrows").m_Body == "rows");
--- a/tests/unit/attachment_test.cpp
+++ b/tests/unit/attachment_test.cpp
@@ -1,4 +1,4 @@
-/// Entries attached to a dispatcher: which table version they all hold.
+/// Attachments of entries: contents, and the lowest table version held.
 #define BOOST_TEST_MODULE attachment
 #include "dispatcher/entry_attachments.h"
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Links that keep what would be sent.
+/// Keeps the frames that would be sent.
 class FakeLinks final : public link::Links {
 public:
   void dial(const Address &) override {}
@@ -25,9 +25,9 @@
   ManualClock m_Clock;                       ///< Advanced with the timers.
   ManualScheduler m_Timers{m_Clock};         ///< Advanced by the test.
   FakeLinks m_Links;                         ///< Keeps frames.
-  std::vector<membership::Member> m_Members; ///< Told to entries.
-  std::vector<Upstream> m_Upstreams;         ///< Told to entries.
-  std::vector<Workspace> m_Workspaces;       ///< Told to entries.
+  std::vector<membership::Member> m_Members; ///< Sent to entries.
+  std::vector<Upstream> m_Upstreams;         ///< Sent to entries.
+  std::vector<Workspace> m_Workspaces;       ///< Sent to entries.
   EntryAttachments m_Attached{m_Clock, m_Timers, m_Links, source()};
 
   AttachmentSource source() {
@@ -40,7 +40,7 @@
     return Result;
   }
 
-  /// Links the entry \p Link, which then asks for attachments.
+  /// Connects an entry on \p Link, which then attaches itself.
   void attach(std::uint64_t Link) {
     link::Peer Peer;
     Peer.m_Role = wire::Role::Entry;
@@ -49,7 +49,7 @@
     acknowledge(Link, 0, 0);
   }
 
-  /// Lets the entry acknowledge \p Sequence, holding \p Version.
+  /// Delivers an acknowledgement of \p Sequence by an entry with \p Version.
   void acknowledge(std::uint64_t Link, std::uint64_t Sequence,
                    std::uint64_t Version) {
     wire::FrameT Frame;
@@ -69,8 +69,9 @@
 
 } // namespace
 
-// A claim home has links to every entry of the fleet. One that only claims here
-// must neither be told everything twice a second nor hold up a change.
+// A claim home has links to every entry of the fleet. An entry that only claims
+// here must neither be sent attachments twice a second nor delay a change of
+// the table.
 BOOST_AUTO_TEST_CASE(EntryThatDidNotAskIsNotAttached) {
   Bench Test;
   link::Peer Peer;
@@ -92,10 +93,10 @@
   BOOST_TEST(Test.lowestHeldVersion() == 5U);
 }
 
-// An entry is frozen while the operator changes the table. The change may be
-// called accepted only once the entry can no longer serve the old one, which is
-// that long after the last acknowledgement that it sent; then it must not hold
-// the operator up any longer.
+// An entry freezes while the operator changes the table. The change may be
+// accepted only once the entry can no longer serve under the old version, that
+// is EntryRightToServe after its last acknowledgement, and must then be delayed
+// no longer.
 BOOST_AUTO_TEST_CASE(SilentEntryCountsUntilItsRightHasLapsed) {
   Bench Test;
   Test.attach(1);
@@ -106,8 +107,8 @@
   BOOST_TEST(Test.lowestHeldVersion() == 99U);
 }
 
-// A cut link does not end an entry's right to serve at once: until its span is
-// over it may still serve what it last held.
+// A closed link does not end an entry's right to serve: until the right expires
+// the entry may still serve under the version that it held.
 BOOST_AUTO_TEST_CASE(DetachedEntryCountsUntilItsRightHasLapsed) {
   Bench Test;
   Test.attach(1);
@@ -120,8 +121,8 @@
   BOOST_TEST(Test.lowestHeldVersion() == 99U);
 }
 
-// The entry's right runs from the sending of the acknowledgement that comes
-// back, so every attachment must carry the last one received.
+// The entry's right to serve runs from the sending of the acknowledgement that
+// is echoed, so every attachment must echo the last one received.
 BOOST_AUTO_TEST_CASE(AttachmentsEchoTheLastAcknowledgement) {
   Bench Test;
   Test.attach(1);
@@ -132,8 +133,8 @@
   BOOST_TEST(Sent->acked == 7U);
 }
 
-// Two attachments in one loop iteration share a frame; the members of the
-// first must not be lost with it, or the entry never learns who owns its pool.
+// Two attachments in one loop iteration share a frame. If the second replaced
+// the members in the first, the entry would not learn who owns its pool.
 BOOST_AUTO_TEST_CASE(WholeListsSurviveAJoinedFrame) {
   Bench Test;
   Test.m_Members.push_back({InstanceId(1),
