--- a/src/ctl/admin_client.h
+++ b/src/ctl/admin_client.h
@@ -29,7 +29,7 @@
   std::string m_Method;  ///< HTTP method.
   std::string m_Path;    ///< For example "/v1/table".
   std::string m_Body;    ///< CSV or JSON, or empty.
-  std::string m_Version; ///< For If-Match, or empty.
+  std::string m_Version; ///< Table version, or empty.
 };
 
 /// Makes blocking calls with an operator's key.
