--- a/src/claim/claim_client.cpp
+++ b/src/claim/claim_client.cpp
@@ -34,8 +34,8 @@
 }
 
 ClaimClient::ClaimClient(const Clock &Time, Scheduler &Timers,
-                         link::Links &Wire, FindHome Find)
-    : m_Clock(Time), m_Links(Wire), m_FindHome(std::move(Find)),
+                         link::Links &Links, FindHome Find)
+    : m_Clock(Time), m_Links(Links), m_FindHome(std::move(Find)),
       m_Timer(Timers) {}
 
 void ClaimClient::claim(const ClaimKey &Key, std::uint64_t BodyHash,
@@ -81,49 +81,49 @@
 void ClaimClient::add(wire::ClaimRequestT Request, Duration Limit,
                       Done OnDone) {
   Request.id = ++m_LastId;
-  const auto Own = m_Held.find(Request.attempt);
+  const auto Held = m_HeldRows.find(Request.attempt);
   const bool IsRecord =
       Request.op == wire::ClaimOp::NotRun || Request.op == wire::ClaimOp::Ran;
-  if (IsRecord && Own != m_Held.end()) {
-    Request.version = Own->second.m_Version;
-    Request.body_hash = Own->second.m_BodyHash;
-    m_Held.erase(Own);
+  if (IsRecord && Held != m_HeldRows.end()) {
+    Request.version = Held->second.m_Version;
+    Request.body_hash = Held->second.m_BodyHash;
+    m_HeldRows.erase(Held);
   }
   const TimePoint Now = m_Clock.now();
-  Pending Fresh{std::move(Request), Now + Limit, Now, false, false,
-                std::move(OnDone)};
-  const auto Place = m_Pending.emplace(m_LastId, std::move(Fresh)).first;
-  send(Place->second);
+  PendingRequest NewRequest{std::move(Request), Now + Limit, Now, false, false,
+                            std::move(OnDone)};
+  const auto Entry = m_Pending.emplace(m_LastId, std::move(NewRequest)).first;
+  send(Entry->second);
   if (!m_Timer.running())
     m_Timer.start(TickInterval, [this] { tick(); });
 }
 
-void ClaimClient::send(Pending &Each) {
+void ClaimClient::send(PendingRequest &Request) {
   const std::optional<link::LinkId> Home =
-      m_FindHome(homeIndexOf(Each.m_Request.key));
-  Each.m_SendAgain = m_Clock.now() + (Home ? ReplyLimit : TickInterval);
+      m_FindHome(homeIndexOf(Request.m_Request.key));
+  Request.m_ResendAt = m_Clock.now() + (Home ? ReplyLimit : TickInterval);
   if (!Home)
     return;
-  Each.m_Sent = true;
+  Request.m_Sent = true;
   m_Links.outbox(*Home).claim_requests.push_back(
-      std::make_unique<wire::ClaimRequestT>(Each.m_Request));
+      std::make_unique<wire::ClaimRequestT>(Request.m_Request));
 }
 
 void ClaimClient::tick() {
   const TimePoint Now = m_Clock.now();
   for (auto Next = m_Pending.begin(); Next != m_Pending.end();) {
     const auto Found = Next++;
-    Pending &Each = Found->second;
-    if (Now >= Each.m_Limit) {
+    PendingRequest &Request = Found->second;
+    if (Now >= Request.m_Deadline) {
       // Sent and never answered: the home may still write it.
       const bool MayBeWritten =
-          Each.m_Uncertain || (Each.m_Sent && Now < Each.m_SendAgain);
+          Request.m_Uncertain || (Request.m_Sent && Now < Request.m_ResendAt);
       finish(Found,
              {MayBeWritten ? ClaimStatus::Uncertain : ClaimStatus::Unavailable,
               {}});
-    } else if (Now >= Each.m_SendAgain) {
-      Each.m_Uncertain = Each.m_Uncertain || Each.m_Sent;
-      send(Each);
+    } else if (Now >= Request.m_ResendAt) {
+      Request.m_Uncertain = Request.m_Uncertain || Request.m_Sent;
+      send(Request);
     }
   }
   if (!m_Pending.empty())
@@ -133,27 +133,27 @@
 void ClaimClient::linkFrame(const wire::Frame &Frame) {
   if (Frame.claim_replies() == nullptr)
     return;
-  for (const wire::ClaimReply *Each : *Frame.claim_replies())
-    replied(*Each);
+  for (const wire::ClaimReply *Reply : *Frame.claim_replies())
+    handleReply(*Reply);
 }
 
-void ClaimClient::replied(const wire::ClaimReply &Reply) {
+void ClaimClient::handleReply(const wire::ClaimReply &Reply) {
   const auto Found = m_Pending.find(Reply.id());
   if (Found == m_Pending.end())
     return;
-  Pending &Each = Found->second;
+  PendingRequest &Request = Found->second;
   ClaimOutcome Outcome;
   Outcome.m_Status = static_cast<ClaimStatus>(Reply.status());
-  const bool Retried = Outcome.m_Status == ClaimStatus::Unavailable ||
-                       Outcome.m_Status == ClaimStatus::Uncertain;
-  const bool IsRead = Each.m_Request.op == wire::ClaimOp::Read;
-  if (Retried && !IsRead) {
+  const bool ServiceDown = Outcome.m_Status == ClaimStatus::Unavailable ||
+                           Outcome.m_Status == ClaimStatus::Uncertain;
+  const bool IsRead = Request.m_Request.op == wire::ClaimOp::Read;
+  if (ServiceDown && !IsRead) {
     // The table service is down: the request waits while its target allows.
-    Each.m_Uncertain =
-        Each.m_Uncertain || Outcome.m_Status == ClaimStatus::Uncertain;
-    Each.m_Sent = false;
-    const bool IsClaim = Each.m_Request.op == wire::ClaimOp::Claim;
-    Each.m_SendAgain =
+    Request.m_Uncertain =
+        Request.m_Uncertain || Outcome.m_Status == ClaimStatus::Uncertain;
+    Request.m_Sent = false;
+    const bool IsClaim = Request.m_Request.op == wire::ClaimOp::Claim;
+    Request.m_ResendAt =
         m_Clock.now() + (IsClaim ? ClaimRetryInterval : RecordRetryInterval);
     return;
   }
@@ -163,25 +163,26 @@
     Outcome.m_Answer = {Reply.answer_status(), textOf(Reply.answer_type()),
                         textOf(Reply.answer())};
   if (Outcome.m_Status == ClaimStatus::Owned)
-    m_Held[Each.m_Request.attempt] = {Reply.version(),
-                                      Each.m_Request.body_hash};
+    m_HeldRows[Request.m_Request.attempt] = {Reply.version(),
+                                             Request.m_Request.body_hash};
   finish(Found, Outcome);
 }
 
-void ClaimClient::finish(std::map<std::uint64_t, Pending>::iterator Found,
-                         const ClaimOutcome &Outcome) {
-  const Pending Ended = std::move(Found->second);
+void ClaimClient::finish(
+    std::map<std::uint64_t, PendingRequest>::iterator Found,
+    const ClaimOutcome &Outcome) {
+  const PendingRequest Request = std::move(Found->second);
   m_Pending.erase(Found);
   // Asked more than once, a later copy may still claim the key for an attempt
   // that has ended: repetitions of the key would be told "in progress" until
   // the claim is forgotten. Giving it back at once prevents that.
-  const bool MayClaimLater = Ended.m_Request.op == wire::ClaimOp::Claim &&
-                             Outcome.m_Status != ClaimStatus::Owned &&
-                             Ended.m_Uncertain;
-  if (MayClaimLater)
-    recordNotRun(Ended.m_Request.key, Ended.m_Request.attempt,
+  const bool LateCopyMayClaim = Request.m_Request.op == wire::ClaimOp::Claim &&
+                                Outcome.m_Status != ClaimStatus::Owned &&
+                                Request.m_Uncertain;
+  if (LateCopyMayClaim)
+    recordNotRun(Request.m_Request.key, Request.m_Request.attempt,
                  [](const ClaimOutcome &) {});
-  Ended.m_Done(Outcome);
+  Request.m_OnDone(Outcome);
 }
 
 } // namespace crowstep::claim
--- a/src/claim/claim_client.h
+++ b/src/claim/claim_client.h
@@ -29,7 +29,7 @@
   using FindHome =
       std::function<std::optional<link::LinkId>(std::uint64_t Index)>;
 
-  ClaimClient(const Clock &Time, Scheduler &Timers, link::Links &Wire,
+  ClaimClient(const Clock &Time, Scheduler &Timers, link::Links &Links,
               FindHome Find);
 
   void claim(const ClaimKey &Key, std::uint64_t BodyHash,
@@ -48,25 +48,25 @@
   [[nodiscard]] std::size_t pending() const { return m_Pending.size(); }
 
 private:
-  struct Pending {
+  struct PendingRequest {
     wire::ClaimRequestT m_Request; ///< Sent again as it is.
-    TimePoint m_Limit;             ///< Then it is given up.
-    TimePoint m_SendAgain;         ///< When no reply came.
+    TimePoint m_Deadline;          ///< Then it is given up.
+    TimePoint m_ResendAt;          ///< When no reply came.
     bool m_Sent = false;           ///< A home may have seen it.
     bool m_Uncertain = false;      ///< A write may have taken effect.
-    Done m_Done;                   ///< Runs once.
+    Done m_OnDone;                 ///< Runs once.
   };
   /// What is known of a row that an attempt of this entry holds.
-  struct Held {
+  struct HeldRow {
     std::uint64_t m_Version = 0;  ///< Of the row.
     std::uint64_t m_BodyHash = 0; ///< In the row.
   };
 
   void add(wire::ClaimRequestT Request, Duration Limit, Done OnDone);
-  void send(Pending &Each);
+  void send(PendingRequest &Request);
   void tick();
-  void replied(const wire::ClaimReply &Reply);
-  void finish(std::map<std::uint64_t, Pending>::iterator Found,
+  void handleReply(const wire::ClaimReply &Reply);
+  void finish(std::map<std::uint64_t, PendingRequest>::iterator Found,
               const ClaimOutcome &Outcome);
 
   const Clock &m_Clock;       ///< Outlives this object.
@@ -74,8 +74,8 @@
   FindHome m_FindHome;        ///< See above.
   Timer m_Timer;              ///< Runs while anything is pending.
   std::uint64_t m_LastId = 0; ///< Of requests; never reused.
-  std::map<std::uint64_t, Pending> m_Pending; ///< Without a final reply.
-  std::map<AttemptId, Held> m_Held;           ///< Rows that attempts here hold.
+  std::map<std::uint64_t, PendingRequest> m_Pending; ///< Without a final reply.
+  std::map<AttemptId, HeldRow> m_HeldRows; ///< Rows that attempts here hold.
 };
 
 } // namespace crowstep::claim
--- a/src/claim/claim_home.cpp
+++ b/src/claim/claim_home.cpp
@@ -15,7 +15,7 @@
 
 using wire::textOf;
 
-Wanted wantedOf(const wire::ClaimRequest &Request) {
+Wanted operationOf(const wire::ClaimRequest &Request) {
   const AttemptId Attempt = textOf(Request.attempt());
   switch (Request.op()) {
   case wire::ClaimOp::Claim:
@@ -36,68 +36,70 @@
 
 ClaimHome::ClaimHome(const ClaimHomeConfig &Config, const Clock &Time,
                      Scheduler &Timers, platform::TableService &Store,
-                     link::Links &Wire, Metrics &Stats)
-    : m_Clock(Time), m_Store(Store), m_Links(Wire), m_Timer(Timers),
+                     link::Links &Links, Metrics &Stats)
+    : m_Clock(Time), m_Store(Store), m_Links(Links), m_Timer(Timers),
       m_Core(Config), m_Batches(Stats.counter("crowstep_claim_batches_total")),
       m_Rows(Stats.counter("crowstep_claim_rows_total")) {
   for (const char *Name : StatusNames)
-    m_Outcomes.push_back(
+    m_RepliesByStatus.push_back(
         &Stats.counter("crowstep_claim_replies_total", {{"status", Name}}));
 }
 
 void ClaimHome::linkFrame(link::LinkId Link, const wire::Frame &Frame) {
   if (Frame.claim_requests() == nullptr)
     return;
-  for (const wire::ClaimRequest *Each : *Frame.claim_requests()) {
+  for (const wire::ClaimRequest *Request : *Frame.claim_requests()) {
     const RequestNumber Number(++m_LastNumber);
-    m_Askers[Number] = {Link, Each->id()};
-    handle(RequestCame{Number, textOf(Each->key()), wantedOf(*Each),
-                       platform::RowVersion(Each->version()),
-                       Each->body_hash()});
+    m_Requesters[Number] = {Link, Request->id()};
+    handle(RequestCame{Number, textOf(Request->key()), operationOf(*Request),
+                       platform::RowVersion(Request->version()),
+                       Request->body_hash()});
   }
 }
 
-void ClaimHome::handle(const HomeEvent &What) {
+void ClaimHome::handle(const HomeEvent &Event) {
   std::vector<HomeAction> Actions;
-  m_Core.handle(What, m_Clock.now(), Actions);
-  for (const HomeAction &Each : Actions)
-    std::visit([this](const auto &Action) { carryOut(Action); }, Each);
+  m_Core.handle(Event, m_Clock.now(), Actions);
+  for (const HomeAction &Action : Actions)
+    std::visit([this](const auto &Alternative) { carryOut(Alternative); },
+               Action);
   const std::optional<TimePoint> Due = m_Core.nextDeadline();
   if (Due)
     m_Timer.start(*Due - m_Clock.now(), [this] { handle(HomeTick()); });
 }
 
-void ClaimHome::carryOut(const StartWrite &What) {
+void ClaimHome::carryOut(const StartWrite &Action) {
   m_Batches.add();
-  m_Rows.add(What.m_Writes.size());
-  m_Store.write(platform::ClaimTableName, What.m_Writes,
+  m_Rows.add(Action.m_Writes.size());
+  m_Store.write(platform::ClaimTableName, Action.m_Writes,
                 [this](platform::WriteResult Result) {
                   handle(WriteEnded{std::move(Result)});
                 });
 }
 
-void ClaimHome::carryOut(const StartRead &What) {
-  m_Store.read(platform::ClaimTableName, What.m_Key,
-               [this, Key = What.m_Key](platform::ReadResult Result) {
+void ClaimHome::carryOut(const StartRead &Action) {
+  m_Store.read(platform::ClaimTableName, Action.m_Key,
+               [this, Key = Action.m_Key](platform::ReadResult Result) {
                  handle(ReadEnded{Key, std::move(Result)});
                });
 }
 
-void ClaimHome::carryOut(const Reply &What) {
-  const auto Found = m_Askers.find(What.m_Number);
-  if (Found == m_Askers.end())
+void ClaimHome::carryOut(const Reply &Action) {
+  const auto Found = m_Requesters.find(Action.m_Number);
+  if (Found == m_Requesters.end())
     return;
-  const Asker To = Found->second;
-  m_Askers.erase(Found);
-  m_Outcomes.at(static_cast<std::size_t>(What.m_Outcome.m_Status))->add();
-  auto Out = std::make_unique<wire::ClaimReplyT>();
-  Out->id = To.m_Id;
-  Out->status = static_cast<wire::ClaimStatus>(What.m_Outcome.m_Status);
-  Out->answer = What.m_Outcome.m_Answer.m_Body;
-  Out->answer_status = What.m_Outcome.m_Answer.m_Status;
-  Out->answer_type = What.m_Outcome.m_Answer.m_ContentType;
-  Out->version = What.m_Version.value();
-  m_Links.outbox(To.m_Link).claim_replies.push_back(std::move(Out));
+  const Requester Recipient = Found->second;
+  m_Requesters.erase(Found);
+  m_RepliesByStatus.at(static_cast<std::size_t>(Action.m_Outcome.m_Status))
+      ->add();
+  auto Message = std::make_unique<wire::ClaimReplyT>();
+  Message->id = Recipient.m_RequestId;
+  Message->status = static_cast<wire::ClaimStatus>(Action.m_Outcome.m_Status);
+  Message->answer = Action.m_Outcome.m_Answer.m_Body;
+  Message->answer_status = Action.m_Outcome.m_Answer.m_Status;
+  Message->answer_type = Action.m_Outcome.m_Answer.m_ContentType;
+  Message->version = Action.m_Version.value();
+  m_Links.outbox(Recipient.m_Link).claim_replies.push_back(std::move(Message));
 }
 
 } // namespace crowstep::claim
--- a/src/claim/claim_home.h
+++ b/src/claim/claim_home.h
@@ -17,33 +17,34 @@
 class ClaimHome {
 public:
   ClaimHome(const ClaimHomeConfig &Config, const Clock &Time, Scheduler &Timers,
-            platform::TableService &Store, link::Links &Wire, Metrics &Stats);
+            platform::TableService &Store, link::Links &Links, Metrics &Stats);
 
   /// Takes the claim requests in \p Frame; replies go out on \p Link.
   void linkFrame(link::LinkId Link, const wire::Frame &Frame);
 
 private:
   /// Who waits for the reply to a request.
-  struct Asker {
-    link::LinkId m_Link;    ///< May have closed since.
-    std::uint64_t m_Id = 0; ///< The asker's own number.
+  struct Requester {
+    link::LinkId m_Link;           ///< May have closed since.
+    std::uint64_t m_RequestId = 0; ///< The asker's own number.
   };
 
-  void handle(const HomeEvent &What);
-  void carryOut(const StartWrite &What);
-  void carryOut(const StartRead &What);
-  void carryOut(const Reply &What);
-
-  const Clock &m_Clock;                    ///< Outlives this object.
-  platform::TableService &m_Store;         ///< Outlives this object.
-  link::Links &m_Links;                    ///< Outlives this object.
-  Timer m_Timer;                           ///< For the next tick.
-  ClaimHomeCore m_Core;                    ///< Decides.
-  std::uint64_t m_LastNumber = 0;          ///< Of requests; never reused.
-  std::map<RequestNumber, Asker> m_Askers; ///< Of requests not answered.
-  std::vector<Counter *> m_Outcomes;       ///< By ClaimStatus.
-  Counter &m_Batches;                      ///< Writes to the table service.
-  Counter &m_Rows;                         ///< Rows in those writes.
+  void handle(const HomeEvent &Event);
+  void carryOut(const StartWrite &Action);
+  void carryOut(const StartRead &Action);
+  void carryOut(const Reply &Action);
+
+  const Clock &m_Clock;            ///< Outlives this object.
+  platform::TableService &m_Store; ///< Outlives this object.
+  link::Links &m_Links;            ///< Outlives this object.
+  Timer m_Timer;                   ///< For the next tick.
+  ClaimHomeCore m_Core;            ///< Decides.
+  std::uint64_t m_LastNumber = 0;  ///< Of requests; never reused.
+  std::map<RequestNumber, Requester>
+      m_Requesters;                         ///< Of requests not answered.
+  std::vector<Counter *> m_RepliesByStatus; ///< By ClaimStatus.
+  Counter &m_Batches;                       ///< Writes to the table service.
+  Counter &m_Rows;                          ///< Rows in those writes.
 };
 
 } // namespace crowstep::claim
--- a/src/claim/claim_home_core.h
+++ b/src/claim/claim_home_core.h
@@ -69,36 +69,37 @@
   explicit ClaimHomeCore(const ClaimHomeConfig &Config) : m_Config(Config) {}
 
   /// Takes one event and appends what is to be done.
-  void handle(const HomeEvent &What, TimePoint Now,
+  void handle(const HomeEvent &Event, TimePoint Now,
               std::vector<HomeAction> &Actions);
 
   /// Returns when the next tick is due, or nothing while there is none.
   [[nodiscard]] std::optional<TimePoint> nextDeadline() const;
 
 private:
-  struct Request {
-    RequestCame m_Asked;               ///< As it came.
-    TimePoint m_Came;                  ///< When.
-    std::optional<ClaimRow> m_Present; ///< The row as last known.
-    platform::RowVersion m_Version;    ///< Of m_Present; 0: no row.
-    ClaimOutcome m_IfWritten;          ///< While it is being written.
+  struct PendingRequest {
+    RequestCame m_Request;              ///< As it came.
+    TimePoint m_ReceivedAt;             ///< When.
+    std::optional<ClaimRow> m_KnownRow; ///< The row as last known.
+    platform::RowVersion m_Version;     ///< Of m_Present; 0: no row.
+    ClaimOutcome m_OutcomeIfWritten;    ///< While it is being written.
   };
 
-  void take(const RequestCame &What, TimePoint Now);
-  void take(const WriteEnded &What, TimePoint Now);
-  void take(const ReadEnded &What, TimePoint Now);
-  void take(const HomeTick &What, TimePoint Now);
-  void writeEnded(Request Each, const platform::RowOutcome &Outcome);
-  void settle(Request Each);
-  void reply(const Request &To, const ClaimOutcome &Outcome);
+  void on(const RequestCame &Event, TimePoint Now);
+  void on(const WriteEnded &Event, TimePoint Now);
+  void on(const ReadEnded &Event, TimePoint Now);
+  void on(const HomeTick &Event, TimePoint Now);
+  void handleRowOutcome(PendingRequest Request,
+                        const platform::RowOutcome &Outcome);
+  void replyOrQueue(PendingRequest Request);
+  void reply(const PendingRequest &Request, const ClaimOutcome &Outcome);
   void startWrite(TimePoint Now);
 
-  ClaimHomeConfig m_Config;       ///< As given.
-  std::deque<Request> m_Waiting;  ///< For the next write, in order.
-  std::vector<Request> m_Writing; ///< In the write on its way; at most
-                                  ///< one of each key.
-  std::vector<Request> m_Reading; ///< For a read to end.
-  TimePoint m_NextWrite;          ///< No write begins earlier.
+  ClaimHomeConfig m_Config;              ///< As given.
+  std::deque<PendingRequest> m_Waiting;  ///< For the next write, in order.
+  std::vector<PendingRequest> m_Writing; ///< In the write on its way; at most
+                                         ///< one of each key.
+  std::vector<PendingRequest> m_Reading; ///< For a read to end.
+  TimePoint m_NextWrite;                 ///< No write begins earlier.
   std::vector<HomeAction> *m_Actions = nullptr; ///< Set during handle().
 };
 
--- a/src/claim/claim_row.cpp
+++ b/src/claim/claim_row.cpp
@@ -14,8 +14,8 @@
 /// Body hash of a row that was written before the call's body was known.
 constexpr std::uint64_t AnyBody = 0;
 
-bool sameBody(const ClaimRow &Present, std::uint64_t BodyHash) {
-  return Present.m_BodyHash == AnyBody || Present.m_BodyHash == BodyHash;
+bool bodyMatches(const ClaimRow &Row, std::uint64_t BodyHash) {
+  return Row.m_BodyHash == AnyBody || Row.m_BodyHash == BodyHash;
 }
 
 const char *nameOf(ClaimState State) {
@@ -43,77 +43,77 @@
 ClaimOutcome outcome(ClaimStatus Status) { return {Status, {}}; }
 
 /// What an attempt that does not hold the claim is told of it.
-ClaimOutcome outcomeFor(std::uint64_t BodyHash, const ClaimRow &Present) {
-  if (!sameBody(Present, BodyHash))
+ClaimOutcome outcomeForOther(std::uint64_t BodyHash, const ClaimRow &Row) {
+  if (!bodyMatches(Row, BodyHash))
     return outcome(ClaimStatus::OtherBody);
-  if (Present.m_State == ClaimState::Ran)
-    return {ClaimStatus::Ran, Present.m_Answer};
+  if (Row.m_State == ClaimState::Ran)
+    return {ClaimStatus::Ran, Row.m_Answer};
   return outcome(ClaimStatus::InProgress);
 }
 
 /// Judges one request against the row as it stands.
-class Judge {
+class RowDecider {
 public:
-  explicit Judge(const std::optional<ClaimRow> &Row) : m_Present(Row) {}
+  explicit RowDecider(const std::optional<ClaimRow> &Row) : m_Row(Row) {}
 
-  RowVerdict operator()(const ClaimWanted &What) const {
-    const RowChange Take{
-        {ClaimState::Claimed, What.m_Attempt, What.m_BodyHash, {}},
+  RowVerdict operator()(const ClaimWanted &Operation) const {
+    const RowChange TakeClaim{
+        {ClaimState::Claimed, Operation.m_Attempt, Operation.m_BodyHash, {}},
         outcome(ClaimStatus::Owned)};
-    if (!m_Present)
-      return Take;
-    const bool Mine = m_Present->m_Attempt == What.m_Attempt;
+    if (!m_Row)
+      return TakeClaim;
+    const bool SameAttempt = m_Row->m_Attempt == Operation.m_Attempt;
     // The answer to the first insert was lost, or the request came twice.
-    if (Mine && m_Present->m_State == ClaimState::Claimed)
+    if (SameAttempt && m_Row->m_State == ClaimState::Claimed)
       return outcome(ClaimStatus::Owned);
     // A duplicate of a request whose attempt has given the claim back: were it
     // to take the claim again, nobody would run the call or give it back.
-    if (Mine && m_Present->m_State == ClaimState::NotRun)
+    if (SameAttempt && m_Row->m_State == ClaimState::NotRun)
       return outcome(ClaimStatus::InProgress);
-    const bool Free = m_Present->m_State == ClaimState::NotRun &&
-                      sameBody(*m_Present, What.m_BodyHash);
-    if (Free)
-      return Take;
-    return outcomeFor(What.m_BodyHash, *m_Present);
+    const bool IsFree = m_Row->m_State == ClaimState::NotRun &&
+                        bodyMatches(*m_Row, Operation.m_BodyHash);
+    if (IsFree)
+      return TakeClaim;
+    return outcomeForOther(Operation.m_BodyHash, *m_Row);
   }
 
-  RowVerdict operator()(const NotRunWanted &What) const {
+  RowVerdict operator()(const NotRunWanted &Operation) const {
     // Without a row the first insert may still be on its way to the table
     // service; this row makes it fail, so that the key is not held for ever.
-    if (!m_Present)
-      return RowChange{{ClaimState::NotRun, What.m_Attempt, AnyBody, {}},
+    if (!m_Row)
+      return RowChange{{ClaimState::NotRun, Operation.m_Attempt, AnyBody, {}},
                        outcome(ClaimStatus::Done)};
-    const bool Holds = m_Present->m_Attempt == What.m_Attempt &&
-                       m_Present->m_State == ClaimState::Claimed;
+    const bool Holds = m_Row->m_Attempt == Operation.m_Attempt &&
+                       m_Row->m_State == ClaimState::Claimed;
     if (!Holds)
       return outcome(ClaimStatus::Done);
     return RowChange{
-        {ClaimState::NotRun, What.m_Attempt, m_Present->m_BodyHash, {}},
+        {ClaimState::NotRun, Operation.m_Attempt, m_Row->m_BodyHash, {}},
         outcome(ClaimStatus::Done)};
   }
 
-  RowVerdict operator()(const RanWanted &What) const {
-    const bool Mine = m_Present && m_Present->m_Attempt == What.m_Attempt;
-    if (Mine && m_Present->m_State == ClaimState::Ran)
+  RowVerdict operator()(const RanWanted &Operation) const {
+    const bool SameAttempt = m_Row && m_Row->m_Attempt == Operation.m_Attempt;
+    if (SameAttempt && m_Row->m_State == ClaimState::Ran)
       return outcome(ClaimStatus::Done);
     // Nobody takes a claim from its holder, so this is a row that was removed
     // by hand or outlived; there is nothing to record it in.
-    if (!Mine || m_Present->m_State == ClaimState::NotRun)
+    if (!SameAttempt || m_Row->m_State == ClaimState::NotRun)
       return outcome(ClaimStatus::InProgress);
-    return RowChange{
-        {ClaimState::Ran, What.m_Attempt, m_Present->m_BodyHash, What.m_Answer},
-        outcome(ClaimStatus::Done)};
+    return RowChange{{ClaimState::Ran, Operation.m_Attempt, m_Row->m_BodyHash,
+                      Operation.m_Answer},
+                     outcome(ClaimStatus::Done)};
   }
 
-  RowVerdict operator()(const ReadWanted &What) const {
-    const bool Free = !m_Present || m_Present->m_State == ClaimState::NotRun;
-    if (Free && (!m_Present || sameBody(*m_Present, What.m_BodyHash)))
+  RowVerdict operator()(const ReadWanted &Operation) const {
+    const bool IsFree = !m_Row || m_Row->m_State == ClaimState::NotRun;
+    if (IsFree && (!m_Row || bodyMatches(*m_Row, Operation.m_BodyHash)))
       return outcome(ClaimStatus::Done);
-    return outcomeFor(What.m_BodyHash, *m_Present);
+    return outcomeForOther(Operation.m_BodyHash, *m_Row);
   }
 
 private:
-  const std::optional<ClaimRow> &m_Present; ///< Outlives the judge.
+  const std::optional<ClaimRow> &m_Row; ///< Outlives the judge.
 };
 
 } // namespace
@@ -152,8 +152,8 @@
   }
 }
 
-RowVerdict judge(const Wanted &What, const std::optional<ClaimRow> &Present) {
-  return std::visit(Judge(Present), What);
+RowVerdict judge(const Wanted &Operation, const std::optional<ClaimRow> &Row) {
+  return std::visit(RowDecider(Row), Operation);
 }
 
 } // namespace crowstep::claim
--- a/src/claim/claim_row.h
+++ b/src/claim/claim_row.h
@@ -15,7 +15,8 @@
 /// A claim's row is of a format that this build can't read.
 class ClaimRowError : public Error {
 public:
-  explicit ClaimRowError(const std::string &Why) : Error("claim row: " + Why) {}
+  explicit ClaimRowError(const std::string &Reason)
+      : Error("claim row: " + Reason) {}
 };
 
 /// How far the claimed call has come.
@@ -69,7 +70,7 @@
 /// Returns what \p What needs of the row \p Present (nothing: no such row).
 /// This is the whole rule of at most once: a row in state Claimed is changed
 /// only by the attempt that wrote it.
-RowVerdict judge(const Wanted &What, const std::optional<ClaimRow> &Present);
+RowVerdict judge(const Wanted &Operation, const std::optional<ClaimRow> &Row);
 
 } // namespace crowstep::claim
 
--- a/src/lease/engine_orders.cpp
+++ b/src/lease/engine_orders.cpp
@@ -13,10 +13,10 @@
 
 constexpr std::chrono::milliseconds TickInterval{100};
 constexpr std::chrono::seconds DefaultRetryAfter{1};
-constexpr unsigned Ok = 200;
-constexpr unsigned Conflict = 409;
-constexpr unsigned TooManyRequests = 429;
-constexpr unsigned ServerErrors = 500; ///< This status and above.
+constexpr unsigned StatusOk = 200;
+constexpr unsigned StatusConflict = 409;
+constexpr unsigned StatusTooManyRequests = 429;
+constexpr unsigned MinServerError = 500; ///< This status and above.
 
 const char *nameOf(OrderKind Kind) {
   switch (Kind) {
@@ -55,51 +55,52 @@
        platform::TableService &Store, HttpCaller &Http, Metrics &Stats)
       : m_Config(std::move(Config)), m_Clock(Time), m_Store(Store),
         m_Http(Http), m_Core(m_Config.m_Lease),
-        m_Loads(m_Config.m_LoadInterval, m_Config.m_LoadBurst, Time.now()),
+        m_LoadBucket(m_Config.m_LoadInterval, m_Config.m_LoadBurst, Time.now()),
         m_Timer(Timers),
         m_Sent(Stats.counter("crowstep_orders_total", {{"event", "sent"}})),
         m_Fenced(Stats.counter("crowstep_orders_total", {{"event", "fenced"}})),
-        m_Limited(
+        m_RateLimited(
             Stats.counter("crowstep_orders_total", {{"event", "limited"}})) {
     tick();
   }
 
-  void order(const EngineOrder &What, Done OnDone) {
-    m_Waiting.push_back({What, std::move(OnDone)});
-    pump();
+  void order(const EngineOrder &Order, Done OnDone) {
+    m_Waiting.push_back({Order, std::move(OnDone)});
+    processQueue();
   }
 
   [[nodiscard]] std::size_t pending() const {
-    return m_Waiting.size() + m_UnderWay;
+    return m_Waiting.size() + m_InFlight;
   }
 
 private:
-  struct Pending {
-    EngineOrder m_What; ///< The order.
-    Done m_Done;        ///< Runs once.
+  struct PendingOrder {
+    EngineOrder m_Order; ///< The order.
+    Done m_OnDone;       ///< Runs once.
   };
 
   void tick() {
     handle(LeaseTick());
-    pump();
+    processQueue();
     m_Timer.start(TickInterval, [this] { tick(); });
   }
 
   void handle(const LeaseEvent &Event) {
     const LeaseActions Actions = m_Core.handle(m_Clock.fresh(), Event);
     for (const LeaseAction &Action : Actions)
-      std::visit([this](const auto &Each) { run(Each); }, Action);
+      std::visit([this](const auto &Alternative) { carryOut(Alternative); },
+                 Action);
   }
 
   template <typename Result, typename Function>
-  std::function<void(Result)> guarded(Function Job) {
-    return [Alive = std::weak_ptr<bool>(m_Alive), Job](Result Value) {
+  std::function<void(Result)> guarded(Function Callback) {
+    return [Alive = std::weak_ptr<bool>(m_Alive), Callback](Result Value) {
       if (!Alive.expired())
-        Job(Value);
+        Callback(Value);
     };
   }
 
-  void run(const ReadLease &) {
+  void carryOut(const ReadLease &) {
     m_Store.read(platform::LeaseTableName, m_Config.m_Lease.m_Key,
                  guarded<platform::ReadResult>(
                      [this](const platform::ReadResult &Result) {
@@ -110,11 +111,11 @@
                          handle(LeaseRead());
                        else
                          handle(LeaseRead{Rows->front()});
-                       pump();
+                       processQueue();
                      }));
   }
 
-  void run(const WriteLease &Action) {
+  void carryOut(const WriteLease &Action) {
     const TimePoint SentAt = m_Clock.fresh();
     m_Store.write(platform::LeaseTableName, {Action.m_Write},
                   guarded<platform::WriteResult>(
@@ -124,29 +125,29 @@
                           handle(LeaseCallFailed());
                         else
                           handle(LeaseWritten{SentAt, Outcomes->at(0)});
-                        pump();
+                        processQueue();
                       }));
   }
 
-  void pump() {
+  void processQueue() {
     const bool Wanted = pending() > 0;
     if (Wanted != m_Wanted) {
       m_Wanted = Wanted;
       handle(LeaseWanted{Wanted});
     }
-    while (!m_Waiting.empty() && sendFirst()) {
+    while (!m_Waiting.empty() && trySendFirst()) {
     }
   }
 
   /// Sends the first order if the lease and the weight store allow it.
-  bool sendFirst() {
+  bool trySendFirst() {
     const TimePoint Now = m_Clock.fresh();
     if (!m_Core.mayOrder(Now, m_Config.m_OrderLimit))
       return false;
-    const bool Load = readsWeights(m_Waiting.front().m_What.m_Kind);
-    if (Load && !m_Loads.take(Now))
+    const bool Load = readsWeights(m_Waiting.front().m_Order.m_Kind);
+    if (Load && !m_LoadBucket.take(Now))
       return false;
-    Pending Next = std::move(m_Waiting.front());
+    PendingOrder Next = std::move(m_Waiting.front());
     m_Waiting.pop_front();
     // Read anew at the last step: a process that was frozen since the check
     // above must not send under a lease that has lapsed meanwhile.
@@ -160,55 +161,55 @@
     return true;
   }
 
-  void send(Pending Next, FencingNumber Fencing) {
+  void send(PendingOrder Next, FencingNumber Fencing) {
     HttpCall Call;
     Call.m_Method = "POST";
-    Call.m_Where = Next.m_What.m_Engine;
+    Call.m_Where = Next.m_Order.m_Engine;
     Call.m_Path = "/v1/orders";
-    Call.m_Body = json{{"order", nameOf(Next.m_What.m_Kind)},
-                       {"name", Next.m_What.m_Name},
+    Call.m_Body = json{{"order", nameOf(Next.m_Order.m_Kind)},
+                       {"name", Next.m_Order.m_Name},
                        {"fencing", Fencing.value()}}
                       .dump();
     Call.m_Timeout = m_Config.m_OrderLimit;
     m_Sent.add();
-    ++m_UnderWay;
+    ++m_InFlight;
     handle(OrderStarted());
     logEvent(LogEvent::OrderSent,
-             {{"order", nameOf(Next.m_What.m_Kind)},
-              {"engine", toString(Next.m_What.m_Engine)},
+             {{"order", nameOf(Next.m_Order.m_Kind)},
+              {"engine", toString(Next.m_Order.m_Engine)},
               {"fencing", std::to_string(Fencing.value())}});
     m_Http.call(Call, guarded<HttpResult>([this, Next = std::move(Next)](
                                               const HttpResult &Result) {
-                  --m_UnderWay;
+                  --m_InFlight;
                   handle(OrderEnded());
-                  ended(Next, Result);
-                  pump();
+                  handleResult(Next, Result);
+                  processQueue();
                 }));
   }
 
-  void ended(const Pending &Order, const HttpResult &Result) {
+  void handleResult(const PendingOrder &Sent, const HttpResult &Result) {
     const auto *Answer = std::get_if<HttpAnswer>(&Result);
     if (Answer == nullptr) {
       const bool NotSent =
           std::get<HttpFailure>(Result) == HttpFailure::NotSent;
-      Order.m_Done(NotSent ? OrderOutcome::Refused : OrderOutcome::Unknown);
-    } else if (Answer->m_Status == Conflict) {
+      Sent.m_OnDone(NotSent ? OrderOutcome::Refused : OrderOutcome::Unknown);
+    } else if (Answer->m_Status == StatusConflict) {
       m_Fenced.add();
       logEvent(LogEvent::OrderFenced,
-               {{"engine", toString(Order.m_What.m_Engine)}});
-      m_Waiting.push_front(Order);
+               {{"engine", toString(Sent.m_Order.m_Engine)}});
+      m_Waiting.push_front(Sent);
       handle(LeaseFenced{highestSeen(*Answer)});
-    } else if (Answer->m_Status == TooManyRequests) {
-      m_Limited.add();
-      const bool Told = Answer->m_RetryAfter > Duration::zero();
-      m_Loads.pause(m_Clock.now() +
-                    (Told ? Answer->m_RetryAfter : DefaultRetryAfter));
-      m_Waiting.push_front(Order);
-    } else if (Answer->m_Status == Ok) {
-      Order.m_Done(OrderOutcome::Done);
+    } else if (Answer->m_Status == StatusTooManyRequests) {
+      m_RateLimited.add();
+      const bool HasRetryAfter = Answer->m_RetryAfter > Duration::zero();
+      m_LoadBucket.pause(m_Clock.now() + (HasRetryAfter ? Answer->m_RetryAfter
+                                                        : DefaultRetryAfter));
+      m_Waiting.push_front(Sent);
+    } else if (Answer->m_Status == StatusOk) {
+      Sent.m_OnDone(OrderOutcome::Done);
     } else {
-      Order.m_Done(Answer->m_Status >= ServerErrors ? OrderOutcome::Unknown
-                                                    : OrderOutcome::Refused);
+      Sent.m_OnDone(Answer->m_Status >= MinServerError ? OrderOutcome::Unknown
+                                                       : OrderOutcome::Refused);
     }
   }
 
@@ -217,14 +218,14 @@
   platform::TableService &m_Store; ///< Holds the lease.
   HttpCaller &m_Http;              ///< Carries orders.
   LeaseCore m_Core;                ///< Decides who may order.
-  TokenBucket m_Loads;             ///< Spares the weight store.
+  TokenBucket m_LoadBucket;        ///< Spares the weight store.
   Timer m_Timer;                   ///< Of ticks.
   Counter &m_Sent;                 ///< Orders sent.
   Counter &m_Fenced;               ///< Orders refused for an old number.
-  Counter &m_Limited;            ///< Orders that met the weight store's limit.
-  std::deque<Pending> m_Waiting; ///< In the order of asking.
-  std::size_t m_UnderWay = 0;    ///< Sent and not answered.
-  bool m_Wanted = false;         ///< As last told to m_Core.
+  Counter &m_RateLimited; ///< Orders that met the weight store's limit.
+  std::deque<PendingOrder> m_Waiting; ///< In the order of asking.
+  std::size_t m_InFlight = 0;         ///< Sent and not answered.
+  bool m_Wanted = false;              ///< As last told to m_Core.
   std::shared_ptr<bool> m_Alive = std::make_shared<bool>(true); ///< See above.
 };
 
@@ -236,8 +237,8 @@
 
 EngineOrders::~EngineOrders() = default;
 
-void EngineOrders::order(const EngineOrder &What, Done OnDone) {
-  m_Impl->order(What, std::move(OnDone));
+void EngineOrders::order(const EngineOrder &Order, Done OnDone) {
+  m_Impl->order(Order, std::move(OnDone));
 }
 
 std::size_t EngineOrders::pending() const { return m_Impl->pending(); }
--- a/src/lease/engine_orders.h
+++ b/src/lease/engine_orders.h
@@ -58,7 +58,7 @@
   EngineOrders &operator=(const EngineOrders &) = delete;
 
   /// Queues an order; \p OnDone runs once it has an outcome.
-  void order(const EngineOrder &What, Done OnDone);
+  void order(const EngineOrder &Order, Done OnDone);
 
   /// Returns how many orders wait or are under way.
   [[nodiscard]] std::size_t pending() const;
--- a/src/lease/lease_core.cpp
+++ b/src/lease/lease_core.cpp
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 
 constexpr std::int64_t LeaseFormat = 1;
-constexpr int RenewalsInALength = 3;
+constexpr int RenewalsPerDuration = 3;
 
 } // namespace
 
@@ -44,87 +44,89 @@
 
 LeaseActions LeaseCore::handle(TimePoint Now, const LeaseEvent &Event) {
   m_Now = std::max(m_Now, Now);
-  m_Out.clear();
-  std::visit([this](const auto &Each) { on(Each); }, Event);
-  step();
-  return std::move(m_Out);
+  m_Actions.clear();
+  std::visit([this](const auto &Alternative) { on(Alternative); }, Event);
+  startNextCall();
+  return std::move(m_Actions);
 }
 
 std::optional<FencingNumber> LeaseCore::mayOrder(TimePoint Now,
-                                                 Duration Limit) const {
-  if (!m_Wanted || !own() || Now + Limit > m_ValidUntil)
+                                                 Duration Timeout) const {
+  if (!m_Wanted || !isHolder() || Now + Timeout > m_ValidUntil)
     return std::nullopt;
   return m_Row->m_Fencing;
 }
 
-bool LeaseCore::own() const {
-  return m_Known && m_Row && m_Row->m_Holder == m_Config.m_Holder;
+bool LeaseCore::isHolder() const {
+  return m_RowKnown && m_Row && m_Row->m_Holder == m_Config.m_Holder;
 }
 
 void LeaseCore::on(const LeaseWanted &Event) { m_Wanted = Event.m_Wanted; }
-void LeaseCore::on(const OrderStarted &) { ++m_Orders; }
-void LeaseCore::on(const OrderEnded &) { m_Orders -= m_Orders > 0 ? 1 : 0; }
+void LeaseCore::on(const OrderStarted &) { ++m_OrdersInFlight; }
+void LeaseCore::on(const OrderEnded &) {
+  m_OrdersInFlight -= m_OrdersInFlight > 0 ? 1 : 0;
+}
 void LeaseCore::on(const LeaseTick &) {}
 
 void LeaseCore::on(const LeaseRead &Event) {
-  m_Calling = false;
-  see(Event.m_Row);
+  m_CallInFlight = false;
+  applyRow(Event.m_Row);
 }
 
 /// The holder counts from before it sent the write, and who wants to take the
 /// lease from after it saw the row. Whatever the delays, the holder's count
 /// ends first.
 void LeaseCore::on(const LeaseWritten &Event) {
-  m_Calling = false;
-  see(Event.m_Outcome.m_Present);
-  if (!Event.m_Outcome.m_Written || !own())
+  m_CallInFlight = false;
+  applyRow(Event.m_Outcome.m_Present);
+  if (!Event.m_Outcome.m_Written || !isHolder())
     return;
   m_ValidUntil = Event.m_SentAt + m_Config.m_Length;
-  m_NextCall = Event.m_SentAt + m_Config.m_Length / RenewalsInALength;
+  m_NextCallAt = Event.m_SentAt + m_Config.m_Length / RenewalsPerDuration;
 }
 
 /// Whether a write whose answer was lost took effect shows when it is tried
 /// again: the condition no longer holds, and the row names this process, which
 /// then renews. Until a renewal is answered the lease counts as not held.
 void LeaseCore::on(const LeaseCallFailed &) {
-  m_Calling = false;
-  m_NextCall = m_Now + m_Config.m_ReadInterval / 2;
+  m_CallInFlight = false;
+  m_NextCallAt = m_Now + m_Config.m_ReadInterval / 2;
 }
 
 /// Somebody else took the lease, or the table service was restored from an
 /// older state and hands out numbers again that were in use. The row tells
 /// which; in the second case the number must go above what was seen.
 void LeaseCore::on(const LeaseFenced &Event) {
-  m_Highest = std::max(m_Highest, Event.m_Highest);
+  m_HighestSeen = std::max(m_HighestSeen, Event.m_Highest);
   m_ValidUntil = m_Now;
-  m_NextCall = m_Now;
+  m_NextCallAt = m_Now;
 }
 
-void LeaseCore::see(const std::optional<platform::Row> &Row) {
-  std::optional<LeaseRow> Fresh;
+void LeaseCore::applyRow(const std::optional<platform::Row> &Row) {
+  std::optional<LeaseRow> NewRow;
   try {
     if (Row)
-      Fresh = decodeLease(*Row);
+      NewRow = decodeLease(*Row);
   } catch (const LeaseRowError &) {
-    m_Known = false; // Nobody can tell who holds it: leave it alone.
-    m_NextCall = m_Now + m_Config.m_ReadInterval;
+    m_RowKnown = false; // Nobody can tell who holds it: leave it alone.
+    m_NextCallAt = m_Now + m_Config.m_ReadInterval;
     return;
   }
-  if (!m_Known || Fresh != m_Row)
-    m_SeenAt = m_Now;
-  m_Known = true;
-  m_Row = Fresh;
-  const bool Waits = Fresh && !Fresh->m_Holder.empty() && !own();
-  m_NextCall = Waits ? m_Now + m_Config.m_ReadInterval : m_Now;
+  if (!m_RowKnown || NewRow != m_Row)
+    m_RowSeenAt = m_Now;
+  m_RowKnown = true;
+  m_Row = NewRow;
+  const bool HeldByOther = NewRow && !NewRow->m_Holder.empty() && !isHolder();
+  m_NextCallAt = HeldByOther ? m_Now + m_Config.m_ReadInterval : m_Now;
 }
 
-void LeaseCore::step() {
-  if (m_Calling || m_Now < m_NextCall)
+void LeaseCore::startNextCall() {
+  if (m_CallInFlight || m_Now < m_NextCallAt)
     return;
   if (!m_Wanted) {
     // An order under way may still reach the upstream: only when none is may
     // another start without waiting.
-    if (own() && m_Orders == 0) {
+    if (isHolder() && m_OrdersInFlight == 0) {
       // The release may take effect at any time from now on. Wanted again in
       // between, the lease counts as held only after an answered renewal;
       // otherwise this holder and the next would order at the same time.
@@ -133,30 +135,32 @@
     }
     return;
   }
-  const bool Free = m_Known && (!m_Row || m_Row->m_Holder.empty());
-  const bool Lapsed = m_Known && m_Row && !own() &&
-                      m_Now >= m_SeenAt + m_Row->m_Length + m_Config.m_Margin;
-  if (own() && m_Highest <= m_Row->m_Fencing) {
+  const bool IsFree = m_RowKnown && (!m_Row || m_Row->m_Holder.empty());
+  const bool Expired =
+      m_RowKnown && m_Row && !isHolder() &&
+      m_Now >= m_RowSeenAt + m_Row->m_Length + m_Config.m_Margin;
+  if (isHolder() && m_HighestSeen <= m_Row->m_Fencing) {
     write(m_Config.m_Holder, m_Row->m_Fencing);
-  } else if (own() || Free || Lapsed) {
-    write(m_Config.m_Holder, nextFencing());
+  } else if (isHolder() || IsFree || Expired) {
+    write(m_Config.m_Holder, nextFencingNumber());
   } else {
-    m_Calling = true;
-    m_Out.push_back(ReadLease());
+    m_CallInFlight = true;
+    m_Actions.push_back(ReadLease());
   }
 }
 
-FencingNumber LeaseCore::nextFencing() const {
+FencingNumber LeaseCore::nextFencingNumber() const {
   const FencingNumber Last = m_Row ? m_Row->m_Fencing : FencingNumber();
-  return FencingNumber(std::max(Last, m_Highest).value() + 1);
+  return FencingNumber(std::max(Last, m_HighestSeen).value() + 1);
 }
 
 void LeaseCore::write(const HolderId &Holder, FencingNumber Fencing) {
-  const LeaseRow Next{{}, Holder, Fencing, m_Config.m_Length};
+  const LeaseRow NewRow{{}, Holder, Fencing, m_Config.m_Length};
   const platform::RowVersion Expected =
       m_Row ? m_Row->m_Version : platform::RowVersion();
-  m_Calling = true;
-  m_Out.push_back(WriteLease{{m_Config.m_Key, Expected, encodeLease(Next)}});
+  m_CallInFlight = true;
+  m_Actions.push_back(
+      WriteLease{{m_Config.m_Key, Expected, encodeLease(NewRow)}});
 }
 
 } // namespace crowstep::lease
--- a/src/lease/lease_core.h
+++ b/src/lease/lease_core.h
@@ -24,7 +24,7 @@
   /// the lease is not held for so long. \p Now must be read just now, at the
   /// last step before the order goes out.
   [[nodiscard]] std::optional<FencingNumber> mayOrder(TimePoint Now,
-                                                      Duration Limit) const;
+                                                      Duration Timeout) const;
 
 private:
   void on(const LeaseWanted &Event);
@@ -36,24 +36,24 @@
   void on(const OrderEnded &Event);
   void on(const LeaseTick &Event);
 
-  void see(const std::optional<platform::Row> &Row);
-  void step();
+  void applyRow(const std::optional<platform::Row> &Row);
+  void startNextCall();
   void write(const HolderId &Holder, FencingNumber Fencing);
-  [[nodiscard]] FencingNumber nextFencing() const;
-  [[nodiscard]] bool own() const;
-
-  LeaseConfig m_Config;          ///< As given.
-  TimePoint m_Now;               ///< Of the event under way.
-  LeaseActions m_Out;            ///< Of the event under way.
-  bool m_Wanted = false;         ///< By this process.
-  bool m_Known = false;          ///< m_Row is what was seen last.
-  std::optional<LeaseRow> m_Row; ///< None: there is no row.
-  TimePoint m_SeenAt;            ///< When m_Row was first seen as it is.
-  TimePoint m_ValidUntil;        ///< Orders must have ended by then.
-  TimePoint m_NextCall;          ///< No read or renewal before this.
-  FencingNumber m_Highest;       ///< Seen by an upstream.
-  bool m_Calling = false;        ///< A call is under way.
-  std::size_t m_Orders = 0;      ///< Under way.
+  [[nodiscard]] FencingNumber nextFencingNumber() const;
+  [[nodiscard]] bool isHolder() const;
+
+  LeaseConfig m_Config;             ///< As given.
+  TimePoint m_Now;                  ///< Of the event under way.
+  LeaseActions m_Actions;           ///< Of the event under way.
+  bool m_Wanted = false;            ///< By this process.
+  bool m_RowKnown = false;          ///< m_Row is what was seen last.
+  std::optional<LeaseRow> m_Row;    ///< None: there is no row.
+  TimePoint m_RowSeenAt;            ///< When m_Row was first seen as it is.
+  TimePoint m_ValidUntil;           ///< Orders must have ended by then.
+  TimePoint m_NextCallAt;           ///< No read or renewal before this.
+  FencingNumber m_HighestSeen;      ///< Seen by an upstream.
+  bool m_CallInFlight = false;      ///< A call is under way.
+  std::size_t m_OrdersInFlight = 0; ///< Under way.
 };
 
 } // namespace crowstep::lease
--- a/src/lease/lease_error.h
+++ b/src/lease/lease_error.h
@@ -9,8 +9,8 @@
 /// A lease's row can't be read.
 class LeaseRowError : public Error {
 public:
-  explicit LeaseRowError(const std::string &Why)
-      : Error("not a lease: " + Why) {}
+  explicit LeaseRowError(const std::string &Reason)
+      : Error("not a lease: " + Reason) {}
 };
 
 } // namespace crowstep::lease
