--- a/tests/unit/claim_test.cpp
+++ b/tests/unit/claim_test.cpp
@@ -22,17 +22,17 @@
   std::vector<platform::RowOutcome>
   apply(const std::vector<platform::RowWrite> &Writes) {
     std::vector<platform::RowOutcome> Result;
-    for (const platform::RowWrite &Each : Writes) {
-      auto Found = m_Rows.find(Each.m_Key);
+    for (const platform::RowWrite &Write : Writes) {
+      auto Found = m_Rows.find(Write.m_Key);
       const platform::RowVersion Present = Found == m_Rows.end()
                                                ? platform::RowVersion()
                                                : Found->second.m_Version;
-      const bool Written = Present == Each.m_Expected;
+      const bool Written = Present == Write.m_Expected;
       if (Written)
-        m_Rows[Each.m_Key] = {Each.m_Key,
-                              platform::RowVersion(Present.value() + 1),
-                              Each.m_Value};
-      Found = m_Rows.find(Each.m_Key);
+        m_Rows[Write.m_Key] = {Write.m_Key,
+                               platform::RowVersion(Present.value() + 1),
+                               Write.m_Value};
+      Found = m_Rows.find(Write.m_Key);
       Result.push_back({Written, Found == m_Rows.end()
                                      ? std::nullopt
                                      : std::optional(Found->second)});
@@ -52,17 +52,17 @@
 
 /// An entry's attempt at a keyed call, as far as claims go.
 struct Attempt {
-  AttemptId m_Id;        ///< Unique.
-  bool m_Owned = false;  ///< Was told Owned.
-  bool m_GaveUp = false; ///< Gave the claim back; never runs after that.
-  bool m_Ran = false;    ///< Its call ran.
-  ClaimOutcome m_Last;   ///< Last reply.
+  AttemptId m_Id;             ///< Unique.
+  bool m_Owned = false;       ///< Was told Owned.
+  bool m_GivenBack = false;   ///< Gave the claim back; never runs after that.
+  bool m_Ran = false;         ///< Its call ran.
+  ClaimOutcome m_LastOutcome; ///< Last reply.
 };
 
 /// Two homes of one key (one of them stale), several attempts, one table.
-class World {
+class ClaimSimulation {
 public:
-  explicit World(std::uint32_t Seed) : m_Random(Seed) {}
+  explicit ClaimSimulation(std::uint32_t Seed) : m_Random(Seed) {}
 
   void step() {
     m_Now += Duration(chance(20) ? 3s : 5ms);
@@ -70,26 +70,26 @@
     case 0:
       m_Attempts.push_back(
           {"a" + std::to_string(m_Attempts.size()), false, false, false, {}});
-      return ask(m_Attempts.size() - 1);
+      return sendClaim(m_Attempts.size() - 1);
     case 1: // Asked again, perhaps of the other home: a lost reply.
-      return m_Attempts.empty() ? void() : ask(below(m_Attempts.size()));
+      return m_Attempts.empty() ? void() : sendClaim(below(m_Attempts.size()));
     case 2:
-      return finishOne();
+      return runOne();
     case 3:
-      return giveUpOne();
+      return giveBackOne();
     case 4:
     case 5:
     case 6:
     case 7:
-      return endWrite(below(2));
+      return finishWrite(below(2));
     case 8: // A call that was reported lost takes effect now.
-      if (!m_Late.empty()) {
-        m_Table.apply(m_Late.back());
-        m_Late.pop_back();
+      if (!m_DelayedWrites.empty()) {
+        m_Table.apply(m_DelayedWrites.back());
+        m_DelayedWrites.pop_back();
       }
       return;
     default:
-      return feed(below(2), HomeTick());
+      return handle(below(2), HomeTick());
     }
   }
 
@@ -97,120 +97,128 @@
   /// Owned, or whose giving up was not written, gives up again, as ClaimClient
   /// does until it is told Done.
   void recover() {
-    calm();
-    for (std::size_t Of = 0; Of < m_Attempts.size(); ++Of)
-      if (!m_Attempts[Of].m_Owned || m_Attempts[Of].m_GaveUp) {
-        m_Attempts[Of].m_GaveUp = true;
-        request(Of, NotRunWanted{m_Attempts[Of].m_Id});
-        calm();
+    runWithoutFaults();
+    for (std::size_t Index = 0; Index < m_Attempts.size(); ++Index)
+      if (!m_Attempts[Index].m_Owned || m_Attempts[Index].m_GivenBack) {
+        m_Attempts[Index].m_GivenBack = true;
+        sendOperation(Index, NotRunWanted{m_Attempts[Index].m_Id});
+        runWithoutFaults();
       }
   }
 
-  void calm() {
+  void runWithoutFaults() {
     for (int Round = 0; Round < 50; ++Round) {
       m_Now += 50ms;
       for (std::size_t Home = 0; Home < 2; ++Home) {
-        if (m_OnWay[Home])
-          endWrite(Home, 0);
-        feed(Home, HomeTick());
+        if (m_WritesInFlight[Home])
+          finishWrite(Home, 0);
+        handle(Home, HomeTick());
       }
     }
   }
 
-  std::size_t runs() const {
-    return std::count_if(m_Attempts.begin(), m_Attempts.end(),
-                         [](const Attempt &Each) { return Each.m_Ran; });
-  }
-  std::size_t holders() const {
+  std::size_t runCount() const {
     return std::count_if(
         m_Attempts.begin(), m_Attempts.end(),
-        [](const Attempt &Each) { return Each.m_Owned && !Each.m_GaveUp; });
+        [](const Attempt &Candidate) { return Candidate.m_Ran; });
+  }
+  std::size_t holderCount() const {
+    return std::count_if(m_Attempts.begin(), m_Attempts.end(),
+                         [](const Attempt &Candidate) {
+                           return Candidate.m_Owned && !Candidate.m_GivenBack;
+                         });
   }
   const std::vector<Attempt> &attempts() const { return m_Attempts; }
 
   /// Makes one more attempt in calm and returns what it is told.
-  ClaimStatus probe() {
+  ClaimStatus claimOnceMore() {
     m_Attempts.push_back({"probe", false, false, false, {}});
-    ask(m_Attempts.size() - 1);
-    calm();
-    return m_Attempts.back().m_Last.m_Status;
+    sendClaim(m_Attempts.size() - 1);
+    runWithoutFaults();
+    return m_Attempts.back().m_LastOutcome.m_Status;
   }
 
 private:
   std::size_t below(std::size_t Limit) { return m_Random() % Limit; }
   bool chance(std::size_t OneIn) { return below(OneIn) == 0; }
 
-  void request(std::size_t Of, Wanted What) {
+  void sendOperation(std::size_t Index, Wanted Operation) {
     const RequestNumber Number(++m_LastNumber);
-    m_AskedBy[Number] = Of;
-    feed(below(2), RequestCame{Number, "key", std::move(What), {}, 7});
+    m_AttemptOfRequest[Number] = Index;
+    handle(below(2), RequestCame{Number, "key", std::move(Operation), {}, 7});
+  }
+  void sendClaim(std::size_t Index) {
+    sendOperation(Index, ClaimWanted{m_Attempts[Index].m_Id, 7});
   }
-  void ask(std::size_t Of) { request(Of, ClaimWanted{m_Attempts[Of].m_Id, 7}); }
-  void finishOne() {
-    for (std::size_t Of = 0; Of < m_Attempts.size(); ++Of)
-      if (m_Attempts[Of].m_Owned && !m_Attempts[Of].m_GaveUp) {
-        m_Attempts[Of].m_Ran = true;
-        return request(Of, RanWanted{m_Attempts[Of].m_Id, {200, "t", "done"}});
+  void runOne() {
+    for (std::size_t Index = 0; Index < m_Attempts.size(); ++Index)
+      if (m_Attempts[Index].m_Owned && !m_Attempts[Index].m_GivenBack) {
+        m_Attempts[Index].m_Ran = true;
+        return sendOperation(
+            Index, RanWanted{m_Attempts[Index].m_Id, {200, "t", "done"}});
       }
   }
-  void giveUpOne() {
+  void giveBackOne() {
     if (m_Attempts.empty() || below(3) != 0)
       return;
-    const std::size_t Of = below(m_Attempts.size());
-    if (m_Attempts[Of].m_Ran)
+    const std::size_t Index = below(m_Attempts.size());
+    if (m_Attempts[Index].m_Ran)
       return;
-    m_Attempts[Of].m_GaveUp = true;
-    request(Of, NotRunWanted{m_Attempts[Of].m_Id});
+    m_Attempts[Index].m_GivenBack = true;
+    sendOperation(Index, NotRunWanted{m_Attempts[Index].m_Id});
   }
 
   /// Ends the write on its way: 1 refused, 2 answer lost after the effect,
   /// 3 reported lost and still to take effect, others answered.
-  void endWrite(std::size_t Home) { endWrite(Home, below(8)); }
-  void endWrite(std::size_t Home, std::size_t How) {
-    if (!m_OnWay[Home])
+  void finishWrite(std::size_t Home) { finishWrite(Home, below(8)); }
+  void finishWrite(std::size_t Home, std::size_t Fault) {
+    if (!m_WritesInFlight[Home])
       return;
-    const std::vector<platform::RowWrite> Writes = *m_OnWay[Home];
-    m_OnWay[Home].reset();
-    if (How == 0 || How > 3)
-      return feed(Home, WriteEnded{m_Table.apply(Writes)});
-    if (How == 1)
-      return feed(Home, WriteEnded{PlatformFailure::Refused});
-    if (How == 2)
+    const std::vector<platform::RowWrite> Writes = *m_WritesInFlight[Home];
+    m_WritesInFlight[Home].reset();
+    if (Fault == 0 || Fault > 3)
+      return handle(Home, WriteEnded{m_Table.apply(Writes)});
+    if (Fault == 1)
+      return handle(Home, WriteEnded{PlatformFailure::Refused});
+    if (Fault == 2)
       m_Table.apply(Writes);
     else
-      m_Late.push_back(Writes);
-    feed(Home, WriteEnded{PlatformFailure::Uncertain});
+      m_DelayedWrites.push_back(Writes);
+    handle(Home, WriteEnded{PlatformFailure::Uncertain});
   }
 
-  void feed(std::size_t Home, const HomeEvent &What) {
+  void handle(std::size_t Home, const HomeEvent &Event) {
     std::vector<HomeAction> Actions;
-    m_Homes[Home].handle(What, m_Now, Actions);
-    for (const HomeAction &Each : Actions) {
-      if (const auto *Write = std::get_if<StartWrite>(&Each))
-        m_OnWay[Home] = Write->m_Writes;
-      else if (const auto *Read = std::get_if<StartRead>(&Each))
-        feed(Home, ReadEnded{Read->m_Key, m_Table.read(Read->m_Key)});
+    m_Homes[Home].handle(Event, m_Now, Actions);
+    for (const HomeAction &Action : Actions) {
+      if (const auto *Write = std::get_if<StartWrite>(&Action))
+        m_WritesInFlight[Home] = Write->m_Writes;
+      else if (const auto *Read = std::get_if<StartRead>(&Action))
+        handle(Home, ReadEnded{Read->m_Key, m_Table.read(Read->m_Key)});
       else
-        told(std::get<Reply>(Each));
+        onReply(std::get<Reply>(Action));
     }
   }
 
-  void told(const Reply &What) {
-    Attempt &Who = m_Attempts[m_AskedBy.at(What.m_Number)];
-    Who.m_Last = What.m_Outcome;
-    if (What.m_Outcome.m_Status == ClaimStatus::Owned && !Who.m_GaveUp)
-      Who.m_Owned = true;
+  void onReply(const Reply &Action) {
+    Attempt &Requester = m_Attempts[m_AttemptOfRequest.at(Action.m_Number)];
+    Requester.m_LastOutcome = Action.m_Outcome;
+    if (Action.m_Outcome.m_Status == ClaimStatus::Owned &&
+        !Requester.m_GivenBack)
+      Requester.m_Owned = true;
   }
 
   std::mt19937 m_Random; ///< The whole schedule follows from it.
   TimePoint m_Now{1h};   ///< Of all homes.
   FakeTable m_Table;     ///< Shared.
   ClaimHomeCore m_Homes[2] = {ClaimHomeCore({}), ClaimHomeCore({})};
-  std::optional<std::vector<platform::RowWrite>> m_OnWay[2]; ///< Of each home.
-  std::vector<std::vector<platform::RowWrite>> m_Late;       ///< Reported lost.
+  std::optional<std::vector<platform::RowWrite>>
+      m_WritesInFlight[2]; ///< Of each home.
+  std::vector<std::vector<platform::RowWrite>>
+      m_DelayedWrites;             ///< Reported lost.
   std::vector<Attempt> m_Attempts; ///< In the order of their start.
-  std::map<RequestNumber, std::size_t> m_AskedBy; ///< For replies.
-  std::uint64_t m_LastNumber = 0;                 ///< Of requests.
+  std::map<RequestNumber, std::size_t> m_AttemptOfRequest; ///< For replies.
+  std::uint64_t m_LastNumber = 0;                          ///< Of requests.
 };
 
 } // namespace
@@ -221,51 +229,51 @@
 // from an old view. The rider must never get two holds, so that at every
 // moment at most one attempt may believe that it holds the claim.
 RC_BOOST_PROP(NeverTwoHoldersAndNeverTwoRuns, (std::uint32_t Seed)) {
-  World Fleet(Seed);
+  ClaimSimulation Simulation(Seed);
   for (int Step = 0; Step < 200; ++Step) {
-    Fleet.step();
-    RC_ASSERT(Fleet.holders() <= 1U);
-    RC_ASSERT(Fleet.runs() <= 1U);
+    Simulation.step();
+    RC_ASSERT(Simulation.holderCount() <= 1U);
+    RC_ASSERT(Simulation.runCount() <= 1U);
   }
 }
 
 // After the faults the key must not be stuck: whoever asks is told the kept
 // answer, or holds the claim, or is told that a living attempt holds it.
 RC_BOOST_PROP(KeyIsNotStuckAfterFaults, (std::uint32_t Seed)) {
-  World Fleet(Seed);
+  ClaimSimulation Simulation(Seed);
   for (int Step = 0; Step < 200; ++Step)
-    Fleet.step();
-  Fleet.recover();
-  const std::size_t Holders = Fleet.holders();
-  const ClaimStatus Told = Fleet.probe();
-  if (Told == ClaimStatus::InProgress)
+    Simulation.step();
+  Simulation.recover();
+  const std::size_t Holders = Simulation.holderCount();
+  const ClaimStatus Status = Simulation.claimOnceMore();
+  if (Status == ClaimStatus::InProgress)
     RC_ASSERT(Holders == 1U);
   else
-    RC_ASSERT(Told == ClaimStatus::Owned || Told == ClaimStatus::Ran);
+    RC_ASSERT(Status == ClaimStatus::Owned || Status == ClaimStatus::Ran);
 }
 
 BOOST_AUTO_TEST_CASE(RepeatedKeyGetsKeptAnswerAndOtherBodyIsRefused) {
   const ClaimRow Ran{ClaimState::Ran, "a", 7, {200, "application/json", "{}"}};
-  const RowVerdict Same = judge(ClaimWanted{"b", 7}, Ran);
-  BOOST_TEST((std::get<ClaimOutcome>(Same).m_Status == ClaimStatus::Ran));
-  BOOST_TEST((std::get<ClaimOutcome>(Same).m_Answer == Ran.m_Answer));
-  const RowVerdict Other = judge(ClaimWanted{"b", 8}, Ran);
+  const RowVerdict SameBody = judge(ClaimWanted{"b", 7}, Ran);
+  BOOST_TEST((std::get<ClaimOutcome>(SameBody).m_Status == ClaimStatus::Ran));
+  BOOST_TEST((std::get<ClaimOutcome>(SameBody).m_Answer == Ran.m_Answer));
+  const RowVerdict OtherBody = judge(ClaimWanted{"b", 8}, Ran);
   BOOST_TEST(
-      (std::get<ClaimOutcome>(Other).m_Status == ClaimStatus::OtherBody));
+      (std::get<ClaimOutcome>(OtherBody).m_Status == ClaimStatus::OtherBody));
 }
 
 // The answer to an entry's insert is lost and it asks again: it must learn that
 // it holds the claim, else a rider's hold is refused for a day. A copy of the
 // request that arrives after the attempt gave up must not take the claim.
 BOOST_AUTO_TEST_CASE(AskingTwiceIsIdempotent) {
-  const ClaimRow Mine{ClaimState::Claimed, "a", 7, {}};
-  const RowVerdict Again = judge(ClaimWanted{"a", 7}, Mine);
-  BOOST_TEST((std::get<ClaimOutcome>(Again).m_Status == ClaimStatus::Owned));
+  const ClaimRow Claimed{ClaimState::Claimed, "a", 7, {}};
+  const RowVerdict Repeated = judge(ClaimWanted{"a", 7}, Claimed);
+  BOOST_TEST((std::get<ClaimOutcome>(Repeated).m_Status == ClaimStatus::Owned));
   const ClaimRow GivenBack{ClaimState::NotRun, "a", 7, {}};
-  const RowVerdict Late = judge(ClaimWanted{"a", 7}, GivenBack);
-  BOOST_TEST(std::holds_alternative<ClaimOutcome>(Late));
-  const RowVerdict Fresh = judge(ClaimWanted{"b", 7}, GivenBack);
-  BOOST_TEST(std::holds_alternative<RowChange>(Fresh));
+  const RowVerdict LateCopy = judge(ClaimWanted{"a", 7}, GivenBack);
+  BOOST_TEST(std::holds_alternative<ClaimOutcome>(LateCopy));
+  const RowVerdict NewAttempt = judge(ClaimWanted{"b", 7}, GivenBack);
+  BOOST_TEST(std::holds_alternative<RowChange>(NewAttempt));
 }
 
 BOOST_AUTO_TEST_CASE(RowsOfThisFormatAreReadBackAndNewerOnesRefused) {
@@ -284,20 +292,20 @@
   std::size_t Calls = 0;
   std::size_t Owned = 0;
   for (std::uint64_t Step = 0; Step < 1000; ++Step, Now += 1ms) {
-    std::vector<HomeAction> Todo;
+    std::vector<HomeAction> Actions;
     Home.handle(RequestCame{RequestNumber(Step),
                             "k" + std::to_string(Step),
                             ClaimWanted{"a" + std::to_string(Step), 7},
                             {},
                             0},
-                Now, Todo);
-    Home.handle(HomeTick(), Now, Todo);
-    for (std::size_t Index = 0; Index < Todo.size(); ++Index)
-      if (const auto *Write = std::get_if<StartWrite>(&Todo[Index])) {
+                Now, Actions);
+    Home.handle(HomeTick(), Now, Actions);
+    for (std::size_t Index = 0; Index < Actions.size(); ++Index)
+      if (const auto *Write = std::get_if<StartWrite>(&Actions[Index])) {
         ++Calls;
         const auto Outcomes = Table.apply(Write->m_Writes);
-        Home.handle(WriteEnded{Outcomes}, Now, Todo);
-      } else if (std::holds_alternative<Reply>(Todo[Index])) {
+        Home.handle(WriteEnded{Outcomes}, Now, Actions);
+      } else if (std::holds_alternative<Reply>(Actions[Index])) {
         ++Owned;
       }
   }
--- a/tests/unit/lease_test.cpp
+++ b/tests/unit/lease_test.cpp
@@ -15,27 +15,27 @@
 
 namespace {
 
-constexpr milliseconds OrderLimit{500};
+constexpr milliseconds OrderTimeout{500};
 
 /// An order as an engine sees it.
-struct SeenOrder {
+struct ObservedOrder {
   FencingNumber m_Fencing; ///< Its number.
-  TimePoint m_Begin;       ///< Sent.
-  TimePoint m_End;         ///< Reached the engine.
+  TimePoint m_SentAt;      ///< Sent.
+  TimePoint m_ArrivedAt;   ///< Reached the engine.
 };
 
 /// Holders that compete for one lease over a table service that loses answers
 /// and delays writes; orders go to engines that check and that ignore numbers.
-class Contest {
+class LeaseSimulation {
 public:
-  Contest(std::size_t Holders, std::uint64_t Seed) : m_Random(Seed) {
+  LeaseSimulation(std::size_t Holders, std::uint64_t Seed) : m_Random(Seed) {
     for (std::size_t Index = 0; Index < Holders; ++Index) {
       LeaseConfig Config;
       Config.m_Key = "k";
       Config.m_Holder = "holder-" + std::to_string(Index);
       m_Cores.push_back(std::make_unique<LeaseCore>(Config));
       m_Paused.push_back(false);
-      m_Late.emplace_back();
+      m_DelayedEvents.emplace_back();
       tick(Index);
     }
   }
@@ -47,56 +47,60 @@
   void pause(std::size_t Index) { m_Paused[Index] = true; }
   void resume(std::size_t Index) {
     m_Paused[Index] = false;
-    for (const LeaseEvent &Event : std::exchange(m_Late[Index], {}))
+    for (const LeaseEvent &Event : std::exchange(m_DelayedEvents[Index], {}))
       deliver(Index, Event);
   }
-  void want(std::size_t Index, bool Wanted) {
+  void setWanted(std::size_t Index, bool Wanted) {
     deliver(Index, LeaseWanted{Wanted});
   }
 
-  std::vector<SeenOrder> m_Ignoring;     ///< On an engine that checks nothing.
-  std::vector<FencingNumber> m_Checking; ///< Carried out where they check.
-  std::map<FencingNumber, std::set<std::size_t>> m_Users; ///< Of each number.
+  std::vector<ObservedOrder>
+      m_UncheckedOrders; ///< On an engine that checks nothing.
+  std::vector<FencingNumber>
+      m_CheckedNumbers; ///< Carried out where they check.
+  std::map<FencingNumber, std::set<std::size_t>>
+      m_HoldersByNumber; ///< Of each number.
   int m_LossPercent = 0; ///< Of answers to calls.
 
 private:
   void deliver(std::size_t Index, const LeaseEvent &Event) {
     if (m_Paused[Index]) {
-      m_Late[Index].push_back(Event);
+      m_DelayedEvents[Index].push_back(Event);
       return;
     }
     for (const LeaseAction &Action :
          m_Cores[Index]->handle(m_Clock.now(), Event))
-      std::visit([&](const auto &Each) { act(Index, Each); }, Action);
+      std::visit([&](const auto &Alternative) { carryOut(Index, Alternative); },
+                 Action);
   }
   void tick(std::size_t Index) {
     m_Timers.after(milliseconds(100), [this, Index] {
       if (!m_Paused[Index]) {
         deliver(Index, LeaseTick());
-        order(Index);
+        trySendOrder(Index);
       }
       tick(Index);
     });
   }
-  void order(std::size_t Index) {
+  void trySendOrder(std::size_t Index) {
     const TimePoint Now = m_Clock.now();
-    const auto Fencing = m_Cores[Index]->mayOrder(Now, OrderLimit);
+    const auto Fencing = m_Cores[Index]->mayOrder(Now, OrderTimeout);
     if (!Fencing || draw(3) != 0)
       return;
-    m_Users[*Fencing].insert(Index);
+    m_HoldersByNumber[*Fencing].insert(Index);
     deliver(Index, OrderStarted());
     const auto Delay = milliseconds(draw(500));
     m_Timers.after(Delay, [this, Index, Now, Fencing] {
-      m_Ignoring.push_back({*Fencing, Now, m_Clock.now()});
+      m_UncheckedOrders.push_back({*Fencing, Now, m_Clock.now()});
       deliver(Index, OrderEnded());
     });
     // To engines that check, orders may come as late as they like.
     m_Timers.after(milliseconds(draw(20000)), [this, Fencing] {
-      if (m_Checking.empty() || *Fencing >= m_Checking.back())
-        m_Checking.push_back(*Fencing);
+      if (m_CheckedNumbers.empty() || *Fencing >= m_CheckedNumbers.back())
+        m_CheckedNumbers.push_back(*Fencing);
     });
   }
-  void act(std::size_t Index, const ReadLease &) {
+  void carryOut(std::size_t Index, const ReadLease &) {
     const bool Lost = draw(100) < m_LossPercent;
     m_Timers.after(milliseconds(draw(300)), [this, Index, Lost] {
       const LeaseEvent Result =
@@ -105,7 +109,7 @@
                      [this, Index, Result] { deliver(Index, Result); });
     });
   }
-  void act(std::size_t Index, const WriteLease &Action) {
+  void carryOut(std::size_t Index, const WriteLease &Action) {
     const bool Lost = draw(100) < m_LossPercent;
     const TimePoint SentAt = m_Clock.now();
     m_Timers.after(milliseconds(Lost ? draw(4000) : draw(300)),
@@ -129,70 +133,73 @@
     return {true, m_Row};
   }
 
-  ManualClock m_Clock;                             ///< Of all.
-  ManualScheduler m_Timers{m_Clock};               ///< Everything delayed.
-  std::mt19937_64 m_Random;                        ///< From the seed.
-  std::optional<platform::Row> m_Row;              ///< The lease.
-  std::vector<std::unique_ptr<LeaseCore>> m_Cores; ///< The holders.
-  std::vector<bool> m_Paused;                      ///< Frozen.
-  std::vector<std::vector<LeaseEvent>> m_Late;     ///< While frozen.
+  ManualClock m_Clock;                                  ///< Of all.
+  ManualScheduler m_Timers{m_Clock};                    ///< Everything delayed.
+  std::mt19937_64 m_Random;                             ///< From the seed.
+  std::optional<platform::Row> m_Row;                   ///< The lease.
+  std::vector<std::unique_ptr<LeaseCore>> m_Cores;      ///< The holders.
+  std::vector<bool> m_Paused;                           ///< Frozen.
+  std::vector<std::vector<LeaseEvent>> m_DelayedEvents; ///< While frozen.
 };
 
 /// Holders freeze while they hold the lease, and wake up; answers get lost
 /// after the effect. An engine that ignores numbers must never get an order of
 /// an old holder once one of a newer holder was sent; one that checks must
 /// never carry out an old one after a new one; no number has two users.
-void contend(std::uint64_t Seed) {
-  Contest Of(3, Seed);
+void checkRandomSchedule(std::uint64_t Seed) {
+  LeaseSimulation Simulation(3, Seed);
   for (int Step = 0; Step < 60; ++Step) {
-    const auto Index = static_cast<std::size_t>(Of.draw(3));
-    switch (Of.draw(6)) {
+    const auto Index = static_cast<std::size_t>(Simulation.draw(3));
+    switch (Simulation.draw(6)) {
     case 0:
-      Of.pause(Index);
+      Simulation.pause(Index);
       break;
     case 1:
-      Of.want(Index, Of.draw(4) == 0);
+      Simulation.setWanted(Index, Simulation.draw(4) == 0);
       break;
     case 2:
-      Of.m_LossPercent = Of.draw(2) * 40;
+      Simulation.m_LossPercent = Simulation.draw(2) * 40;
       break;
     default:
-      Of.resume(Index);
-      Of.want(Index, true);
+      Simulation.resume(Index);
+      Simulation.setWanted(Index, true);
     }
-    Of.run(milliseconds(Of.draw(5000)));
+    Simulation.run(milliseconds(Simulation.draw(5000)));
   }
   for (std::size_t Index = 0; Index < 3; ++Index)
-    Of.resume(Index);
-  Of.m_LossPercent = 0;
-  Of.want(0, true);
-  const std::size_t Before = Of.m_Ignoring.size();
-  Of.run(seconds(30));
-  RC_ASSERT(Of.m_Ignoring.size() > Before); // The lease is never stuck.
-  std::map<FencingNumber, TimePoint> Begins;
-  for (const SeenOrder &Each : Of.m_Ignoring)
-    if (!Begins.contains(Each.m_Fencing) ||
-        Each.m_Begin < Begins[Each.m_Fencing])
-      Begins[Each.m_Fencing] = Each.m_Begin;
-  for (const SeenOrder &Each : Of.m_Ignoring) {
-    const auto Newer = Begins.upper_bound(Each.m_Fencing);
-    RC_ASSERT(Newer == Begins.end() || Each.m_End <= Newer->second);
+    Simulation.resume(Index);
+  Simulation.m_LossPercent = 0;
+  Simulation.setWanted(0, true);
+  const std::size_t CountBefore = Simulation.m_UncheckedOrders.size();
+  Simulation.run(seconds(30));
+  RC_ASSERT(Simulation.m_UncheckedOrders.size() >
+            CountBefore); // The lease is never stuck.
+  std::map<FencingNumber, TimePoint> FirstSentAt;
+  for (const ObservedOrder &Order : Simulation.m_UncheckedOrders)
+    if (!FirstSentAt.contains(Order.m_Fencing) ||
+        Order.m_SentAt < FirstSentAt[Order.m_Fencing])
+      FirstSentAt[Order.m_Fencing] = Order.m_SentAt;
+  for (const ObservedOrder &Order : Simulation.m_UncheckedOrders) {
+    const auto NextNumber = FirstSentAt.upper_bound(Order.m_Fencing);
+    RC_ASSERT(NextNumber == FirstSentAt.end() ||
+              Order.m_ArrivedAt <= NextNumber->second);
   }
-  RC_ASSERT(std::is_sorted(Of.m_Checking.begin(), Of.m_Checking.end()));
-  for (const auto &Each : Of.m_Users)
-    RC_ASSERT(Each.second.size() == 1U);
+  RC_ASSERT(std::is_sorted(Simulation.m_CheckedNumbers.begin(),
+                           Simulation.m_CheckedNumbers.end()));
+  for (const auto &Entry : Simulation.m_HoldersByNumber)
+    RC_ASSERT(Entry.second.size() == 1U);
 }
 
 } // namespace
 
 RC_BOOST_PROP(AnOldHolderIsSilentBeforeANewOneStarts, (std::uint64_t Seed)) {
-  contend(Seed);
+  checkRandomSchedule(Seed);
 }
 
 /// A holder that released the lease wanted it again before the release was
 /// answered, and went on under its old validity beside the next holder.
 BOOST_AUTO_TEST_CASE(AReleaseUnderWayEndsTheValidity) {
-  BOOST_CHECK_NO_THROW(contend(523098097885));
+  BOOST_CHECK_NO_THROW(checkRandomSchedule(523098097885));
 }
 
 /// The order under way may still reach the engine: a release before its end
@@ -208,7 +215,7 @@
   const auto &Write = std::get<WriteLease>(Take.at(0)).m_Write;
   const platform::Row Row{"k", platform::RowVersion(1), Write.m_Value};
   Core.handle(Now, LeaseWritten{Now, {true, Row}});
-  BOOST_TEST(Core.mayOrder(Now, OrderLimit).has_value());
+  BOOST_TEST(Core.mayOrder(Now, OrderTimeout).has_value());
   Core.handle(Now, OrderStarted());
   const TimePoint Later = Now + seconds(3);
   BOOST_TEST(Core.handle(Later, LeaseWanted{false}).empty());
@@ -248,8 +255,8 @@
 class FakeEngine final : public HttpCaller {
 public:
   explicit FakeEngine(Scheduler &Timers) : m_Timers(Timers) {}
-  void call(const HttpCall &What, Done OnDone) override {
-    m_Bodies.push_back(What.m_Body);
+  void call(const HttpCall &Call, Done OnDone) override {
+    m_Bodies.push_back(Call.m_Body);
     HttpResult Result = HttpAnswer{200, "{}", {}};
     if (!m_Answers.empty()) {
       Result = m_Answers.front();
@@ -274,7 +281,7 @@
   }
   void load() {
     m_Orders->order({{1, 2}, OrderKind::LoadModel, "guide-1"},
-                    [this](OrderOutcome) { ++m_Done; });
+                    [this](OrderOutcome) { ++m_DoneCount; });
   }
   ManualClock m_Clock;                    ///< Of the test.
   ManualScheduler m_Timers{m_Clock};      ///< Of the test.
@@ -282,7 +289,7 @@
   FakeEngine m_Engine{m_Timers};          ///< Gets the orders.
   Metrics m_Stats;                        ///< Of the orders.
   std::unique_ptr<EngineOrders> m_Orders; ///< Under test.
-  int m_Done = 0;                         ///< Orders with an outcome.
+  int m_DoneCount = 0;                    ///< Orders with an outcome.
 };
 
 } // namespace
@@ -296,7 +303,7 @@
   BOOST_TEST(m_Engine.m_Bodies.size() <= 7U);
   BOOST_TEST(m_Engine.m_Bodies.size() >= 5U);
   m_Timers.advance(seconds(5));
-  BOOST_TEST(m_Done == 20);
+  BOOST_TEST(m_DoneCount == 20);
   BOOST_TEST(m_Orders->pending() == 0U);
 }
 
@@ -307,7 +314,7 @@
   BOOST_TEST(m_Engine.m_Bodies.size() == 1U);
   m_Timers.advance(seconds(1));
   BOOST_TEST(m_Engine.m_Bodies.size() == 2U);
-  BOOST_TEST(m_Done == 1);
+  BOOST_TEST(m_DoneCount == 1);
 }
 
 /// The table service was restored and hands out number 1 again; the engine has
@@ -316,7 +323,7 @@
   m_Engine.m_Answers.emplace_back(HttpAnswer{409, R"({"fencing":41})", {}});
   load();
   m_Timers.advance(seconds(2));
-  BOOST_TEST(m_Done == 1);
+  BOOST_TEST(m_DoneCount == 1);
   BOOST_TEST(m_Engine.m_Bodies.back().find("\"fencing\":42") !=
              std::string::npos);
 }
