--- a/src/claim/claim_client.cpp
+++ b/src/claim/claim_client.cpp
@@ -14,7 +14,7 @@
 constexpr Duration TickInterval = 50ms;
 /// A home answers within a window and a write to the table service; later than
 /// this the reply is taken for lost.
-constexpr Duration ReplyLimit = 1s;
+constexpr Duration ReplyTimeout = 1s;
 /// Between two requests while the table service is down: a claim has a target
 /// to meet; a record may wait, and thousands of them must not crowd the table
 /// service when it comes back.
@@ -22,8 +22,8 @@
 constexpr Duration RecordRetryInterval = 2s;
 /// A record is tried until the claim itself is forgotten; the caller has had
 /// its answer, and only a repetition of the key waits for it.
-constexpr Duration RecordLimit = ClaimLifetime;
-constexpr Duration ReadLimit = 1s;
+constexpr Duration RecordTimeout = ClaimLifetime;
+constexpr Duration ReadTimeout = 1s;
 
 using wire::textOf;
 
@@ -54,7 +54,7 @@
   Request.op = wire::ClaimOp::NotRun;
   Request.key = Key;
   Request.attempt = Attempt;
-  add(std::move(Request), RecordLimit, std::move(OnDone));
+  add(std::move(Request), RecordTimeout, std::move(OnDone));
 }
 
 void ClaimClient::recordRan(const ClaimKey &Key, const AttemptId &Attempt,
@@ -66,7 +66,7 @@
   Request.answer = Answer.m_Body;
   Request.answer_status = Answer.m_Status;
   Request.answer_type = Answer.m_ContentType;
-  add(std::move(Request), RecordLimit, std::move(OnDone));
+  add(std::move(Request), RecordTimeout, std::move(OnDone));
 }
 
 void ClaimClient::read(const ClaimKey &Key, std::uint64_t BodyHash,
@@ -75,7 +75,7 @@
   Request.op = wire::ClaimOp::Read;
   Request.key = Key;
   Request.body_hash = BodyHash;
-  add(std::move(Request), ReadLimit, std::move(OnDone));
+  add(std::move(Request), ReadTimeout, std::move(OnDone));
 }
 
 void ClaimClient::add(wire::ClaimRequestT Request, Duration Limit,
@@ -101,7 +101,7 @@
 void ClaimClient::send(PendingRequest &Request) {
   const std::optional<link::LinkId> Home =
       m_FindHome(homeIndexOf(Request.m_Request.key));
-  Request.m_ResendAt = m_Clock.now() + (Home ? ReplyLimit : TickInterval);
+  Request.m_ResendAt = m_Clock.now() + (Home ? ReplyTimeout : TickInterval);
   if (!Home)
     return;
   Request.m_Sent = true;
@@ -144,10 +144,10 @@
   PendingRequest &Request = Found->second;
   ClaimOutcome Outcome;
   Outcome.m_Status = static_cast<ClaimStatus>(Reply.status());
-  const bool ServiceDown = Outcome.m_Status == ClaimStatus::Unavailable ||
-                           Outcome.m_Status == ClaimStatus::Uncertain;
+  const bool ServiceFailed = Outcome.m_Status == ClaimStatus::Unavailable ||
+                             Outcome.m_Status == ClaimStatus::Uncertain;
   const bool IsRead = Request.m_Request.op == wire::ClaimOp::Read;
-  if (ServiceDown && !IsRead) {
+  if (ServiceFailed && !IsRead) {
     // The table service is down: the request waits while its target allows.
     Request.m_Uncertain =
         Request.m_Uncertain || Outcome.m_Status == ClaimStatus::Uncertain;
