--- a/src/claim/claim_row.cpp
+++ b/src/claim/claim_row.cpp
@@ -38,7 +38,7 @@
     return ClaimState::NotRun;
   if (Name == "ran")
     return ClaimState::Ran;
-  throw ClaimRowError("no such state: " + Name);
+  throw ClaimRowError("unknown state " + Name);
 }
 
 ClaimOutcome outcome(ClaimStatus Status) { return {Status, {}}; }
@@ -139,7 +139,7 @@
   try {
     const json Value = json::parse(Json);
     if (Value.at("format").get<int>() > RowFormat)
-      throw ClaimRowError("of a newer format");
+      throw ClaimRowError("format is newer than this build reads");
     ClaimRow Row;
     Row.m_State = stateOf(Value.at("state").get<std::string>());
     Row.m_Attempt = Value.at("attempt").get<std::string>();
--- a/src/claim/claim_row.h
+++ b/src/claim/claim_row.h
@@ -16,7 +16,7 @@
 class ClaimRowError : public Error {
 public:
   explicit ClaimRowError(const std::string &Reason)
-      : Error("claim row: " + Reason) {}
+      : Error("cannot read claim row: " + Reason) {}
 };
 
 /// Progress of the claimed call.
--- a/src/lease/lease_core.cpp
+++ b/src/lease/lease_core.cpp
@@ -31,7 +31,7 @@
   try {
     const json Value = json::parse(Row.m_Value);
     if (Value.at("format").get<std::int64_t>() != LeaseFormat)
-      throw LeaseRowError("format " + Value.at("format").dump());
+      throw LeaseRowError("unsupported format " + Value.at("format").dump());
     return {Row.m_Version, Value.at("holder").get<std::string>(),
             FencingNumber(Value.at("fencing").get<std::uint64_t>()),
             milliseconds(Value.at("length_ms").get<std::int64_t>())};
--- a/src/lease/lease_error.h
+++ b/src/lease/lease_error.h
@@ -10,7 +10,7 @@
 class LeaseRowError : public Error {
 public:
   explicit LeaseRowError(const std::string &Reason)
-      : Error("not a lease: " + Reason) {}
+      : Error("cannot read lease row: " + Reason) {}
 };
 
 } // namespace crowstep::lease
