--- a/src/lease/engine_orders.cpp
+++ b/src/lease/engine_orders.cpp
@@ -54,7 +54,7 @@
   Impl(OrderConfig Config, const Clock &Time, Scheduler &Timers,
        platform::TableService &Store, HttpCaller &Http, Metrics &Stats)
       : m_Config(std::move(Config)), m_Clock(Time), m_Store(Store),
-        m_Http(Http), m_Core(m_Config.m_Lease),
+        m_HttpClient(Http), m_Core(m_Config.m_Lease),
         m_LoadBucket(m_Config.m_LoadInterval, m_Config.m_LoadBurst, Time.now()),
         m_Timer(Timers),
         m_Sent(Stats.counter("crowstep_orders_total", {{"event", "sent"}})),
@@ -178,13 +178,13 @@
              {{"order", nameOf(Next.m_Order.m_Kind)},
               {"engine", toString(Next.m_Order.m_Engine)},
               {"fencing", std::to_string(Fencing.value())}});
-    m_Http.call(Call, guarded<HttpResult>([this, Next = std::move(Next)](
-                                              const HttpResult &Result) {
-                  --m_InFlight;
-                  handle(OrderEnded());
-                  handleResult(Next, Result);
-                  processQueue();
-                }));
+    m_HttpClient.call(Call, guarded<HttpResult>([this, Next = std::move(Next)](
+                                                    const HttpResult &Result) {
+                        --m_InFlight;
+                        handle(OrderEnded());
+                        handleResult(Next, Result);
+                        processQueue();
+                      }));
   }
 
   void handleResult(const PendingOrder &Sent, const HttpResult &Result) {
@@ -216,7 +216,7 @@
   OrderConfig m_Config;            ///< As given.
   const Clock &m_Clock;            ///< Read anew before each order.
   platform::TableService &m_Store; ///< Holds the lease.
-  HttpCaller &m_Http;              ///< Sends orders.
+  HttpCaller &m_HttpClient;        ///< Sends orders.
   LeaseCore m_Core;                ///< State machine of the lease.
   TokenBucket m_LoadBucket;        ///< Limits loads from the weight store.
   Timer m_Timer;                   ///< Of ticks.
--- a/tests/unit/claim_test.cpp
+++ b/tests/unit/claim_test.cpp
@@ -54,7 +54,7 @@
 struct Attempt {
   AttemptId m_Id;             ///< Unique.
   bool m_Owned = false;       ///< Got the reply Owned.
-  bool m_GivenBack = false;   ///< Gave the claim back; must not run.
+  bool m_Released = false;    ///< Gave the claim back; must not run.
   bool m_Ran = false;         ///< Its call ran.
   ClaimOutcome m_LastOutcome; ///< Last reply.
 };
@@ -76,7 +76,7 @@
     case 2:
       return runOne();
     case 3:
-      return giveBackOne();
+      return releaseOne();
     case 4:
     case 5:
     case 6:
@@ -99,8 +99,8 @@
   void recover() {
     runWithoutFaults();
     for (std::size_t Index = 0; Index < m_Attempts.size(); ++Index)
-      if (!m_Attempts[Index].m_Owned || m_Attempts[Index].m_GivenBack) {
-        m_Attempts[Index].m_GivenBack = true;
+      if (!m_Attempts[Index].m_Owned || m_Attempts[Index].m_Released) {
+        m_Attempts[Index].m_Released = true;
         sendOperation(Index, NotRunWanted{m_Attempts[Index].m_Id});
         runWithoutFaults();
       }
@@ -125,7 +125,7 @@
   std::size_t holderCount() const {
     return std::count_if(m_Attempts.begin(), m_Attempts.end(),
                          [](const Attempt &Candidate) {
-                           return Candidate.m_Owned && !Candidate.m_GivenBack;
+                           return Candidate.m_Owned && !Candidate.m_Released;
                          });
   }
   const std::vector<Attempt> &attempts() const { return m_Attempts; }
@@ -152,19 +152,19 @@
   }
   void runOne() {
     for (std::size_t Index = 0; Index < m_Attempts.size(); ++Index)
-      if (m_Attempts[Index].m_Owned && !m_Attempts[Index].m_GivenBack) {
+      if (m_Attempts[Index].m_Owned && !m_Attempts[Index].m_Released) {
         m_Attempts[Index].m_Ran = true;
         return sendOperation(
             Index, RanWanted{m_Attempts[Index].m_Id, {200, "t", "done"}});
       }
   }
-  void giveBackOne() {
+  void releaseOne() {
     if (m_Attempts.empty() || below(3) != 0)
       return;
     const std::size_t Index = below(m_Attempts.size());
     if (m_Attempts[Index].m_Ran)
       return;
-    m_Attempts[Index].m_GivenBack = true;
+    m_Attempts[Index].m_Released = true;
     sendOperation(Index, NotRunWanted{m_Attempts[Index].m_Id});
   }
 
@@ -204,7 +204,7 @@
     Attempt &Requester = m_Attempts[m_AttemptOfRequest.at(Action.m_Number)];
     Requester.m_LastOutcome = Action.m_Outcome;
     if (Action.m_Outcome.m_Status == ClaimStatus::Owned &&
-        !Requester.m_GivenBack)
+        !Requester.m_Released)
       Requester.m_Owned = true;
   }
 
@@ -271,10 +271,10 @@
   const ClaimRow Claimed{ClaimState::Claimed, "a", 7, {}};
   const RowVerdict Repeated = judge(ClaimWanted{"a", 7}, Claimed);
   BOOST_TEST((std::get<ClaimOutcome>(Repeated).m_Status == ClaimStatus::Owned));
-  const ClaimRow GivenBack{ClaimState::NotRun, "a", 7, {}};
-  const RowVerdict LateCopy = judge(ClaimWanted{"a", 7}, GivenBack);
+  const ClaimRow Released{ClaimState::NotRun, "a", 7, {}};
+  const RowVerdict LateCopy = judge(ClaimWanted{"a", 7}, Released);
   BOOST_TEST(std::holds_alternative<ClaimOutcome>(LateCopy));
-  const RowVerdict NewAttempt = judge(ClaimWanted{"b", 7}, GivenBack);
+  const RowVerdict NewAttempt = judge(ClaimWanted{"b", 7}, Released);
   BOOST_TEST(std::holds_alternative<RowChange>(NewAttempt));
 }
 
