--- a/src/claim/claim_client.cpp
+++ b/src/claim/claim_client.cpp
@@ -175,7 +175,7 @@
   m_Pending.erase(Found);
   // A copy that was sent earlier may still claim the key for this attempt,
   // which has ended. Later uses of the key would then get "in progress" until
-  // the claim expires; giving it back at once prevents that.
+  // the claim expires; releasing it at once prevents that.
   const bool LateCopyMayClaim = Request.m_Request.op == wire::ClaimOp::Claim &&
                                 Outcome.m_Status != ClaimStatus::Owned &&
                                 Request.m_Uncertain;
--- a/src/claim/claim_row.cpp
+++ b/src/claim/claim_row.cpp
@@ -52,7 +52,7 @@
   return outcome(ClaimStatus::InProgress);
 }
 
-/// Decides one operation on the present row.
+/// Decides one operation on the current row.
 class RowDecider {
 public:
   explicit RowDecider(const std::optional<ClaimRow> &Row) : m_Row(Row) {}
@@ -67,8 +67,8 @@
     // The answer to the first insert was lost, or the request is a duplicate.
     if (SameAttempt && m_Row->m_State == ClaimState::Claimed)
       return outcome(ClaimStatus::Owned);
-    // A late duplicate of a request whose attempt has given the claim back. If
-    // it took the claim again, nobody would run the call or release the claim.
+    // A late duplicate of a request whose attempt has released the claim. If it
+    // took the claim again, nobody would run the call or release the claim.
     if (SameAttempt && m_Row->m_State == ClaimState::NotRun)
       return outcome(ClaimStatus::InProgress);
     const bool IsFree = m_Row->m_State == ClaimState::NotRun &&
@@ -99,7 +99,7 @@
     if (SameAttempt && m_Row->m_State == ClaimState::Ran)
       return outcome(ClaimStatus::Done);
     // A claim is never taken from its holder: the row was deleted by hand or
-    // has expired, or this attempt gave the claim back. There is no row left
+    // has expired, or this attempt released the claim. There is no row left
     // to record the answer in.
     if (!SameAttempt || m_Row->m_State == ClaimState::NotRun)
       return outcome(ClaimStatus::InProgress);
--- a/src/claim/claim_row.h
+++ b/src/claim/claim_row.h
@@ -22,7 +22,7 @@
 /// Progress of the claimed call.
 enum class ClaimState : std::uint8_t {
   Claimed, ///< An attempt holds the claim; its call may run.
-  NotRun,  ///< The last attempt gave it back: its call never ran.
+  NotRun,  ///< The last attempt released it: its call never ran.
   Ran,     ///< The call ran; its answer is in the row.
 };
 
@@ -47,7 +47,7 @@
   std::uint64_t m_BodyHash = 0; ///< Of its call's body.
 };
 struct NotRunWanted {
-  AttemptId m_Attempt; ///< Attempt that gives the claim back.
+  AttemptId m_Attempt; ///< Attempt that releases the claim.
 };
 struct RanWanted {
   AttemptId m_Attempt; ///< Attempt whose call ran.
@@ -60,14 +60,14 @@
 
 /// New content of the row; the operation is done once it is written.
 struct RowChange {
-  ClaimRow m_Row;           ///< Replaces the present row.
+  ClaimRow m_Row;           ///< Replaces the current row.
   ClaimOutcome m_IfWritten; ///< Reply once the row is written.
 };
 
 /// Either a change to write, or the reply where nothing is to be written.
 using RowVerdict = std::variant<RowChange, ClaimOutcome>;
 
-/// Decides \p Operation on the present row \p Row (none: there is no row).
+/// Decides \p Operation on the current row \p Row (none: there is no row).
 /// A row in state Claimed is changed only by the attempt that wrote it; this
 /// rule alone makes a call run at most once.
 RowVerdict judge(const Wanted &Operation, const std::optional<ClaimRow> &Row);
--- a/src/claim/claim_type.h
+++ b/src/claim/claim_type.h
@@ -64,7 +64,7 @@
   virtual void claim(const ClaimKey &Key, std::uint64_t BodyHash,
                      const AttemptId &Attempt, Duration Limit, Done OnDone) = 0;
 
-  /// Gives the claim back: the call provably never ran, and any attempt may
+  /// Releases the claim: the call provably never ran, and any attempt may
   /// claim the key again. Done, Uncertain, or Unavailable if it was never
   /// sent.
   virtual void recordNotRun(const ClaimKey &Key, const AttemptId &Attempt,
--- a/tests/unit/claim_test.cpp
+++ b/tests/unit/claim_test.cpp
@@ -54,7 +54,7 @@
 struct Attempt {
   AttemptId m_Id;             ///< Unique.
   bool m_Owned = false;       ///< Got the reply Owned.
-  bool m_Released = false;    ///< Gave the claim back; must not run.
+  bool m_Released = false;    ///< Released the claim; must not run.
   bool m_Ran = false;         ///< Its call ran.
   ClaimOutcome m_LastOutcome; ///< Last reply.
 };
@@ -94,8 +94,8 @@
   }
 
   /// Ends all faults: calls are answered. An attempt that did not get Owned, or
-  /// that gave its claim back, gives it back again, as ClaimClient does until
-  /// it gets Done.
+  /// that released its claim, releases it again, as ClaimClient does until it
+  /// gets Done.
   void recover() {
     runWithoutFaults();
     for (std::size_t Index = 0; Index < m_Attempts.size(); ++Index)
@@ -224,7 +224,7 @@
 } // namespace
 
 // A call is resent through other entries while the first attempt waits, holds
-// the claim, runs or has given the claim back. Answers of the table service are
+// the claim, runs or has released the claim. Answers of the table service are
 // lost after the effect, writes take effect late, and a second home works from
 // an outdated view. The call must never run twice, so at any time at most one
 // attempt may believe that it holds the claim.
@@ -265,8 +265,8 @@
 
 // An entry whose insert took effect but whose answer was lost resends the
 // request. It must get Owned; otherwise the key is unusable for a day, until
-// the claim expires. A copy of the request that arrives after the attempt gave
-// the claim back must not take the claim again.
+// the claim expires. A copy of the request that arrives after the attempt
+// released the claim must not take it again.
 BOOST_AUTO_TEST_CASE(AskingTwiceIsIdempotent) {
   const ClaimRow Claimed{ClaimState::Claimed, "a", 7, {}};
   const RowVerdict Repeated = judge(ClaimWanted{"a", 7}, Claimed);
