--- a/src/lease/engine_orders.cpp
+++ b/src/lease/engine_orders.cpp
@@ -69,7 +69,7 @@
     processQueue();
   }
 
-  [[nodiscard]] std::size_t pending() const {
+  [[nodiscard]] std::size_t pendingCount() const {
     return m_Waiting.size() + m_InFlight;
   }
 
@@ -130,7 +130,7 @@
   }
 
   void processQueue() {
-    const bool Wanted = pending() > 0;
+    const bool Wanted = pendingCount() > 0;
     if (Wanted != m_Wanted) {
       m_Wanted = Wanted;
       handle(LeaseWanted{Wanted});
@@ -242,6 +242,6 @@
   m_Impl->order(Order, std::move(OnDone));
 }
 
-std::size_t EngineOrders::pending() const { return m_Impl->pending(); }
+std::size_t EngineOrders::pending() const { return m_Impl->pendingCount(); }
 
 } // namespace crowstep::lease
