--- a/src/claim/claim_client.cpp
+++ b/src/claim/claim_client.cpp
@@ -1,4 +1,4 @@
-/// Requests to claim homes, asked again until a final reply or a limit.
+/// Requests to claim homes, resent until a final reply or their deadline.
 #include "claim/claim_client.h"
 
 #include "wire/wire_text.h"
@@ -12,18 +12,18 @@
 namespace {
 
 constexpr Duration TickInterval = 50ms;
-/// A home answers within a window and a write to the table service; later than
-/// this the reply is taken for lost.
-constexpr Duration ReplyLimit = 1s;
-/// Between two requests while the table service is down: a claim has a target
-/// to meet; a record may wait, and thousands of them must not crowd the table
-/// service when it comes back.
+/// A home replies after a batch window and a write to the table service. A
+/// reply that takes longer than this counts as lost.
+constexpr Duration ReplyTimeout = 1s;
+/// Intervals between attempts while the table service is down. A claim delays a
+/// call that has a latency target; a record can wait, and thousands of pending
+/// records must not overload the table service when it recovers.
 constexpr Duration ClaimRetryInterval = 200ms;
 constexpr Duration RecordRetryInterval = 2s;
-/// A record is tried until the claim itself is forgotten; the caller has had
-/// its answer, and only a repetition of the key waits for it.
-constexpr Duration RecordLimit = ClaimLifetime;
-constexpr Duration ReadLimit = 1s;
+/// A record is retried until the claim itself expires: the caller has its
+/// answer already, and only a later use of the key depends on the record.
+constexpr Duration RecordTimeout = ClaimLifetime;
+constexpr Duration ReadTimeout = 1s;
 
 using wire::textOf;
 
@@ -34,8 +34,8 @@
 }
 
 ClaimClient::ClaimClient(const Clock &Time, Scheduler &Timers,
-                         link::Links &Wire, FindHome Find)
-    : m_Clock(Time), m_Links(Wire), m_FindHome(std::move(Find)),
+                         link::Links &Links, FindHome Find)
+    : m_Clock(Time), m_Links(Links), m_FindHome(std::move(Find)),
       m_Timer(Timers) {}
 
 void ClaimClient::claim(const ClaimKey &Key, std::uint64_t BodyHash,
@@ -54,7 +54,7 @@
   Request.op = wire::ClaimOp::NotRun;
   Request.key = Key;
   Request.attempt = Attempt;
-  add(std::move(Request), RecordLimit, std::move(OnDone));
+  add(std::move(Request), RecordTimeout, std::move(OnDone));
 }
 
 void ClaimClient::recordRan(const ClaimKey &Key, const AttemptId &Attempt,
@@ -66,7 +66,7 @@
   Request.answer = Answer.m_Body;
   Request.answer_status = Answer.m_Status;
   Request.answer_type = Answer.m_ContentType;
-  add(std::move(Request), RecordLimit, std::move(OnDone));
+  add(std::move(Request), RecordTimeout, std::move(OnDone));
 }
 
 void ClaimClient::read(const ClaimKey &Key, std::uint64_t BodyHash,
@@ -75,55 +75,55 @@
   Request.op = wire::ClaimOp::Read;
   Request.key = Key;
   Request.body_hash = BodyHash;
-  add(std::move(Request), ReadLimit, std::move(OnDone));
+  add(std::move(Request), ReadTimeout, std::move(OnDone));
 }
 
 void ClaimClient::add(wire::ClaimRequestT Request, Duration Limit,
                       Done OnDone) {
   Request.id = ++m_LastId;
-  const auto Own = m_Held.find(Request.attempt);
+  const auto Held = m_HeldRows.find(Request.attempt);
   const bool IsRecord =
       Request.op == wire::ClaimOp::NotRun || Request.op == wire::ClaimOp::Ran;
-  if (IsRecord && Own != m_Held.end()) {
-    Request.version = Own->second.m_Version;
-    Request.body_hash = Own->second.m_BodyHash;
-    m_Held.erase(Own);
+  if (IsRecord && Held != m_HeldRows.end()) {
+    Request.version = Held->second.m_Version;
+    Request.body_hash = Held->second.m_BodyHash;
+    m_HeldRows.erase(Held);
   }
   const TimePoint Now = m_Clock.now();
-  Pending Fresh{std::move(Request), Now + Limit, Now, false, false,
-                std::move(OnDone)};
-  const auto Place = m_Pending.emplace(m_LastId, std::move(Fresh)).first;
-  send(Place->second);
+  PendingRequest NewRequest{std::move(Request), Now + Limit, Now, false, false,
+                            std::move(OnDone)};
+  const auto Entry = m_Pending.emplace(m_LastId, std::move(NewRequest)).first;
+  send(Entry->second);
   if (!m_Timer.running())
     m_Timer.start(TickInterval, [this] { tick(); });
 }
 
-void ClaimClient::send(Pending &Each) {
+void ClaimClient::send(PendingRequest &Request) {
   const std::optional<link::LinkId> Home =
-      m_FindHome(homeIndexOf(Each.m_Request.key));
-  Each.m_SendAgain = m_Clock.now() + (Home ? ReplyLimit : TickInterval);
+      m_FindHome(homeIndexOf(Request.m_Request.key));
+  Request.m_ResendAt = m_Clock.now() + (Home ? ReplyTimeout : TickInterval);
   if (!Home)
     return;
-  Each.m_Sent = true;
+  Request.m_Sent = true;
   m_Links.outbox(*Home).claim_requests.push_back(
-      std::make_unique<wire::ClaimRequestT>(Each.m_Request));
+      std::make_unique<wire::ClaimRequestT>(Request.m_Request));
 }
 
 void ClaimClient::tick() {
   const TimePoint Now = m_Clock.now();
   for (auto Next = m_Pending.begin(); Next != m_Pending.end();) {
     const auto Found = Next++;
-    Pending &Each = Found->second;
-    if (Now >= Each.m_Limit) {
-      // Sent and never answered: the home may still write it.
+    PendingRequest &Request = Found->second;
+    if (Now >= Request.m_Deadline) {
+      // The last copy sent has no reply yet: the home may still write it.
       const bool MayBeWritten =
-          Each.m_Uncertain || (Each.m_Sent && Now < Each.m_SendAgain);
+          Request.m_Uncertain || (Request.m_Sent && Now < Request.m_ResendAt);
       finish(Found,
              {MayBeWritten ? ClaimStatus::Uncertain : ClaimStatus::Unavailable,
               {}});
-    } else if (Now >= Each.m_SendAgain) {
-      Each.m_Uncertain = Each.m_Uncertain || Each.m_Sent;
-      send(Each);
+    } else if (Now >= Request.m_ResendAt) {
+      Request.m_Uncertain = Request.m_Uncertain || Request.m_Sent;
+      send(Request);
     }
   }
   if (!m_Pending.empty())
@@ -133,55 +133,56 @@
 void ClaimClient::linkFrame(const wire::Frame &Frame) {
   if (Frame.claim_replies() == nullptr)
     return;
-  for (const wire::ClaimReply *Each : *Frame.claim_replies())
-    replied(*Each);
+  for (const wire::ClaimReply *Reply : *Frame.claim_replies())
+    handleReply(*Reply);
 }
 
-void ClaimClient::replied(const wire::ClaimReply &Reply) {
+void ClaimClient::handleReply(const wire::ClaimReply &Reply) {
   const auto Found = m_Pending.find(Reply.id());
   if (Found == m_Pending.end())
     return;
-  Pending &Each = Found->second;
+  PendingRequest &Request = Found->second;
   ClaimOutcome Outcome;
   Outcome.m_Status = static_cast<ClaimStatus>(Reply.status());
-  const bool Retried = Outcome.m_Status == ClaimStatus::Unavailable ||
-                       Outcome.m_Status == ClaimStatus::Uncertain;
-  const bool IsRead = Each.m_Request.op == wire::ClaimOp::Read;
-  if (Retried && !IsRead) {
-    // The table service is down: the request waits while its target allows.
-    Each.m_Uncertain =
-        Each.m_Uncertain || Outcome.m_Status == ClaimStatus::Uncertain;
-    Each.m_Sent = false;
-    const bool IsClaim = Each.m_Request.op == wire::ClaimOp::Claim;
-    Each.m_SendAgain =
+  const bool ServiceFailed = Outcome.m_Status == ClaimStatus::Unavailable ||
+                             Outcome.m_Status == ClaimStatus::Uncertain;
+  const bool IsRead = Request.m_Request.op == wire::ClaimOp::Read;
+  if (ServiceFailed && !IsRead) {
+    // The table service failed: retry until the deadline.
+    Request.m_Uncertain =
+        Request.m_Uncertain || Outcome.m_Status == ClaimStatus::Uncertain;
+    Request.m_Sent = false;
+    const bool IsClaim = Request.m_Request.op == wire::ClaimOp::Claim;
+    Request.m_ResendAt =
         m_Clock.now() + (IsClaim ? ClaimRetryInterval : RecordRetryInterval);
     return;
   }
-  // An empty text is absent in a frame: an answer without a body keeps its
-  // status all the same.
+  // An empty string is absent from a frame: the status must be kept even if the
+  // answer has no body.
   if (Outcome.m_Status == ClaimStatus::Ran)
     Outcome.m_Answer = {Reply.answer_status(), textOf(Reply.answer_type()),
                         textOf(Reply.answer())};
   if (Outcome.m_Status == ClaimStatus::Owned)
-    m_Held[Each.m_Request.attempt] = {Reply.version(),
-                                      Each.m_Request.body_hash};
+    m_HeldRows[Request.m_Request.attempt] = {Reply.version(),
+                                             Request.m_Request.body_hash};
   finish(Found, Outcome);
 }
 
-void ClaimClient::finish(std::map<std::uint64_t, Pending>::iterator Found,
-                         const ClaimOutcome &Outcome) {
-  const Pending Ended = std::move(Found->second);
+void ClaimClient::finish(
+    std::map<std::uint64_t, PendingRequest>::iterator Found,
+    const ClaimOutcome &Outcome) {
+  const PendingRequest Request = std::move(Found->second);
   m_Pending.erase(Found);
-  // Asked more than once, a later copy may still claim the key for an attempt
-  // that has ended: repetitions of the key would be told "in progress" until
-  // the claim is forgotten. Giving it back at once prevents that.
-  const bool MayClaimLater = Ended.m_Request.op == wire::ClaimOp::Claim &&
-                             Outcome.m_Status != ClaimStatus::Owned &&
-                             Ended.m_Uncertain;
-  if (MayClaimLater)
-    recordNotRun(Ended.m_Request.key, Ended.m_Request.attempt,
+  // A copy that was sent earlier may still claim the key for this attempt,
+  // which has ended. Later uses of the key would then get "in progress" until
+  // the claim expires; releasing it at once prevents that.
+  const bool LateCopyMayClaim = Request.m_Request.op == wire::ClaimOp::Claim &&
+                                Outcome.m_Status != ClaimStatus::Owned &&
+                                Request.m_Uncertain;
+  if (LateCopyMayClaim)
+    recordNotRun(Request.m_Request.key, Request.m_Request.attempt,
                  [](const ClaimOutcome &) {});
-  Ended.m_Done(Outcome);
+  Request.m_OnDone(Outcome);
 }
 
 } // namespace crowstep::claim
--- a/src/lease/lease_error.h
+++ b/src/lease/lease_error.h
@@ -1,4 +1,4 @@
-/// Failures of leases.
+/// Exceptions of leases.
 #ifndef CROWSTEP_LEASE_LEASE_ERROR_H
 #define CROWSTEP_LEASE_LEASE_ERROR_H
 
@@ -9,8 +9,8 @@
 /// A lease's row can't be read.
 class LeaseRowError : public Error {
 public:
-  explicit LeaseRowError(const std::string &Why)
-      : Error("not a lease: " + Why) {}
+  explicit LeaseRowError(const std::string &Reason)
+      : Error("cannot read lease row: " + Reason) {}
 };
 
 } // namespace crowstep::lease
