--- a/src/load/active_call.cpp
+++ b/src/load/active_call.cpp
@@ -1,4 +1,4 @@
-/// A request over libsoup, its answer read without blocking.
+/// A request sent by libsoup; its answer is read without blocking.
 #include "load/active_call.h"
 
 #include <array>
@@ -54,11 +54,12 @@
                               m_Source.m_Class.c_str());
   unsigned Flags = SOUP_MESSAGE_NO_REDIRECT;
   if (Call.m_Key.empty()) {
-    // Without the flag libsoup opens a connection for every POST and looks
-    // at each idle one again for every call.
+    // Without this flag libsoup opens a new connection for every POST and
+    // examines all idle connections on every call.
     Flags |= SOUP_MESSAGE_IDEMPOTENT;
   } else {
-    // A stale connection would make the outcome of such a call unknown.
+    // On a reused connection that the peer has closed, the outcome of such a
+    // call would be unknown.
     soup_message_headers_append(Headers, "Connection", "close");
     soup_message_headers_append(Headers, "Idempotency-Key", Call.m_Key.c_str());
   }
@@ -146,7 +147,7 @@
     m_Outcome.m_First = Now - m_Sent;
   else
     m_Outcome.m_Gaps.push_back(Now - m_LastToken);
-  // Tokens that came together have no gap between them.
+  // The gaps between tokens received together count as 0.
   m_Outcome.m_Gaps.resize(m_Outcome.m_Gaps.size() + Tokens - 1);
   m_Outcome.m_Tokens += Tokens;
   m_LastToken = Now;
@@ -184,7 +185,7 @@
 void ActiveCall::giveUp() {
   m_GaveUp = true;
   g_cancellable_cancel(m_Cancel);
-  // Without a stream libsoup still owes us its callback, which ends the call.
+  // Before the headers, libsoup still calls onHeaders(), which ends the call.
   if (m_Stream != nullptr)
     end(CallEnd::TimedOut);
 }
--- a/src/load/active_call.h
+++ b/src/load/active_call.h
@@ -1,4 +1,4 @@
-/// One open request of the load tool.
+/// An open request of the load tool.
 #ifndef CROWSTEP_LOAD_ACTIVE_CALL_H
 #define CROWSTEP_LOAD_ACTIVE_CALL_H
 
@@ -7,7 +7,7 @@
 
 namespace crowstep::load {
 
-/// Sends one request and reads its answer as it comes.
+/// Sends one request and measures its answer while it is received.
 class ActiveCall {
 public:
   ActiveCall(CallerPool &Owner, std::uint64_t Id, const PlannedCall &Call,
@@ -16,7 +16,7 @@
   ActiveCall(const ActiveCall &) = delete;
   ActiveCall &operator=(const ActiveCall &) = delete;
 
-  /// Ends the call as timed out; the object may be gone afterwards.
+  /// Ends the call as timed out; may destroy this object.
   void giveUp();
 
 private:
@@ -25,7 +25,8 @@
   static int onReadable(GObject *Stream, void *Self);
   void headersCame(GInputStream *Body);
   void watchBody();
-  /// Reads what is there; returns false once the call has ended.
+  /// Reads the available bytes without blocking; returns false, and has
+  /// destroyed this object, once the call has ended.
   bool readBody();
   void take(std::string_view Bytes);
   void bodyEnded();
@@ -33,20 +34,20 @@
   void readRefusal();
   void end(CallEnd How);
 
-  CallerPool &m_Owner;              ///< Told of the end.
-  std::uint64_t m_Id;               ///< Within the owner.
-  const Source &m_Source;           ///< Of the plan.
-  AnswerCheck m_Check;              ///< Of a completion's answer.
-  std::string m_Body;               ///< Of a refusal or a short answer.
-  CallOutcome m_Outcome;            ///< Filled as the call goes on.
-  TimePoint m_Sent;                 ///< When it was sent.
-  TimePoint m_LastToken;            ///< When the last token came.
+  CallerPool &m_Owner;    ///< Receives the outcome.
+  std::uint64_t m_Id;     ///< Unique within the pool.
+  const Source &m_Source; ///< Part of the plan.
+  AnswerCheck m_Check;    ///< Checks a completion's answer.
+  std::string m_Body;     ///< Of a refusal or a plain service's answer.
+  CallOutcome m_Outcome;  ///< Filled while the call runs.
+  TimePoint m_Sent;       ///< When the request was sent.
+  TimePoint m_LastToken;  ///< When the last token was received.
   SoupMessage *m_Message = nullptr; ///< Owned.
   GCancellable *m_Cancel = nullptr; ///< Owned.
-  GInputStream *m_Stream = nullptr; ///< Owned; null before the headers.
-  GSource *m_Watch = nullptr;       ///< Owned; of m_Stream.
-  Timer m_Limit;                    ///< The caller's patience.
-  bool m_GaveUp = false;            ///< Ended by giveUp().
+  GInputStream *m_Stream = nullptr; ///< Owned; null until headers arrive.
+  GSource *m_Watch = nullptr; ///< Owned; signals that m_Stream is readable.
+  Timer m_Limit;              ///< The caller's timeout.
+  bool m_GaveUp = false;      ///< Set by timeOut().
 };
 
 } // namespace crowstep::load
--- a/src/load/answer_check.cpp
+++ b/src/load/answer_check.cpp
@@ -1,4 +1,4 @@
-/// Events, documents and the tokens in them.
+/// Parses events and documents and checks their tokens.
 #include "load/answer_check.h"
 
 #include "load/token_text.h"
@@ -13,7 +13,7 @@
 
 constexpr std::string_view DataPrefix = "data: ";
 
-/// Returns the text of a choice in any of the four forms.
+/// Returns the text of a choice: of a chat or text completion, streamed or not.
 std::string textOf(const json &Choice) {
   for (const char *Field : {"delta", "message"})
     if (Choice.contains(Field))
--- a/src/load/answer_check.h
+++ b/src/load/answer_check.h
@@ -1,4 +1,5 @@
-/// Checks, while an answer comes, that it is whole and the caller's own.
+/// Checks, while an answer is received, that it is complete and belongs to the
+/// caller's own prompt.
 #ifndef CROWSTEP_LOAD_ANSWER_CHECK_H
 #define CROWSTEP_LOAD_ANSWER_CHECK_H
 
@@ -8,28 +9,31 @@
 
 namespace crowstep::load {
 
-/// Takes the bytes of one answer to a completion.
+/// Incremental check of one completion's answer.
 class AnswerCheck {
 public:
-  /// \p Prompt is the caller's own; \p Stream tells the form of the answer.
+  /// \p Prompt is the caller's prompt; \p Stream is true for an answer as
+  /// server-sent events, false for one JSON document.
   AnswerCheck(const std::string &Prompt, bool Stream);
 
-  /// Takes more bytes; returns how many tokens they held.
+  /// Adds received bytes; returns the number of tokens that they completed, 0
+  /// for a JSON document, which finish() parses.
   std::uint64_t feed(std::string_view Bytes);
 
-  /// Takes the end of the answer.
+  /// Must be called once the whole answer has been fed.
   void finish();
 
-  /// Tokens that came in their order, without a gap.
+  /// Tokens received in order and without a gap.
   [[nodiscard]] std::uint64_t tokens() const { return m_Next; }
 
-  /// The end came, and with as many tokens as the engine said it has.
+  /// The end was received, after as many tokens as the engine's usage reports.
   [[nodiscard]] bool whole() const { return m_Done && m_Said == m_Next; }
 
-  /// A token was another prompt's, doubled, or out of its order.
+  /// A token belonged to another prompt, was duplicated or out of order, or an
+  /// event was not a JSON object.
   [[nodiscard]] bool wrong() const { return m_Wrong; }
 
-  /// The code of a typed error within the answer, or empty.
+  /// Code of an error inside the answer, or empty.
   [[nodiscard]] const std::string &errorCode() const { return m_ErrorCode; }
 
 private:
@@ -38,13 +42,13 @@
   void takeTokens(std::string_view Text);
 
   std::uint32_t m_Hash;     ///< Of the caller's prompt.
-  bool m_Stream;            ///< Lines of events; false: one JSON document.
-  std::string m_Rest;       ///< An incomplete line, or the document.
-  std::uint64_t m_Next = 0; ///< Index of the next token.
-  std::uint64_t m_Said = 0; ///< Tokens that the usage names.
-  bool m_Done = false;      ///< The end was announced.
-  bool m_Wrong = false;     ///< Never goes back to false.
-  std::string m_ErrorCode;  ///< Of the last error.
+  bool m_Stream;            ///< Server-sent events; false: one JSON document.
+  std::string m_Rest;       ///< An incomplete line, or the document so far.
+  std::uint64_t m_Next = 0; ///< Index of the next token to be received.
+  std::uint64_t m_Said = 0; ///< From the answer's usage field.
+  bool m_Done = false;      ///< By [DONE], or by a usage in a document.
+  bool m_Wrong = false;     ///< Never reset.
+  std::string m_ErrorCode;  ///< Code of the last error.
 };
 
 } // namespace crowstep::load
--- a/src/load/arrivals.cpp
+++ b/src/load/arrivals.cpp
@@ -1,4 +1,4 @@
-/// Poisson arrivals with a rate that changes in steps.
+/// Poisson arrivals with a piecewise constant rate.
 #include "load/arrivals.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Appends words until \p Text has \p Size characters.
+/// Appends random words until \p Text has \p Size characters.
 void fill(std::string &Text, std::size_t Size, std::mt19937_64 &Random) {
   static constexpr const char *Letters = "abcdefghijklmnopqrstuvwxyz      ";
   while (Text.size() < Size) {
@@ -34,7 +34,8 @@
 
 void Arrivals::advance(std::size_t Index) {
   Stream &Each = m_Streams[Index];
-  // The area below the rate up to the next arrival is exponential.
+  // The integral of the rate up to the next arrival is exponentially
+  // distributed with mean 1.
   double Left = std::exponential_distribution<double>(1)(Each.m_Random);
   while (Each.m_Next < m_End) {
     const Duration Edge = m_Plan.nextChange(Index, Each.m_Next);
--- a/src/load/audit.cpp
+++ b/src/load/audit.cpp
@@ -1,4 +1,4 @@
-/// Records of the upstreams against the answers to the callers.
+/// Comparison of the upstreams' records with the callers' answers.
 #include "load/audit.h"
 
 #include <memory>
@@ -9,9 +9,10 @@
 
 namespace {
 
-/// A service's record of a long run is several megabytes.
+/// A service's record of a long run has several megabytes.
 constexpr Duration RecordTimeout = std::chrono::seconds(30);
 
+/// Returns null if there is no answer, a discarded value if it is not JSON.
 json documentOf(const HttpResult &Result) {
   const auto *Answer = std::get_if<HttpAnswer>(&Result);
   if (Answer == nullptr)
--- a/src/load/audit.h
+++ b/src/load/audit.h
@@ -1,4 +1,4 @@
-/// Asks the stand-in upstreams what they ran, before and after a run.
+/// Reads what the stand-in upstreams executed, before and after a run.
 #ifndef CROWSTEP_LOAD_AUDIT_H
 #define CROWSTEP_LOAD_AUDIT_H
 
@@ -7,23 +7,25 @@
 
 namespace crowstep::load {
 
-/// Compares the upstreams' records with what the callers were told.
+/// Compares the upstreams' records with the answers that the callers received.
+/// An upstream that does not answer adds nothing to the sums.
 class Audit {
 public:
   Audit(const Experiment &Plan, HttpCaller &Http)
       : m_Plan(Plan), m_Http(Http) {}
 
-  /// Notes what was generated before the run, then calls \p Done.
+  /// Reads the tokens generated before the run, then calls \p OnDone.
   void begin(const std::function<void()> &Done);
 
-  /// Reads the records and calls \p Done with the result.
+  /// Reads the records after the run and calls \p OnDone with the result.
+  /// \p RunStateByKey must outlive the call to \p OnDone.
   void finish(std::uint64_t Delivered,
               const std::map<std::string, std::string> &ToldByKey,
               const std::function<void(AuditResult)> &Done);
 
 private:
-  /// Gets \p Path of each address and hands over each answer, null where there
-  /// is none; then calls \p Done.
+  /// Gets \p Path from each upstream and calls \p OnDocument for each answer
+  /// that is a JSON object; then calls \p OnDone.
   void getAll(const std::vector<Address> &Where, const std::string &Path,
               const std::function<void(const nlohmann::json &)> &Each,
               const std::function<void()> &Done);
@@ -32,9 +34,9 @@
 
   const Experiment &m_Plan;   ///< Outlives the audit.
   HttpCaller &m_Http;         ///< Outlives the audit.
-  std::uint64_t m_Before = 0; ///< Generated before the run.
-  std::uint64_t m_After = 0;  ///< Generated in all.
-  std::map<std::string, std::uint64_t> m_RunsByKey; ///< At all services.
+  std::uint64_t m_Before = 0; ///< Tokens generated before the run.
+  std::uint64_t m_After = 0;  ///< Tokens generated in total.
+  std::map<std::string, std::uint64_t> m_RunsByKey; ///< Over all services.
 };
 
 } // namespace crowstep::load
--- a/src/load/call_outcome.h
+++ b/src/load/call_outcome.h
@@ -1,4 +1,4 @@
-/// What became of one request, as its caller saw it.
+/// Outcome of one request, as its caller observed it.
 #ifndef CROWSTEP_LOAD_CALL_OUTCOME_H
 #define CROWSTEP_LOAD_CALL_OUTCOME_H
 
@@ -12,32 +12,32 @@
 
 /// How a request ended.
 enum class CallEnd : std::uint8_t {
-  Whole,    ///< A whole answer to the caller's own request.
-  Refused,  ///< A typed refusal; the reason says why.
-  Cut,      ///< Some of the answer, then a typed error or a closed connection.
-  Wrong,    ///< Tokens of another request, doubled, or out of order.
+  Whole,    ///< A complete answer to the caller's own request.
+  Refused,  ///< A status other than 200; the reason says why.
+  Cut,      ///< Ended early, by an error in the answer or a closed connection.
+  Wrong,    ///< Tokens of another request, duplicated, or out of order.
   NoAnswer, ///< Closed without an answer, or no connection.
-  TimedOut, ///< The caller gave up.
-  Count,    ///< Number of ends; not an end.
+  TimedOut, ///< The caller's timeout expired.
+  Count,    ///< Number of ends; not an end itself.
 };
 
-/// Returns the name in reports, such as "whole".
+/// Returns the name used in result files, such as "whole".
 const char *nameOf(CallEnd End);
 
-/// One request's measurements.
+/// Measurements of one request.
 struct CallOutcome {
-  std::size_t m_Source = 0;       ///< Index.
-  std::size_t m_Workspace = 0;    ///< Index.
-  Duration m_At{};                ///< Due time since the start.
-  Duration m_Late{};              ///< Sent so long after it was due.
+  std::size_t m_Source = 0;       ///< Index in the plan.
+  std::size_t m_Workspace = 0;    ///< Index in the plan.
+  Duration m_At{};                ///< From the start of the warm-up.
+  Duration m_Late{};              ///< Delay from due time to sending.
   CallEnd m_End = CallEnd::Whole; ///< How it ended.
-  unsigned m_Status = 0;          ///< HTTP status; 0: none came.
-  std::string m_Reason;           ///< Code of the refusal or the cut.
+  unsigned m_Status = 0;          ///< HTTP status; 0: none received.
+  std::string m_Reason;           ///< Error code of a refusal or a cut answer.
   std::string m_RunState;         ///< Header Crowstep-Run, or empty.
   std::string m_Key;              ///< Idempotency key, or empty.
-  Duration m_First{};             ///< To the first token or the answer.
-  Duration m_Total{};             ///< To the end.
-  std::uint64_t m_Tokens = 0;     ///< That reached the caller.
+  Duration m_First{};             ///< To the first token or the whole document.
+  Duration m_Total{};             ///< From sending to the end.
+  std::uint64_t m_Tokens = 0;     ///< Received by the caller.
   std::vector<Duration> m_Gaps;   ///< Between tokens; streams only.
 };
 
--- a/src/load/caller.cpp
+++ b/src/load/caller.cpp
@@ -1,4 +1,4 @@
-/// The pool of open calls.
+/// Pool of open calls.
 #include "load/caller.h"
 
 #include "load/active_call.h"
@@ -10,12 +10,14 @@
 
 namespace {
 
-/// libsoup's defaults of 10 and 2 would queue calls out of our sight.
+/// With libsoup's defaults, 10 connections and 2 per host, calls would wait
+/// unseen in a queue inside the library.
 constexpr int MaxConnections = 20000;
 
-/// A session walks over all its open calls at every event of one of them: with
-/// 8,000 calls open before an overloaded service, the tool stood still. So the
-/// calls are spread. Odd, so that a session's calls go to all targets.
+/// A session iterates over all its open calls on each event of one of them:
+/// with one session, 8,000 open calls to an overloaded service stalled the
+/// tool. The calls are therefore spread over sessions. The count is prime,
+/// so that each session's calls reach all targets.
 constexpr std::size_t SessionCount = 127;
 
 SoupSession *newSession() {
--- a/src/load/caller.h
+++ b/src/load/caller.h
@@ -1,4 +1,4 @@
-/// Callers: they send planned requests over HTTP and watch the answers come.
+/// Sends planned requests over HTTP and measures their answers.
 #ifndef CROWSTEP_LOAD_CALLER_H
 #define CROWSTEP_LOAD_CALLER_H
 
@@ -15,8 +15,8 @@
 
 class ActiveCall;
 
-/// All callers of one experiment; the targets take turns, as behind the
-/// platform's balancer.
+/// All callers of one experiment. Requests go to the targets round robin, as
+/// behind the platform's load balancer.
 class CallerPool {
 public:
   using Done = std::function<void(CallOutcome)>;
@@ -27,10 +27,11 @@
   CallerPool(const CallerPool &) = delete;
   CallerPool &operator=(const CallerPool &) = delete;
 
-  /// Sends \p Call, which is \p Late after its due time.
+  /// Sends \p Call, \p Late after its due time.
   void send(const PlannedCall &Call, Duration Late);
 
-  /// Ends every open call as timed out.
+  /// Ends every open call as timed out. Calls without response headers end in
+  /// a later iteration of the loop.
   void giveUp();
 
   [[nodiscard]] std::size_t open() const { return m_Open.size(); }
@@ -46,9 +47,9 @@
   std::vector<Address> m_Targets;        ///< At least one.
   const Clock &m_Clock;                  ///< Outlives the pool.
   Scheduler &m_Timers;                   ///< Outlives the pool.
-  Done m_Done;                           ///< Called once for each call.
-  std::vector<SoupSession *> m_Sessions; ///< Owned; calls take turns.
-  std::uint64_t m_LastId = 0;            ///< Also picks the target.
+  Done m_Done;                           ///< Called once per call.
+  std::vector<SoupSession *> m_Sessions; ///< Owned; used round robin.
+  std::uint64_t m_LastId = 0;            ///< Also selects target and session.
   std::map<std::uint64_t, std::unique_ptr<ActiveCall>> m_Open; ///< By id.
 };
 
--- a/src/load/experiment.cpp
+++ b/src/load/experiment.cpp
@@ -1,4 +1,4 @@
-/// Rates over time.
+/// Sizes, and rates over time.
 #include "load/experiment.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 std::uint64_t SizeDistribution::draw(std::mt19937_64 &Random) const {
   std::lognormal_distribution<double> Sizes(std::log(m_Median), m_Sigma);
-  // Rounded, not cut: with a sigma of 0 every size is the median itself.
+  // Rounded, not truncated: with a sigma of 0 every size equals the median.
   const auto Size = static_cast<std::uint64_t>(std::lround(Sizes(Random)));
   return std::clamp<std::uint64_t>(Size, 1, m_Max);
 }
--- a/src/load/experiment.h
+++ b/src/load/experiment.h
@@ -1,4 +1,5 @@
-/// What an experiment sends, when, and what it does to the upstreams meanwhile.
+/// Plan of an experiment: the requests, their rates, and the actions on the
+/// upstreams during the run.
 #ifndef CROWSTEP_LOAD_EXPERIMENT_H
 #define CROWSTEP_LOAD_EXPERIMENT_H
 
@@ -10,85 +11,89 @@
 
 namespace crowstep::load {
 
-/// Log-normal sizes; a sigma of 0 makes them all equal.
+/// Log-normal distribution of sizes; with a sigma of 0 all are equal.
 struct SizeDistribution {
   double m_Median = 1;     ///< >= 1.
   double m_Sigma = 0;      ///< Of the logarithm.
-  std::uint64_t m_Max = 1; ///< Larger ones are cut to this.
+  std::uint64_t m_Max = 1; ///< Larger sizes are clamped to this.
 
   std::uint64_t draw(std::mt19937_64 &Random) const;
 };
 
-/// A customer and its part of the traffic.
+/// A workspace and its share of the traffic.
 struct LoadWorkspace {
-  std::string m_Name; ///< Its key is this name and the key suffix.
+  std::string m_Name; ///< The API key is this and the key suffix.
   double m_Share = 1; ///< Relative to the other workspaces.
 };
 
-/// One stream of arrivals of one class of request.
+/// A stream of arrivals of one request class.
 struct Source {
-  std::string m_Name;            ///< Row of the report.
-  std::string m_Class;           ///< Row of the operators' table.
-  std::string m_Path;            ///< Resource that is called.
-  std::string m_Model;           ///< Empty for plain services.
-  std::string m_Workspace;       ///< Only this one; empty: all by their share.
-  double m_Rate = 1;             ///< Mean arrivals a second.
-  bool m_Stream = true;          ///< Server-sent events.
-  bool m_Keyed = false;          ///< Sends an idempotency key.
-  SizeDistribution m_Prompt;     ///< Characters.
-  SizeDistribution m_Tokens;     ///< Tokens of the answer.
-  std::uint64_t m_Shared = 0;    ///< Leading characters alike in a workspace.
+  std::string m_Name;         ///< Row of the report.
+  std::string m_Class;        ///< Name in the operators' table.
+  std::string m_Path;         ///< URL path of the requests.
+  std::string m_Model;        ///< Empty for plain services.
+  std::string m_Workspace;    ///< Only this one; empty: all, by share.
+  double m_Rate = 1;          ///< Mean arrivals per second.
+  bool m_Stream = true;       ///< Answers as server-sent events.
+  bool m_Keyed = false;       ///< Requests carry an idempotency key.
+  SizeDistribution m_Prompt;  ///< In characters.
+  SizeDistribution m_Tokens;  ///< Answer length; a maximum of 0: no completion.
+  std::uint64_t m_Shared = 0; ///< Characters of prefix shared by a workspace.
   Duration m_FirstTokenTarget{}; ///< From the table; 0: none.
   Duration m_TokenTarget{};      ///< From the table; 0: none.
-  Duration m_Limit{};            ///< The caller gives up after this.
+  Duration m_Limit{};            ///< The caller's timeout.
 
   [[nodiscard]] bool isCompletion() const { return m_Tokens.m_Max > 0; }
 };
 
-/// Multiplies the rate of a source for a time; several multiply each other.
+/// Multiplies the rate of a source during a time range; the factors of
+/// overlapping phases multiply.
 struct Phase {
-  std::size_t m_Source = 0; ///< Index.
-  Duration m_From{};        ///< Since the first arrival may come.
+  std::size_t m_Source = 0; ///< Index in the plan.
+  Duration m_From{};        ///< From the start of the warm-up.
   Duration m_Until{};       ///< > m_From.
   double m_Factor = 1;      ///< >= 0.
 };
 
-/// A POST to a stand-in at a time.
+/// A POST to a stand-in upstream at a given time.
 struct Action {
-  Duration m_At{};    ///< Since the first arrival may come.
-  Address m_Where;    ///< Of the stand-in.
+  Duration m_At{};    ///< From the start of the warm-up.
+  Address m_Where;    ///< Of the stand-in upstream.
   std::string m_Path; ///< Such as /faults.
   std::string m_Body; ///< JSON.
 };
 
-/// The whole plan. Times count from the start of the warm-up.
+/// The whole plan. Times are from the start of the warm-up.
 struct Experiment {
-  std::string m_Name;                      ///< For the report.
-  std::uint64_t m_Seed = 1;                ///< Of every random choice.
-  Duration m_WarmUp{};                     ///< Not measured.
-  Duration m_Measured{};                   ///< After the warm-up.
-  Duration m_DrainLimit{};                 ///< For what is still open then.
-  std::string m_KeySuffix;                 ///< Of the workspaces' keys.
+  std::string m_Name;       ///< Heading in the report.
+  std::uint64_t m_Seed = 1; ///< Of all random choices.
+  Duration m_WarmUp{};      ///< Excluded from the measurements.
+  Duration m_Measured{};    ///< After the warm-up.
+  Duration m_DrainLimit{};  ///< Longest wait for calls still open.
+  std::string m_KeySuffix;  ///< Of the workspaces' API keys.
   std::vector<LoadWorkspace> m_Workspaces; ///< At least one.
   std::vector<Source> m_Sources;           ///< At least one.
   std::vector<Phase> m_Phases;             ///< May be empty.
-  std::vector<Action> m_Actions;           ///< In the order of time.
-  std::vector<Address> m_Engines;          ///< Asked for what they generated.
-  std::vector<Address> m_Services;         ///< Asked for the keys that ran.
+  std::vector<Action> m_Actions;           ///< Ordered by time.
+  std::vector<Address> m_Engines;          ///< Audited for generated tokens.
+  std::vector<Address> m_Services;         ///< Audited for executed keys.
 
-  /// Returns the rate of a source at a time.
+  /// Returns the rate of a source at a time, in arrivals per second.
   [[nodiscard]] double rateAt(std::size_t SourceIndex, Duration When) const;
 
-  /// Returns when a source's rate next changes after \p When, or the end.
+  /// Returns when a source's rate changes next after \p When, at the latest the
+  /// end of the experiment.
   [[nodiscard]] Duration nextChange(std::size_t SourceIndex,
                                     Duration When) const;
 };
 
-/// Reads several settings files as one; later ones override earlier ones, so
-/// that the scenarios of a deployment share a file. \throws LoadFileError.
+/// Reads several settings files as one; later files override earlier ones, so
+/// that the scenarios of a deployment can share a base file. \throws
+/// LoadFileError.
 Settings joinedSettings(const std::vector<std::string> &Files);
 
-/// Reads an experiment; the targets come from the table CSV that it names.
+/// Reads an experiment. Models, latency targets and time limits come from the
+/// table CSV that it names.
 /// \throws SettingError, LoadFileError, ExperimentError.
 Experiment readExperiment(Settings &File);
 
--- a/src/load/experiment_settings.cpp
+++ b/src/load/experiment_settings.cpp
@@ -1,4 +1,4 @@
-/// Reading of an experiment's INI file.
+/// Reads an experiment from its INI file.
 #include "contract/contract_func.h"
 #include "load/experiment.h"
 #include "load/load_error.h"
@@ -15,8 +15,8 @@
 
 constexpr std::int64_t Large = 100000000;
 
-/// A caller gives up this long after the class's own limit, so that the
-/// router's typed answer comes first.
+/// Added to the class's time limit for the caller's timeout, so that the
+/// router's error answer arrives before the caller gives up.
 constexpr Duration GraceBeforeGivingUp = 10s;
 
 std::vector<std::string> listOf(const std::string &Text) {
--- a/src/load/load_command.cpp
+++ b/src/load/load_command.cpp
@@ -1,4 +1,4 @@
-/// What the load tool's commands do.
+/// Runs the load tool's commands.
 #include "load/load_command.h"
 
 #include "core/log.h"
--- a/src/load/load_command.h
+++ b/src/load/load_command.h
@@ -1,4 +1,4 @@
-/// The load tool's commands and their command lines.
+/// Commands of the load tool and their command lines.
 #ifndef CROWSTEP_LOAD_LOAD_COMMAND_H
 #define CROWSTEP_LOAD_LOAD_COMMAND_H
 
@@ -11,33 +11,33 @@
 
 namespace crowstep::load {
 
-/// Sends load to some targets and writes a result file: commands `run`, whose
-/// plan stands on the command line, and `experiment`, whose plan is a file.
+/// Sends load to targets and writes a result file: the commands `run`, whose
+/// plan is given by options, and `experiment`, whose plan is read from files.
 struct SendCommand {
-  Experiment m_Plan;              ///< What is sent.
-  std::vector<Address> m_Targets; ///< Entries, or engines themselves.
+  Experiment m_Plan;              ///< Requests to send.
+  std::vector<Address> m_Targets; ///< Entries, or engines directly.
   std::string m_Policy;           ///< Column of the report.
   std::string m_Out;              ///< Result file; empty: none.
-  bool m_CheckOnly = false;       ///< Validate and stop.
+  bool m_CheckOnly = false;       ///< Validate the plan and exit.
 };
 
-/// Writes the report over result files.
+/// Writes a report on result files.
 struct ReportCommand {
-  std::vector<std::string> m_Results; ///< Result files.
-  std::string m_Folder;               ///< Where the report goes.
+  std::vector<std::string> m_Results; ///< Paths of the input.
+  std::string m_Folder;               ///< Output directory.
 };
 
-/// What the program is for and which commands it has.
+/// Usage text of the program.
 inline constexpr const char *Usage =
     "crowstep-load run|experiment|report [--help]: sends load and reports";
 
 using Command = std::variant<SendCommand, ReportCommand>;
 
-/// Reads the command line. \throws UsageError, and what reading the
-/// experiment throws.
+/// Parses the command line. \throws UsageError, and the errors of
+/// readExperiment().
 Command parseCommand(int Argc, char **Argv);
 
-/// Carries out a command.
+/// Runs a command to its end.
 ExitCode execute(const Command &What);
 
 } // namespace crowstep::load
--- a/src/load/load_command_line.cpp
+++ b/src/load/load_command_line.cpp
@@ -1,4 +1,4 @@
-/// Command lines by TCLAP.
+/// Command lines, parsed by TCLAP.
 #include "load/load_command.h"
 #include "load/load_error.h"
 
@@ -26,7 +26,7 @@
   return std::chrono::round<Duration>(std::chrono::duration<double>(Value));
 }
 
-/// Options of `run`; its only source is described by them.
+/// Options of `run`, which describe the plan's only source.
 class RunLine {
 public:
   SendCommand parse(int Argc, char **Argv) {
@@ -136,7 +136,8 @@
 
 Command parseCommand(int Argc, char **Argv) {
   const std::string Name = Argc > 1 ? Argv[1] : "";
-  // What follows the command's name is parsed as a command line of its own.
+  // The arguments from the command's name on form a command line of their own;
+  // TCLAP takes the name as the program's.
   if (Name == "run")
     return RunLine().parse(Argc - 1, Argv + 1);
   if (Name == "experiment")
--- a/src/load/load_error.h
+++ b/src/load/load_error.h
@@ -1,4 +1,4 @@
-/// Failures of the load tool.
+/// Errors of the load tool.
 #ifndef CROWSTEP_LOAD_LOAD_ERROR_H
 #define CROWSTEP_LOAD_LOAD_ERROR_H
 
@@ -6,14 +6,14 @@
 
 namespace crowstep::load {
 
-/// A file of results or a table can't be read, or is none.
+/// A file can't be read or written, or is not a result file.
 class LoadFileError : public Error {
 public:
   LoadFileError(const std::string &File, const std::string &Why)
       : Error(File + ": " + Why) {}
 };
 
-/// An experiment names something that it does not define.
+/// An experiment refers to a class or source that is not defined.
 class ExperimentError : public Error {
 public:
   ExperimentError(const std::string &Section, const std::string &Value,
@@ -21,7 +21,7 @@
       : Error("[" + Section + "]: '" + Value + "': allowed: " + Allowed) {}
 };
 
-/// The command line is wrong.
+/// The command line is invalid.
 class UsageError : public Error {
 public:
   using Error::Error;
--- a/src/load/load_main.cpp
+++ b/src/load/load_main.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 ExitCode runLoad(int Argc, char **Argv) {
-  // A peer that closes must not end the process with SIGPIPE.
+  // A write to a connection that the peer closed must not end the process.
   std::signal(SIGPIPE, SIG_IGN);
   startLogging("info", "crowstep-load", LogTarget::StandardError);
   try {
--- a/src/load/recorder.cpp
+++ b/src/load/recorder.cpp
@@ -1,4 +1,4 @@
-/// Sums of outcomes.
+/// Aggregation of outcomes.
 #include "load/recorder.h"
 
 #include <algorithm>
@@ -49,8 +49,9 @@
   Kept.m_Total.push_back(Outcome.m_Total);
   Kept.m_Gap.insert(Kept.m_Gap.end(), Outcome.m_Gaps.begin(),
                     Outcome.m_Gaps.end());
-  // The mean, since an entry joins tokens that wait together: single gaps
-  // are then zero or twice as long, which no reader notices.
+  // The target applies to the mean gap: an entry merges tokens that wait
+  // together, so single gaps become 0 or twice as long, which is not noticeable
+  // to a reader.
   const Duration Sum =
       std::accumulate(Outcome.m_Gaps.begin(), Outcome.m_Gaps.end(), Duration());
   const auto Gaps = static_cast<std::int64_t>(Outcome.m_Gaps.size());
--- a/src/load/report.cpp
+++ b/src/load/report.cpp
@@ -1,4 +1,4 @@
-/// Tables of the report.
+/// Tables of the report, in Markdown and CSV.
 #include "load/report.h"
 
 #include <algorithm>
@@ -40,7 +40,7 @@
   return Result.empty() ? "-" : Result;
 }
 
-/// A column of the tables by source.
+/// A column of the tables with one row per source.
 struct SourceColumn {
   const char *m_Title; ///< In Markdown and CSV.
   std::function<std::string(const RunResult &, const SourceResult &)>
@@ -51,6 +51,7 @@
   return std::to_string(Of.count(End));
 }
 
+/// Short, since nearly all columns name them.
 using R = const RunResult &;
 using S = const SourceResult &;
 
@@ -83,7 +84,7 @@
   return Columns;
 }
 
-/// A column of the tables by run.
+/// A column of the tables with one row per run.
 struct RunColumn {
   const char *m_Title; ///< In Markdown.
   std::function<std::string(const RunResult &)>
@@ -150,7 +151,7 @@
   return Row + "\n";
 }
 
-/// Rows of one source stand together, a policy each.
+/// Groups the rows by source, one row per policy.
 std::string sourceTable(const std::vector<RunResult> &Runs) {
   std::string Result = header(sourceColumns());
   for (std::size_t Index = 0; Index < Runs.front().m_Sources.size(); ++Index)
--- a/src/load/report.h
+++ b/src/load/report.h
@@ -1,5 +1,5 @@
-/// The report over several runs: policies side by side, experiment by
-/// experiment, as Markdown, CSV, and data with scripts for gnuplot.
+/// Report on several runs: compares the policies of each experiment, as
+/// Markdown, as CSV, and as data with scripts for gnuplot.
 #ifndef CROWSTEP_LOAD_REPORT_H
 #define CROWSTEP_LOAD_REPORT_H
 
@@ -9,18 +9,18 @@
 
 /// A file of the report.
 struct ReportFile {
-  std::string m_Name; ///< Within the report's folder.
-  std::string m_Text; ///< Whole content.
+  std::string m_Name; ///< Relative to the report's folder.
+  std::string m_Text; ///< Content.
 };
 
-/// Returns the tables of all runs in Markdown.
+/// Returns the tables of all experiments in Markdown.
 std::string markdownReport(const std::vector<RunResult> &Runs);
 
-/// Returns a line a source of each run.
+/// Returns CSV with a header line and one line per source of each run.
 std::string csvReport(const std::vector<RunResult> &Runs);
 
-/// Returns data files and one gnuplot script a plot; each script, run in the
-/// report's folder, writes a picture.
+/// Returns a data file and a gnuplot script per plot. A script must run in the
+/// report's folder and writes a PNG file.
 std::vector<ReportFile> plotFiles(const std::vector<RunResult> &Runs);
 
 } // namespace crowstep::load
--- a/src/load/report_plot.cpp
+++ b/src/load/report_plot.cpp
@@ -1,4 +1,4 @@
-/// Data and scripts for gnuplot.
+/// Data files and scripts for gnuplot.
 #include "load/report.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Runs of one experiment.
+/// Runs of one experiment, one per policy.
 using Group = std::vector<const RunResult *>;
 
 std::map<std::string, Group> groupsOf(const std::vector<RunResult> &Runs) {
@@ -25,7 +25,7 @@
   return Result + "\n";
 }
 
-/// A line a source, a column a policy.
+/// One line per source, one column per policy.
 std::string attainmentData(const Group &Runs) {
   std::string Result = "source" + policyTitles(Runs);
   for (std::size_t Index = 0; Index < Runs.front()->m_Sources.size(); ++Index) {
@@ -49,7 +49,7 @@
   return Sum;
 }
 
-/// A line a second, a column a policy.
+/// One line per second, one column per policy.
 std::string goodputData(const Group &Runs) {
   std::string Result = "second" + policyTitles(Runs);
   const auto Seconds = static_cast<std::size_t>(
--- a/src/load/result.cpp
+++ b/src/load/result.cpp
@@ -1,4 +1,4 @@
-/// Result files.
+/// Result files as JSON, and quantiles.
 #include "load/result.h"
 
 #include <algorithm>
@@ -83,6 +83,8 @@
   return Audit;
 }
 
+/// Returns the sample of the nearest rank; \p Samples must not be empty and is
+/// reordered.
 Duration quantileOf(std::vector<Duration> &Samples, double Share) {
   const auto Last = static_cast<double>(Samples.size() - 1);
   const std::ptrdiff_t At = std::lround(Last * Share);
--- a/src/load/result.h
+++ b/src/load/result.h
@@ -1,4 +1,4 @@
-/// Measurements of one run, as they stand in a result file.
+/// Measurements of one run, as stored in a result file.
 #ifndef CROWSTEP_LOAD_RESULT_H
 #define CROWSTEP_LOAD_RESULT_H
 
@@ -12,21 +12,21 @@
 
 namespace crowstep::load {
 
-/// Quantiles of a set of latencies.
+/// Quantiles of a set of durations.
 struct Quantiles {
   Duration m_P50{}; ///< Median.
-  Duration m_P95{}; ///< 95 in 100 are at most this.
-  Duration m_P99{}; ///< 99 in 100 are at most this.
+  Duration m_P95{}; ///< 95th percentile.
+  Duration m_P99{}; ///< 99th percentile.
 };
 
-/// Returns the quantiles of \p Samples, zeros where there are none.
+/// Returns the quantiles of \p Samples, zeros if there are none.
 Quantiles quantilesOf(std::vector<Duration> Samples);
 
-/// Sums of one source over one second of arrivals.
+/// Counts of one source for the requests that were due in one second.
 struct SecondSums {
   std::uint64_t m_Sent = 0;    ///< Arrivals.
-  std::uint64_t m_Good = 0;    ///< Of them, answered whole within target.
-  std::uint64_t m_Refused = 0; ///< Of them, refused.
+  std::uint64_t m_Good = 0;    ///< Of these, complete and within targets.
+  std::uint64_t m_Refused = 0; ///< Of these, refused.
   std::uint64_t m_Tokens = 0;  ///< Of the good answers.
 };
 
@@ -36,39 +36,40 @@
   std::uint64_t m_Sent = 0;                       ///< Arrivals.
   std::map<std::string, std::uint64_t> m_Ends;    ///< By nameOf(CallEnd).
   std::map<std::string, std::uint64_t> m_Reasons; ///< Of refusals and cuts.
-  std::uint64_t m_FirstInTarget = 0; ///< Whole, first token within target.
-  std::uint64_t m_TokenInTarget = 0; ///< Whole, mean gap within target.
-  std::uint64_t m_Good = 0;          ///< Whole and both within target.
-  std::uint64_t m_Tokens = 0;        ///< That reached callers.
+  std::uint64_t m_FirstInTarget = 0; ///< Complete, first token in target.
+  std::uint64_t m_TokenInTarget = 0; ///< Complete, mean gap in target.
+  std::uint64_t m_Good = 0;          ///< Complete and both in target.
+  std::uint64_t m_Tokens = 0;        ///< Received by callers.
   std::uint64_t m_GoodTokens = 0;    ///< Of the good answers.
-  Quantiles m_First;                 ///< To the first token, whole answers.
-  Quantiles m_Gap;                   ///< Between tokens, whole answers.
-  Quantiles m_Total;                 ///< To the end, whole answers.
-  std::vector<SecondSums> m_Seconds; ///< From the end of the warm-up.
+  Quantiles m_First;                 ///< Complete answers only.
+  Quantiles m_Gap;                   ///< Complete answers only.
+  Quantiles m_Total;                 ///< Complete answers only.
+  std::vector<SecondSums> m_Seconds; ///< From the end of the warm-up on.
 
   [[nodiscard]] std::uint64_t count(CallEnd End) const;
 };
 
-/// What the upstreams' records say about the run, the warm-up included.
+/// Comparison of the upstreams' records with the callers' answers, including
+/// the warm-up.
 struct AuditResult {
-  std::uint64_t m_Generated = 0;     ///< Tokens computed by the engines.
-  std::uint64_t m_Delivered = 0;     ///< Tokens that reached callers.
-  std::uint64_t m_KeysRunTwice = 0;  ///< Keys that ran more than once.
-  std::uint64_t m_FalseNotRun = 0;   ///< Told "not run", yet it ran.
-  std::uint64_t m_FalseAnswered = 0; ///< Answered, yet no service ran it.
+  std::uint64_t m_Generated = 0;     ///< Tokens that engines generated.
+  std::uint64_t m_Delivered = 0;     ///< Tokens that callers received.
+  std::uint64_t m_KeysRunTwice = 0;  ///< Keys executed more than once.
+  std::uint64_t m_FalseNotRun = 0;   ///< Reported as not run, but executed.
+  std::uint64_t m_FalseAnswered = 0; ///< Reported as run, but never executed.
 
-  /// Share of the generated tokens that reached nobody.
+  /// Share of the generated tokens that no caller received, 0 to 1.
   [[nodiscard]] double wastedShare() const;
 };
 
 /// One run.
 struct RunResult {
-  std::string m_Experiment;            ///< Name of the plan.
-  std::string m_Policy;                ///< Column of the report.
-  std::uint64_t m_Seed = 0;            ///< Of the plan.
-  Duration m_Measured{};               ///< Length of the measurement.
-  Duration m_LargestLateness{};        ///< Of sending; the tool's own limit.
-  std::vector<SourceResult> m_Sources; ///< In the order of the plan.
+  std::string m_Experiment;     ///< Name of the plan.
+  std::string m_Policy;         ///< Column of the report.
+  std::uint64_t m_Seed = 0;     ///< Of the plan.
+  Duration m_Measured{};        ///< Length of the measured time.
+  Duration m_LargestLateness{}; ///< Of sending: shows an overloaded tool.
+  std::vector<SourceResult> m_Sources; ///< In the plan's order.
   AuditResult m_Audit;                 ///< From the upstreams.
 };
 
--- a/src/load/runner.cpp
+++ b/src/load/runner.cpp
@@ -1,4 +1,4 @@
-/// The course of an experiment.
+/// Sequence of an experiment: baseline, load, drain, audit.
 #include "load/runner.h"
 
 #include "core/log.h"
@@ -58,7 +58,7 @@
     return;
   }
   m_Callers.giveUp();
-  // Calls given up end in later iterations of the loop.
+  // Calls without response headers end in a later iteration of the loop.
   if (m_Callers.open() > 0)
     m_Timers.after(DrainPoll, [this] { drain(); });
   else
--- a/src/load/runner.h
+++ b/src/load/runner.h
@@ -1,4 +1,4 @@
-/// Runs one experiment from its first arrival to its audited result.
+/// Runs one experiment from the first arrival to the audited result.
 #ifndef CROWSTEP_LOAD_RUNNER_H
 #define CROWSTEP_LOAD_RUNNER_H
 
@@ -8,7 +8,7 @@
 
 namespace crowstep::load {
 
-/// Ties arrivals, callers, actions and records together on the loop.
+/// Runs arrivals, actions, measurements and the audit on the main loop.
 class Runner {
 public:
   using Done = std::function<void(RunResult)>;
@@ -16,7 +16,7 @@
   Runner(const Experiment &Plan, std::vector<Address> Targets,
          std::string Policy);
 
-  /// Begins; \p OnDone is called once, from the loop.
+  /// Starts the run; \p OnDone is called once, from the main loop.
   void start(Done OnDone);
 
 private:
@@ -28,15 +28,15 @@
 
   const Experiment &m_Plan; ///< Outlives the runner.
   std::string m_Policy;     ///< For the result.
-  LoopClock m_Clock;        ///< Of all measurements.
-  LoopScheduler m_Timers;   ///< Of arrivals and actions.
-  HttpClient m_Http;        ///< Of actions and the audit.
-  Arrivals m_Arrivals;      ///< What is left to send.
-  Recorder m_Recorder;      ///< Outcomes.
-  Audit m_Audit;            ///< Of the upstreams.
+  LoopClock m_Clock;        ///< For all measurements.
+  LoopScheduler m_Timers;   ///< For arrivals and actions.
+  HttpClient m_Http;        ///< For actions and the audit.
+  Arrivals m_Arrivals;      ///< Requests still to be sent.
+  Recorder m_Recorder;      ///< Outcomes so far.
+  Audit m_Audit;            ///< Of the upstreams' records.
   CallerPool m_Callers;     ///< Open calls.
-  TimePoint m_Start;        ///< Of the warm-up.
-  Done m_Done;              ///< Called at the end.
+  TimePoint m_Start;        ///< Start of the warm-up.
+  Done m_Done;              ///< Called with the result.
 };
 
 } // namespace crowstep::load
--- a/src/load/token_text.cpp
+++ b/src/load/token_text.cpp
@@ -1,4 +1,4 @@
-/// Token texts that name their prompt and their place in the answer.
+/// Token texts with the hash of their prompt and their index in the answer.
 #include "load/token_text.h"
 
 #include <array>
--- a/tests/unit/load_test.cpp
+++ b/tests/unit/load_test.cpp
@@ -1,6 +1,6 @@
-/// The load tool's own promises: the same seed gives the same requests,
-/// arrivals follow the rates, an answer that is not whole and the caller's own
-/// is seen, and sums are right.
+/// Tests of the load tool: the same seed gives the same requests, arrivals
+/// follow the rates, an incomplete or foreign answer is detected, and the
+/// measurements and the example experiments are right.
 #define BOOST_TEST_MODULE load
 #include "load/answer_check.h"
 #include "load/arrivals.h"
@@ -85,7 +85,8 @@
     (Call.m_At < 50s ? Before : During) += 1;
     Large += Call.m_Workspace == 0 ? 1 : 0;
   }
-  // 1,000 and 3,000 are expected; five standard deviations are allowed.
+  // 1,000 and 3,000 arrivals are expected; the bounds are five standard
+  // deviations.
   BOOST_TEST(std::abs(Before - 1000) < 160);
   BOOST_TEST(std::abs(During - 3000) < 275);
   BOOST_TEST(std::abs(Large / (Before + During) - 0.9) < 0.03);
