--- a/src/load/load_command.cpp
+++ b/src/load/load_command.cpp
@@ -29,7 +29,8 @@
   try {
     return resultFromJson(nlohmann::json::parse(File));
   } catch (const nlohmann::json::exception &Failure) {
-    throw LoadFileError(Path, std::string("no result: ") + Failure.what());
+    throw LoadFileError(Path,
+                        std::string("not a result file: ") + Failure.what());
   }
 }
 
