--- a/src/load/active_call.cpp
+++ b/src/load/active_call.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t ReadSize = 16384;
+constexpr std::size_t ReadBufferSize = 16384;
 
 } // namespace
 
@@ -47,8 +47,10 @@
   const std::string Uri = "http://" + toString(Target) + m_Source.m_Path;
   m_Message = soup_message_new("POST", Uri.c_str());
   SoupMessageHeaders *Headers = soup_message_get_request_headers(m_Message);
-  const LoadWorkspace &Of = m_Owner.m_Plan.m_Workspaces[Call.m_Workspace];
-  const std::string Bearer = "Bearer " + Of.m_Name + m_Owner.m_Plan.m_KeySuffix;
+  const LoadWorkspace &Workspace =
+      m_Owner.m_Plan.m_Workspaces[Call.m_Workspace];
+  const std::string Bearer =
+      "Bearer " + Workspace.m_Name + m_Owner.m_Plan.m_KeySuffix;
   soup_message_headers_append(Headers, "Authorization", Bearer.c_str());
   soup_message_headers_append(Headers, "Crowstep-Class",
                               m_Source.m_Class.c_str());
@@ -85,9 +87,9 @@
 void ActiveCall::headersCame(GInputStream *Body) {
   m_Stream = Body;
   m_Outcome.m_Status = soup_message_get_status(m_Message);
-  const char *State = soup_message_headers_get_one(
+  const char *RunState = soup_message_headers_get_one(
       soup_message_get_response_headers(m_Message), "Crowstep-Run");
-  m_Outcome.m_RunState = State == nullptr ? "" : State;
+  m_Outcome.m_RunState = RunState == nullptr ? "" : RunState;
   if (m_GaveUp)
     end(CallEnd::TimedOut);
   else if (readBody())
@@ -110,7 +112,7 @@
 }
 
 bool ActiveCall::readBody() {
-  std::array<char, ReadSize> Buffer;
+  std::array<char, ReadBufferSize> Buffer;
   while (true) {
     GError *Failure = nullptr;
     const gssize Size = g_pollable_input_stream_read_nonblocking(
@@ -124,10 +126,10 @@
       bodyEnded();
       return false;
     }
-    const bool Blocks =
+    const bool WouldBlock =
         g_error_matches(Failure, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK) != 0;
     g_error_free(Failure);
-    if (Blocks)
+    if (WouldBlock)
       return true;
     end(m_Outcome.m_Tokens > 0 ? CallEnd::Cut : CallEnd::NoAnswer);
     return false;
@@ -190,8 +192,8 @@
     end(CallEnd::TimedOut);
 }
 
-void ActiveCall::end(CallEnd How) {
-  m_Outcome.m_End = How;
+void ActiveCall::end(CallEnd End) {
+  m_Outcome.m_End = End;
   m_Outcome.m_Total = m_Owner.m_Clock.fresh() - m_Sent;
   m_Owner.ended(m_Id, std::move(m_Outcome)); // Destroys this object.
 }
--- a/src/load/active_call.h
+++ b/src/load/active_call.h
@@ -32,7 +32,7 @@
   void bodyEnded();
   [[nodiscard]] CallEnd endOfBody();
   void readRefusal();
-  void end(CallEnd How);
+  void end(CallEnd End);
 
   CallerPool &m_Owner;    ///< Receives the outcome.
   std::uint64_t m_Id;     ///< Unique within the pool.
--- a/src/load/answer_check.cpp
+++ b/src/load/answer_check.cpp
@@ -27,7 +27,7 @@
     : m_Hash(promptHashOf(Prompt)), m_Stream(Stream) {}
 
 std::uint64_t AnswerCheck::feed(std::string_view Bytes) {
-  const std::uint64_t Before = m_Next;
+  const std::uint64_t FirstNew = m_Next;
   m_Rest += Bytes;
   if (!m_Stream)
     return 0;
@@ -38,7 +38,7 @@
     Start = End + 1;
   }
   m_Rest.erase(0, Start);
-  return m_Next - Before;
+  return m_Next - FirstNew;
 }
 
 void AnswerCheck::finish() {
--- a/src/load/arrivals.h
+++ b/src/load/arrivals.h
@@ -32,7 +32,7 @@
   PlannedCall take();
 
 private:
-  struct Stream {
+  struct ArrivalStream {
     std::mt19937_64 m_Random;  ///< One each: sources are independent.
     Duration m_Next{};         ///< Due time of the next request.
     std::uint64_t m_Count = 0; ///< Requests so far.
@@ -41,11 +41,11 @@
   /// Draws the next arrival of a source.
   void advance(std::size_t Index);
   std::size_t pickWorkspace(std::size_t Index);
-  void writeCompletion(PlannedCall &Call, Stream &From) const;
+  void writeCompletion(PlannedCall &Call, ArrivalStream &Stream) const;
 
-  const Experiment &m_Plan;      ///< Outlives the arrivals.
-  Duration m_End;                ///< No arrivals from this time on.
-  std::vector<Stream> m_Streams; ///< One for each source.
+  const Experiment &m_Plan;             ///< Outlives the arrivals.
+  Duration m_End;                       ///< No arrivals from this time on.
+  std::vector<ArrivalStream> m_Streams; ///< One per source.
 };
 
 } // namespace crowstep::load
--- a/src/load/audit.cpp
+++ b/src/load/audit.cpp
@@ -22,69 +22,71 @@
 
 } // namespace
 
-void Audit::getAll(const std::vector<Address> &Where, const std::string &Path,
-                   const std::function<void(const json &)> &Each,
-                   const std::function<void()> &Done) {
-  // Runs Done when the last answer has let go of it.
-  const std::shared_ptr<void> Last(nullptr, [Done](void *) { Done(); });
-  for (const Address &One : Where)
-    m_Http.call({"GET", One, Path, "", RecordTimeout},
-                [Each, Last](const HttpResult &Result) {
+void Audit::getAll(const std::vector<Address> &Upstreams,
+                   const std::string &Path,
+                   const std::function<void(const json &)> &OnDocument,
+                   const std::function<void()> &OnDone) {
+  // Shared by all calls; its deleter runs OnDone after the last answer.
+  const std::shared_ptr<void> Completion(nullptr,
+                                         [OnDone](void *) { OnDone(); });
+  for (const Address &Upstream : Upstreams)
+    m_Http.call({"GET", Upstream, Path, "", RecordTimeout},
+                [OnDocument, Completion](const HttpResult &Result) {
                   const json Document = documentOf(Result);
                   if (Document.is_object())
-                    Each(Document);
+                    OnDocument(Document);
                 });
 }
 
-void Audit::begin(const std::function<void()> &Done) {
+void Audit::begin(const std::function<void()> &OnDone) {
   getAll(
       m_Plan.m_Engines, "/record/sums",
       [this](const json &Sums) {
         m_Before += Sums.value("generated", std::uint64_t{0});
       },
-      Done);
+      OnDone);
 }
 
 void Audit::finish(std::uint64_t Delivered,
-                   const std::map<std::string, std::string> &ToldByKey,
-                   const std::function<void(AuditResult)> &Done) {
-  const auto Compared = [this, Delivered, &ToldByKey, Done] {
+                   const std::map<std::string, std::string> &RunStateByKey,
+                   const std::function<void(AuditResult)> &OnDone) {
+  const auto Compare = [this, Delivered, &RunStateByKey, OnDone] {
     AuditResult Result;
     Result.m_Generated = m_After - m_Before;
     Result.m_Delivered = Delivered;
-    compareKeys(ToldByKey, Result);
-    Done(Result);
+    compareKeys(RunStateByKey, Result);
+    OnDone(Result);
   };
-  const auto Services = [this, Compared] {
+  const auto ReadServices = [this, Compare] {
     getAll(
         m_Plan.m_Services, "/record",
         [this](const json &Record) {
           for (const json &Call : Record.value("calls", json::array()))
             ++m_RunsByKey[Call.value("key", "")];
         },
-        Compared);
+        Compare);
   };
   getAll(
       m_Plan.m_Engines, "/record/sums",
       [this](const json &Sums) {
         m_After += Sums.value("generated", std::uint64_t{0});
       },
-      Services);
+      ReadServices);
 }
 
-void Audit::compareKeys(const std::map<std::string, std::string> &ToldByKey,
-                        AuditResult &Into) const {
+void Audit::compareKeys(const std::map<std::string, std::string> &RunStateByKey,
+                        AuditResult &Result) const {
   if (m_Plan.m_Services.empty())
     return;
-  for (const auto &[Key, Told] : ToldByKey) {
+  for (const auto &[Key, RunState] : RunStateByKey) {
     const auto Found = m_RunsByKey.find(Key);
     const std::uint64_t Runs = Found == m_RunsByKey.end() ? 0 : Found->second;
     if (Runs > 1)
-      ++Into.m_KeysRunTwice;
-    if (Told == "not-run" && Runs > 0)
-      ++Into.m_FalseNotRun;
-    if (Told == "ran" && Runs == 0)
-      ++Into.m_FalseAnswered;
+      ++Result.m_KeysRunTwice;
+    if (RunState == "not-run" && Runs > 0)
+      ++Result.m_FalseNotRun;
+    if (RunState == "ran" && Runs == 0)
+      ++Result.m_FalseAnswered;
   }
 }
 
--- a/src/load/audit.h
+++ b/src/load/audit.h
@@ -15,22 +15,22 @@
       : m_Plan(Plan), m_Http(Http) {}
 
   /// Reads the tokens generated before the run, then calls \p OnDone.
-  void begin(const std::function<void()> &Done);
+  void begin(const std::function<void()> &OnDone);
 
   /// Reads the records after the run and calls \p OnDone with the result.
   /// \p RunStateByKey must outlive the call to \p OnDone.
   void finish(std::uint64_t Delivered,
-              const std::map<std::string, std::string> &ToldByKey,
-              const std::function<void(AuditResult)> &Done);
+              const std::map<std::string, std::string> &RunStateByKey,
+              const std::function<void(AuditResult)> &OnDone);
 
 private:
   /// Gets \p Path from each upstream and calls \p OnDocument for each answer
   /// that is a JSON object; then calls \p OnDone.
-  void getAll(const std::vector<Address> &Where, const std::string &Path,
-              const std::function<void(const nlohmann::json &)> &Each,
-              const std::function<void()> &Done);
-  void compareKeys(const std::map<std::string, std::string> &ToldByKey,
-                   AuditResult &Into) const;
+  void getAll(const std::vector<Address> &Upstreams, const std::string &Path,
+              const std::function<void(const nlohmann::json &)> &OnDocument,
+              const std::function<void()> &OnDone);
+  void compareKeys(const std::map<std::string, std::string> &RunStateByKey,
+                   AuditResult &Result) const;
 
   const Experiment &m_Plan;   ///< Outlives the audit.
   HttpCaller &m_Http;         ///< Outlives the audit.
--- a/src/load/caller.cpp
+++ b/src/load/caller.cpp
@@ -57,8 +57,8 @@
 
 CallerPool::~CallerPool() {
   m_Open.clear();
-  for (SoupSession *Each : m_Sessions)
-    g_object_unref(Each);
+  for (SoupSession *Session : m_Sessions)
+    g_object_unref(Session);
 }
 
 void CallerPool::send(const PlannedCall &Call, Duration Late) {
@@ -68,10 +68,10 @@
 }
 
 void CallerPool::giveUp() {
-  std::vector<ActiveCall *> Left;
+  std::vector<ActiveCall *> Calls;
   for (const auto &[Id, Call] : m_Open)
-    Left.push_back(Call.get());
-  for (ActiveCall *Call : Left)
+    Calls.push_back(Call.get());
+  for (ActiveCall *Call : Calls)
     Call->giveUp();
 }
 
--- a/src/load/experiment.cpp
+++ b/src/load/experiment.cpp
@@ -13,22 +13,22 @@
   return std::clamp<std::uint64_t>(Size, 1, m_Max);
 }
 
-double Experiment::rateAt(std::size_t SourceIndex, Duration When) const {
+double Experiment::rateAt(std::size_t SourceIndex, Duration Time) const {
   double Rate = m_Sources[SourceIndex].m_Rate;
-  for (const Phase &Each : m_Phases)
-    if (Each.m_Source == SourceIndex && Each.m_From <= When &&
-        When < Each.m_Until)
-      Rate *= Each.m_Factor;
+  for (const Phase &RatePhase : m_Phases)
+    if (RatePhase.m_Source == SourceIndex && RatePhase.m_From <= Time &&
+        Time < RatePhase.m_Until)
+      Rate *= RatePhase.m_Factor;
   return Rate;
 }
 
-Duration Experiment::nextChange(std::size_t SourceIndex, Duration When) const {
+Duration Experiment::nextChange(std::size_t SourceIndex, Duration Time) const {
   Duration Next = m_WarmUp + m_Measured;
-  for (const Phase &Each : m_Phases) {
-    if (Each.m_Source != SourceIndex)
+  for (const Phase &RatePhase : m_Phases) {
+    if (RatePhase.m_Source != SourceIndex)
       continue;
-    for (const Duration Edge : {Each.m_From, Each.m_Until})
-      if (Edge > When)
+    for (const Duration Edge : {RatePhase.m_From, RatePhase.m_Until})
+      if (Edge > Time)
         Next = std::min(Next, Edge);
   }
   return Next;
--- a/src/load/experiment.h
+++ b/src/load/experiment.h
@@ -79,12 +79,12 @@
   std::vector<Address> m_Services;         ///< Audited for executed keys.
 
   /// Returns the rate of a source at a time, in arrivals per second.
-  [[nodiscard]] double rateAt(std::size_t SourceIndex, Duration When) const;
+  [[nodiscard]] double rateAt(std::size_t SourceIndex, Duration Time) const;
 
-  /// Returns when a source's rate changes next after \p When, at the latest the
+  /// Returns when a source's rate changes next after \p Time, at the latest the
   /// end of the experiment.
   [[nodiscard]] Duration nextChange(std::size_t SourceIndex,
-                                    Duration When) const;
+                                    Duration Time) const;
 };
 
 /// Reads several settings files as one; later files override earlier ones, so
--- a/src/load/experiment_settings.cpp
+++ b/src/load/experiment_settings.cpp
@@ -13,13 +13,14 @@
 
 namespace {
 
-constexpr std::int64_t Large = 100000000;
+/// Upper bound of sizes in settings.
+constexpr std::int64_t MaxSize = 100000000;
 
 /// Added to the class's time limit for the caller's timeout, so that the
 /// router's error answer arrives before the caller gives up.
-constexpr Duration GraceBeforeGivingUp = 10s;
+constexpr Duration CallerTimeoutMargin = 10s;
 
-std::vector<std::string> listOf(const std::string &Text) {
+std::vector<std::string> splitList(const std::string &Text) {
   std::vector<std::string> Result;
   std::istringstream Items(Text);
   for (std::string Item; std::getline(Items, Item, ';');)
@@ -38,8 +39,8 @@
 
 std::vector<LoadWorkspace> readWorkspaces(Settings &File) {
   std::vector<LoadWorkspace> Result;
-  const auto Names = listOf(File.text("workspaces", "names"));
-  const auto Shares = listOf(File.text("workspaces", "shares", ""));
+  const auto Names = splitList(File.text("workspaces", "names"));
+  const auto Shares = splitList(File.text("workspaces", "shares", ""));
   for (std::size_t Index = 0; Index < Names.size(); ++Index)
     Result.push_back(
         {Names[Index], Index < Shares.size()
@@ -52,10 +53,11 @@
                            const std::string &Prefix, double Median,
                            std::int64_t Max) {
   SizeDistribution Result;
-  Result.m_Median = File.number(Section, Prefix + "_median", 1, Large, Median);
+  Result.m_Median =
+      File.number(Section, Prefix + "_median", 1, MaxSize, Median);
   Result.m_Sigma = File.number(Section, Prefix + "_sigma", 0, 5, 0);
   Result.m_Max = static_cast<std::uint64_t>(
-      File.integer(Section, Prefix + "_max", 0, Large, Max));
+      File.integer(Section, Prefix + "_max", 0, MaxSize, Max));
   return Result;
 }
 
@@ -68,25 +70,27 @@
   Result.m_Workspace = File.text(Section, "workspace", "");
   Result.m_Rate = File.number(Section, "rate", 0, 1000000);
   Result.m_Stream = File.boolean(Section, "stream", true);
-  Result.m_Prompt = readSizes(File, Section, "prompt", 400, Large);
+  Result.m_Prompt = readSizes(File, Section, "prompt", 400, MaxSize);
   Result.m_Tokens = readSizes(File, Section, "tokens", 100, 0);
   Result.m_Shared = static_cast<std::uint64_t>(
-      File.integer(Section, "shared_prefix", 0, Large, 0));
-  const auto Row = std::find_if(
-      Table.m_Contracts.begin(), Table.m_Contracts.end(),
-      [&](const Contract &Each) { return Each.m_Name == Result.m_Class; });
+      File.integer(Section, "shared_prefix", 0, MaxSize, 0));
+  const auto Row =
+      std::find_if(Table.m_Contracts.begin(), Table.m_Contracts.end(),
+                   [&](const Contract &Candidate) {
+                     return Candidate.m_Name == Result.m_Class;
+                   });
   if (Row == Table.m_Contracts.end())
     throw ExperimentError(Section, Result.m_Class, "a class of the table");
   Result.m_Model = Row->m_Model;
   Result.m_Keyed = !Row->m_Repeatable;
   Result.m_FirstTokenTarget = Row->m_FirstTokenTarget;
   Result.m_TokenTarget = Row->m_TokenTarget;
-  Result.m_Limit = Row->m_TotalLimit + GraceBeforeGivingUp;
+  Result.m_Limit = Row->m_TotalLimit + CallerTimeoutMargin;
   return Result;
 }
 
-std::size_t sourceNamed(const Experiment &Plan, const std::string &Section,
-                        const std::string &Name) {
+std::size_t findSource(const Experiment &Plan, const std::string &Section,
+                       const std::string &Name) {
   for (std::size_t Index = 0; Index < Plan.m_Sources.size(); ++Index)
     if (Plan.m_Sources[Index].m_Name == Name)
       return Index;
@@ -96,7 +100,7 @@
 Phase readPhase(Settings &File, const std::string &Section,
                 const Experiment &Plan) {
   Phase Result;
-  Result.m_Source = sourceNamed(Plan, Section, File.text(Section, "source"));
+  Result.m_Source = findSource(Plan, Section, File.text(Section, "source"));
   Result.m_From = File.milliseconds(Section, "from_ms", 0s, 24h);
   Result.m_Until = File.milliseconds(Section, "until_ms", 0s, 24h);
   Result.m_Factor = File.number(Section, "factor", 0, 1000);
@@ -117,9 +121,9 @@
 Settings joinedSettings(const std::vector<std::string> &Files) {
   std::string Text;
   std::string Names;
-  for (const std::string &Each : Files) {
-    Text += readFile(Each) + "\n";
-    Names += (Names.empty() ? "" : "+") + Each;
+  for (const std::string &File : Files) {
+    Text += readFile(File) + "\n";
+    Names += (Names.empty() ? "" : "+") + File;
   }
   return Settings::parse(Text, Names);
 }
--- a/src/load/load_command.cpp
+++ b/src/load/load_command.cpp
@@ -34,17 +34,17 @@
   }
 }
 
-ExitCode execute(const SendCommand &What) {
-  if (What.m_CheckOnly) {
+ExitCode execute(const SendCommand &Parsed) {
+  if (Parsed.m_CheckOnly) {
     std::cout << "valid\n";
     return ExitCode::Success;
   }
   GMainLoop *Loop = g_main_loop_new(nullptr, 0);
   RunResult Result;
   logEvent(LogEvent::LoadStarted,
-           {{"experiment", What.m_Plan.m_Name}, {"policy", What.m_Policy}});
+           {{"experiment", Parsed.m_Plan.m_Name}, {"policy", Parsed.m_Policy}});
   {
-    Runner Run(What.m_Plan, What.m_Targets, What.m_Policy);
+    Runner Run(Parsed.m_Plan, Parsed.m_Targets, Parsed.m_Policy);
     Run.start([&](RunResult Measured) {
       Result = std::move(Measured);
       g_main_loop_quit(Loop);
@@ -54,28 +54,28 @@
   g_main_loop_unref(Loop);
   logEvent(LogEvent::LoadFinished);
   std::cout << markdownReport({Result});
-  if (!What.m_Out.empty())
-    writeFile(What.m_Out, toJson(Result).dump(1) + "\n");
+  if (!Parsed.m_Out.empty())
+    writeFile(Parsed.m_Out, toJson(Result).dump(1) + "\n");
   return ExitCode::Success;
 }
 
-ExitCode execute(const ReportCommand &What) {
+ExitCode execute(const ReportCommand &Parsed) {
   std::vector<RunResult> Runs;
-  for (const std::string &Path : What.m_Results)
+  for (const std::string &Path : Parsed.m_Results)
     Runs.push_back(readResult(Path));
-  const std::filesystem::path Folder = What.m_Folder;
+  const std::filesystem::path Folder = Parsed.m_Folder;
   std::filesystem::create_directories(Folder);
   writeFile(Folder / "report.md", markdownReport(Runs));
   writeFile(Folder / "report.csv", csvReport(Runs));
-  for (const ReportFile &Each : plotFiles(Runs))
-    writeFile(Folder / Each.m_Name, Each.m_Text);
+  for (const ReportFile &File : plotFiles(Runs))
+    writeFile(Folder / File.m_Name, File.m_Text);
   return ExitCode::Success;
 }
 
 } // namespace
 
-ExitCode execute(const Command &What) {
-  return std::visit([](const auto &Each) { return execute(Each); }, What);
+ExitCode execute(const Command &Parsed) {
+  return std::visit([](const auto &Typed) { return execute(Typed); }, Parsed);
 }
 
 } // namespace crowstep::load
--- a/src/load/load_command.h
+++ b/src/load/load_command.h
@@ -38,7 +38,7 @@
 Command parseCommand(int Argc, char **Argv);
 
 /// Runs a command to its end.
-ExitCode execute(const Command &What);
+ExitCode execute(const Command &Parsed);
 
 } // namespace crowstep::load
 
--- a/src/load/load_command_line.cpp
+++ b/src/load/load_command_line.cpp
@@ -12,7 +12,7 @@
 using Text = TCLAP::ValueArg<std::string>;
 using Number = TCLAP::ValueArg<double>;
 
-std::vector<Address> targetsOf(const std::string &List) {
+std::vector<Address> parseTargets(const std::string &List) {
   std::vector<Address> Result;
   std::istringstream Items(List);
   for (std::string Item; std::getline(Items, Item, ';');)
@@ -27,12 +27,12 @@
 }
 
 /// Options of `run`, which describe the plan's only source.
-class RunLine {
+class RunCommandLine {
 public:
   SendCommand parse(int Argc, char **Argv) {
     m_Line.parse(Argc, Argv);
     SendCommand Result;
-    Result.m_Targets = targetsOf(m_Targets.getValue());
+    Result.m_Targets = parseTargets(m_Targets.getValue());
     Result.m_Policy = m_Policy.getValue();
     Result.m_Out = m_Out.getValue();
     Experiment &Plan = Result.m_Plan;
@@ -57,11 +57,11 @@
     Result.m_Rate = m_Rate.getValue();
     Result.m_Stream = !m_Plain.getValue();
     Result.m_Keyed = m_Keyed.getValue();
-    const auto Size = [](double Value) {
+    const auto FixedSize = [](double Value) {
       return SizeDistribution{Value, 0, static_cast<std::uint64_t>(Value)};
     };
-    Result.m_Prompt = Size(m_Prompt.getValue());
-    Result.m_Tokens = Size(m_Tokens.getValue());
+    Result.m_Prompt = FixedSize(m_Prompt.getValue());
+    Result.m_Tokens = FixedSize(m_Tokens.getValue());
     Result.m_Limit = seconds(m_Limit.getValue());
     return Result;
   }
@@ -116,7 +116,7 @@
   SendCommand Result;
   Result.m_Plan = readExperiment(File);
   File.rejectUnknown();
-  Result.m_Targets = targetsOf(Targets.getValue());
+  Result.m_Targets = parseTargets(Targets.getValue());
   Result.m_Policy = Policy.getValue();
   Result.m_Out = Out.getValue();
   Result.m_CheckOnly = Check.getValue();
@@ -139,7 +139,7 @@
   // The arguments from the command's name on form a command line of their own;
   // TCLAP takes the name as the program's.
   if (Name == "run")
-    return RunLine().parse(Argc - 1, Argv + 1);
+    return RunCommandLine().parse(Argc - 1, Argv + 1);
   if (Name == "experiment")
     return parseExperiment(Argc - 1, Argv + 1);
   if (Name == "report")
--- a/src/load/load_error.h
+++ b/src/load/load_error.h
@@ -9,8 +9,8 @@
 /// A file can't be read or written, or is not a result file.
 class LoadFileError : public Error {
 public:
-  LoadFileError(const std::string &File, const std::string &Why)
-      : Error(File + ": " + Why) {}
+  LoadFileError(const std::string &File, const std::string &Reason)
+      : Error(File + ": " + Reason) {}
 };
 
 /// An experiment refers to a class or source that is not defined.
--- a/src/load/load_main.cpp
+++ b/src/load/load_main.cpp
@@ -29,9 +29,9 @@
 } // namespace
 
 int main(int Argc, char **Argv) {
-  const std::string First = Argc > 1 ? Argv[1] : "";
-  if (First == "--help" || First == "--version") {
-    std::cout << (First == "--help" ? load::Usage : versionText()) << "\n";
+  const std::string Option = Argc > 1 ? Argv[1] : "";
+  if (Option == "--help" || Option == "--version") {
+    std::cout << (Option == "--help" ? load::Usage : versionText()) << "\n";
     return static_cast<int>(ExitCode::Success);
   }
   return static_cast<int>(runLoad(Argc, Argv));
--- a/src/load/recorder.cpp
+++ b/src/load/recorder.cpp
@@ -10,9 +10,9 @@
     : m_Plan(Plan), m_Samples(Plan.m_Sources.size()) {
   const auto Seconds = static_cast<std::size_t>(
       std::chrono::ceil<std::chrono::seconds>(Plan.m_Measured).count());
-  for (const Source &Each : Plan.m_Sources) {
+  for (const Source &PlannedSource : Plan.m_Sources) {
     m_Sources.emplace_back();
-    m_Sources.back().m_Name = Each.m_Name;
+    m_Sources.back().m_Name = PlannedSource.m_Name;
     m_Sources.back().m_Seconds.resize(Seconds);
   }
 }
@@ -24,48 +24,49 @@
   if (Outcome.m_At < m_Plan.m_WarmUp)
     return;
   m_LargestLateness = std::max(m_LargestLateness, Outcome.m_Late);
-  SourceResult &Into = m_Sources[Outcome.m_Source];
+  SourceResult &Result = m_Sources[Outcome.m_Source];
   const auto Index = static_cast<std::size_t>(
       std::chrono::floor<std::chrono::seconds>(Outcome.m_At - m_Plan.m_WarmUp)
           .count());
-  SecondSums &Second = Into.m_Seconds[Index];
-  ++Into.m_Sent;
+  SecondSums &Second = Result.m_Seconds[Index];
+  ++Result.m_Sent;
   ++Second.m_Sent;
-  ++Into.m_Ends[nameOf(Outcome.m_End)];
-  Into.m_Tokens += Outcome.m_Tokens;
+  ++Result.m_Ends[nameOf(Outcome.m_End)];
+  Result.m_Tokens += Outcome.m_Tokens;
   if (!Outcome.m_Reason.empty())
-    ++Into.m_Reasons[Outcome.m_Reason];
+    ++Result.m_Reasons[Outcome.m_Reason];
   if (Outcome.m_End == CallEnd::Refused)
     ++Second.m_Refused;
   else if (Outcome.m_End == CallEnd::Whole)
-    addWhole(Outcome, Into, Second);
+    addWhole(Outcome, Result, Second);
 }
 
-void Recorder::addWhole(const CallOutcome &Outcome, SourceResult &Into,
+void Recorder::addWhole(const CallOutcome &Outcome, SourceResult &Result,
                         SecondSums &Second) {
-  const Source &Of = m_Plan.m_Sources[Outcome.m_Source];
-  Samples &Kept = m_Samples[Outcome.m_Source];
-  Kept.m_First.push_back(Outcome.m_First);
-  Kept.m_Total.push_back(Outcome.m_Total);
-  Kept.m_Gap.insert(Kept.m_Gap.end(), Outcome.m_Gaps.begin(),
-                    Outcome.m_Gaps.end());
+  const Source &PlannedSource = m_Plan.m_Sources[Outcome.m_Source];
+  Samples &SourceSamples = m_Samples[Outcome.m_Source];
+  SourceSamples.m_First.push_back(Outcome.m_First);
+  SourceSamples.m_Total.push_back(Outcome.m_Total);
+  SourceSamples.m_Gap.insert(SourceSamples.m_Gap.end(), Outcome.m_Gaps.begin(),
+                             Outcome.m_Gaps.end());
   // The target applies to the mean gap: an entry merges tokens that wait
   // together, so single gaps become 0 or twice as long, which is not noticeable
   // to a reader.
   const Duration Sum =
       std::accumulate(Outcome.m_Gaps.begin(), Outcome.m_Gaps.end(), Duration());
   const auto Gaps = static_cast<std::int64_t>(Outcome.m_Gaps.size());
-  const bool First = Of.m_FirstTokenTarget == Duration() ||
-                     Outcome.m_First <= Of.m_FirstTokenTarget;
-  const bool Token =
-      Of.m_TokenTarget == Duration() || Sum <= Of.m_TokenTarget * Gaps;
-  Into.m_FirstInTarget += First ? 1 : 0;
-  Into.m_TokenInTarget += Token ? 1 : 0;
-  if (!First || !Token)
+  const bool FirstInTarget =
+      PlannedSource.m_FirstTokenTarget == Duration() ||
+      Outcome.m_First <= PlannedSource.m_FirstTokenTarget;
+  const bool TokenInTarget = PlannedSource.m_TokenTarget == Duration() ||
+                             Sum <= PlannedSource.m_TokenTarget * Gaps;
+  Result.m_FirstInTarget += FirstInTarget ? 1 : 0;
+  Result.m_TokenInTarget += TokenInTarget ? 1 : 0;
+  if (!FirstInTarget || !TokenInTarget)
     return;
-  ++Into.m_Good;
+  ++Result.m_Good;
   ++Second.m_Good;
-  Into.m_GoodTokens += Outcome.m_Tokens;
+  Result.m_GoodTokens += Outcome.m_Tokens;
   Second.m_Tokens += Outcome.m_Tokens;
 }
 
--- a/src/load/recorder.h
+++ b/src/load/recorder.h
@@ -33,7 +33,7 @@
     std::vector<Duration> m_Total; ///< Of complete answers.
   };
 
-  void addWhole(const CallOutcome &Outcome, SourceResult &Into,
+  void addWhole(const CallOutcome &Outcome, SourceResult &Result,
                 SecondSums &Second);
 
   const Experiment &m_Plan;            ///< Outlives the recorder.
--- a/src/load/report.cpp
+++ b/src/load/report.cpp
@@ -32,9 +32,9 @@
                1);
 }
 
-std::string reasonsOf(const SourceResult &Of) {
+std::string reasonsOf(const SourceResult &Row) {
   std::string Result;
-  for (const auto &[Reason, Count] : Of.m_Reasons)
+  for (const auto &[Reason, Count] : Row.m_Reasons)
     Result +=
         (Result.empty() ? "" : ", ") + Reason + " " + std::to_string(Count);
   return Result.empty() ? "-" : Result;
@@ -47,8 +47,8 @@
       m_Cell; ///< Returns the text of a cell.
 };
 
-std::string countOf(const SourceResult &Of, CallEnd End) {
-  return std::to_string(Of.count(End));
+std::string countOf(const SourceResult &Row, CallEnd End) {
+  return std::to_string(Row.count(End));
 }
 
 /// Short, since nearly all columns name them.
@@ -57,30 +57,34 @@
 
 const std::vector<SourceColumn> &sourceColumns() {
   static const std::vector<SourceColumn> Columns = {
-      {"source", [](R, S Of) { return Of.m_Name; }},
+      {"source", [](R, S Row) { return Row.m_Name; }},
       {"policy", [](R Run, S) { return Run.m_Policy; }},
-      {"sent", [](R, S Of) { return std::to_string(Of.m_Sent); }},
-      {"answered", [](R, S Of) { return countOf(Of, CallEnd::Whole); }},
-      {"refused", [](R, S Of) { return countOf(Of, CallEnd::Refused); }},
-      {"cut", [](R, S Of) { return countOf(Of, CallEnd::Cut); }},
-      {"wrong", [](R, S Of) { return countOf(Of, CallEnd::Wrong); }},
-      {"no answer", [](R, S Of) { return countOf(Of, CallEnd::NoAnswer); }},
-      {"timed out", [](R, S Of) { return countOf(Of, CallEnd::TimedOut); }},
-      {"attainment", [](R, S Of) { return share(Of.m_Good, Of.m_Sent); }},
+      {"sent", [](R, S Row) { return std::to_string(Row.m_Sent); }},
+      {"answered", [](R, S Row) { return countOf(Row, CallEnd::Whole); }},
+      {"refused", [](R, S Row) { return countOf(Row, CallEnd::Refused); }},
+      {"cut", [](R, S Row) { return countOf(Row, CallEnd::Cut); }},
+      {"wrong", [](R, S Row) { return countOf(Row, CallEnd::Wrong); }},
+      {"no answer", [](R, S Row) { return countOf(Row, CallEnd::NoAnswer); }},
+      {"timed out", [](R, S Row) { return countOf(Row, CallEnd::TimedOut); }},
+      {"attainment", [](R, S Row) { return share(Row.m_Good, Row.m_Sent); }},
       {"first in target",
-       [](R, S Of) { return share(Of.m_FirstInTarget, Of.m_Sent); }},
+       [](R, S Row) { return share(Row.m_FirstInTarget, Row.m_Sent); }},
       {"tokens in target",
-       [](R, S Of) {
-         return share(Of.m_TokenInTarget, Of.count(CallEnd::Whole));
+       [](R, S Row) {
+         return share(Row.m_TokenInTarget, Row.count(CallEnd::Whole));
        }},
-      {"first p50 ms", [](R, S Of) { return milliseconds(Of.m_First.m_P50); }},
-      {"first p99 ms", [](R, S Of) { return milliseconds(Of.m_First.m_P99); }},
-      {"gap p95 ms", [](R, S Of) { return milliseconds(Of.m_Gap.m_P95); }},
+      {"first p50 ms",
+       [](R, S Row) { return milliseconds(Row.m_First.m_P50); }},
+      {"first p99 ms",
+       [](R, S Row) { return milliseconds(Row.m_First.m_P99); }},
+      {"gap p95 ms", [](R, S Row) { return milliseconds(Row.m_Gap.m_P95); }},
       {"good/s",
-       [](R Run, S Of) { return perSecond(Of.m_Good, Run.m_Measured); }},
+       [](R Run, S Row) { return perSecond(Row.m_Good, Run.m_Measured); }},
       {"good tokens/s",
-       [](R Run, S Of) { return perSecond(Of.m_GoodTokens, Run.m_Measured); }},
-      {"reasons", [](R, S Of) { return reasonsOf(Of); }}};
+       [](R Run, S Row) {
+         return perSecond(Row.m_GoodTokens, Run.m_Measured);
+       }},
+      {"reasons", [](R, S Row) { return reasonsOf(Row); }}};
   return Columns;
 }
 
@@ -93,8 +97,8 @@
 
 std::uint64_t sumOf(R Run, std::uint64_t SourceResult::*Member) {
   std::uint64_t Sum = 0;
-  for (const SourceResult &Each : Run.m_Sources)
-    Sum += Each.*Member;
+  for (const SourceResult &Row : Run.m_Sources)
+    Sum += Row.*Member;
   return Sum;
 }
 
@@ -126,11 +130,12 @@
   return Columns;
 }
 
-template <typename Column> std::string header(const std::vector<Column> &All) {
+template <typename ColumnType>
+std::string header(const std::vector<ColumnType> &Columns) {
   std::string Titles = "|";
   std::string Rule = "|";
-  for (const Column &Each : All) {
-    Titles += std::string(" ") + Each.m_Title + " |";
+  for (const ColumnType &Column : Columns) {
+    Titles += std::string(" ") + Column.m_Title + " |";
     Rule += " --- |";
   }
   return Titles + "\n" + Rule + "\n";
@@ -144,11 +149,11 @@
   return Names;
 }
 
-std::string sourceRow(R Run, S Of) {
-  std::string Row = "|";
-  for (const SourceColumn &Each : sourceColumns())
-    Row += " " + Each.m_Cell(Run, Of) + " |";
-  return Row + "\n";
+std::string sourceRow(R Run, S Row) {
+  std::string Line = "|";
+  for (const SourceColumn &Column : sourceColumns())
+    Line += " " + Column.m_Cell(Run, Row) + " |";
+  return Line + "\n";
 }
 
 /// Groups the rows by source, one row per policy.
@@ -165,8 +170,8 @@
   std::string Result = header(runColumns());
   for (const RunResult &Run : Runs) {
     Result += "|";
-    for (const RunColumn &Each : runColumns())
-      Result += " " + Each.m_Cell(Run) + " |";
+    for (const RunColumn &Column : runColumns())
+      Result += " " + Column.m_Cell(Run) + " |";
     Result += "\n";
   }
   return Result;
@@ -179,27 +184,29 @@
 std::string markdownReport(const std::vector<RunResult> &Runs) {
   std::string Result;
   for (const std::string &Name : experimentsOf(Runs)) {
-    std::vector<RunResult> Same;
-    std::copy_if(Runs.begin(), Runs.end(), std::back_inserter(Same),
+    std::vector<RunResult> SameExperiment;
+    std::copy_if(Runs.begin(), Runs.end(), std::back_inserter(SameExperiment),
                  [&](R Run) { return Run.m_Experiment == Name; });
-    Result += "## " + Name + "\n\nSeed " + std::to_string(Same.front().m_Seed) +
-              ", " + milliseconds(Same.front().m_Measured) +
+    Result += "## " + Name + "\n\nSeed " +
+              std::to_string(SameExperiment.front().m_Seed) + ", " +
+              milliseconds(SameExperiment.front().m_Measured) +
               " ms measured.\n\n";
-    Result += runTable(Same) + "\n" + sourceTable(Same) + "\n";
+    Result +=
+        runTable(SameExperiment) + "\n" + sourceTable(SameExperiment) + "\n";
   }
   return Result;
 }
 
 std::string csvReport(const std::vector<RunResult> &Runs) {
   std::string Result = "experiment";
-  for (const SourceColumn &Each : sourceColumns())
-    Result += std::string(",") + Each.m_Title;
+  for (const SourceColumn &Column : sourceColumns())
+    Result += std::string(",") + Column.m_Title;
   Result += "\n";
   for (const RunResult &Run : Runs)
-    for (const SourceResult &Of : Run.m_Sources) {
+    for (const SourceResult &Row : Run.m_Sources) {
       Result += quoted(Run.m_Experiment);
-      for (const SourceColumn &Each : sourceColumns())
-        Result += "," + quoted(Each.m_Cell(Run, Of));
+      for (const SourceColumn &Column : sourceColumns())
+        Result += "," + quoted(Column.m_Cell(Run, Row));
       Result += "\n";
     }
   return Result;
--- a/src/load/report_plot.cpp
+++ b/src/load/report_plot.cpp
@@ -31,10 +31,10 @@
   for (std::size_t Index = 0; Index < Runs.front()->m_Sources.size(); ++Index) {
     Result += "\"" + Runs.front()->m_Sources[Index].m_Name + "\"";
     for (const RunResult *Run : Runs) {
-      const SourceResult &Of = Run->m_Sources.at(Index);
+      const SourceResult &Row = Run->m_Sources.at(Index);
       const double Share =
-          static_cast<double>(Of.m_Good) /
-          static_cast<double>(std::max<std::uint64_t>(Of.m_Sent, 1));
+          static_cast<double>(Row.m_Good) /
+          static_cast<double>(std::max<std::uint64_t>(Row.m_Sent, 1));
       Result += " " + std::to_string(Share);
     }
     Result += "\n";
@@ -42,10 +42,10 @@
   return Result;
 }
 
-std::uint64_t goodAt(const RunResult &Run, std::size_t Second) {
+std::uint64_t goodInSecond(const RunResult &Run, std::size_t Second) {
   std::uint64_t Sum = 0;
-  for (const SourceResult &Of : Run.m_Sources)
-    Sum += Second < Of.m_Seconds.size() ? Of.m_Seconds[Second].m_Good : 0;
+  for (const SourceResult &Row : Run.m_Sources)
+    Sum += Second < Row.m_Seconds.size() ? Row.m_Seconds[Second].m_Good : 0;
   return Sum;
 }
 
@@ -58,13 +58,13 @@
   for (std::size_t Second = 0; Second < Seconds; ++Second) {
     Result += std::to_string(Second);
     for (const RunResult *Run : Runs)
-      Result += " " + std::to_string(goodAt(*Run, Second));
+      Result += " " + std::to_string(goodInSecond(*Run, Second));
     Result += "\n";
   }
   return Result;
 }
 
-std::string scriptHead(const std::string &Name, const std::string &Title) {
+std::string scriptHeader(const std::string &Name, const std::string &Title) {
   return "set terminal pngcairo size 1000,500\nset output '" + Name +
          ".png'\nset title '" + Title +
          "' noenhanced\nset key outside\n"
@@ -72,7 +72,7 @@
 }
 
 std::string attainmentScript(const std::string &Name, std::size_t Columns) {
-  return scriptHead(Name, Name) +
+  return scriptHeader(Name, Name) +
          "set style data histograms\nset style fill solid 0.8\n"
          "set yrange [0:1.05]\nset ylabel 'attainment'\n"
          "set xtics noenhanced\nplot for [i=2:" +
@@ -80,7 +80,7 @@
 }
 
 std::string goodputScript(const std::string &Name, std::size_t Columns) {
-  return scriptHead(Name, Name) +
+  return scriptHeader(Name, Name) +
          "set yrange [0:*]\nset xlabel 'second of arrival'\n"
          "set ylabel 'answers within target'\nplot for [i=2:" +
          std::to_string(Columns + 1) + "] '" + Name +
--- a/src/load/result.cpp
+++ b/src/load/result.cpp
@@ -24,45 +24,45 @@
           Duration(Value.at("p99_us").get<std::int64_t>())};
 }
 
-json toJson(const SourceResult &Of) {
+json toJson(const SourceResult &Row) {
   json Seconds = json::array();
-  for (const SecondSums &Each : Of.m_Seconds)
+  for (const SecondSums &Second : Row.m_Seconds)
     Seconds.push_back(
-        {Each.m_Sent, Each.m_Good, Each.m_Refused, Each.m_Tokens});
-  return {{"name", Of.m_Name},
-          {"sent", Of.m_Sent},
-          {"ends", Of.m_Ends},
-          {"reasons", Of.m_Reasons},
-          {"first_in_target", Of.m_FirstInTarget},
-          {"token_in_target", Of.m_TokenInTarget},
-          {"good", Of.m_Good},
-          {"tokens", Of.m_Tokens},
-          {"good_tokens", Of.m_GoodTokens},
-          {"first", toJson(Of.m_First)},
-          {"gap", toJson(Of.m_Gap)},
-          {"total", toJson(Of.m_Total)},
+        {Second.m_Sent, Second.m_Good, Second.m_Refused, Second.m_Tokens});
+  return {{"name", Row.m_Name},
+          {"sent", Row.m_Sent},
+          {"ends", Row.m_Ends},
+          {"reasons", Row.m_Reasons},
+          {"first_in_target", Row.m_FirstInTarget},
+          {"token_in_target", Row.m_TokenInTarget},
+          {"good", Row.m_Good},
+          {"tokens", Row.m_Tokens},
+          {"good_tokens", Row.m_GoodTokens},
+          {"first", toJson(Row.m_First)},
+          {"gap", toJson(Row.m_Gap)},
+          {"total", toJson(Row.m_Total)},
           {"seconds", std::move(Seconds)}};
 }
 
 SourceResult sourceFromJson(const json &Value) {
-  SourceResult Of;
-  Value.at("name").get_to(Of.m_Name);
-  Value.at("sent").get_to(Of.m_Sent);
-  Value.at("ends").get_to(Of.m_Ends);
-  Value.at("reasons").get_to(Of.m_Reasons);
-  Value.at("first_in_target").get_to(Of.m_FirstInTarget);
-  Value.at("token_in_target").get_to(Of.m_TokenInTarget);
-  Value.at("good").get_to(Of.m_Good);
-  Value.at("tokens").get_to(Of.m_Tokens);
-  Value.at("good_tokens").get_to(Of.m_GoodTokens);
-  Of.m_First = quantilesFromJson(Value.at("first"));
-  Of.m_Gap = quantilesFromJson(Value.at("gap"));
-  Of.m_Total = quantilesFromJson(Value.at("total"));
-  for (const json &Each : Value.at("seconds"))
-    Of.m_Seconds.push_back(
-        {Each.at(0).get<std::uint64_t>(), Each.at(1).get<std::uint64_t>(),
-         Each.at(2).get<std::uint64_t>(), Each.at(3).get<std::uint64_t>()});
-  return Of;
+  SourceResult Row;
+  Value.at("name").get_to(Row.m_Name);
+  Value.at("sent").get_to(Row.m_Sent);
+  Value.at("ends").get_to(Row.m_Ends);
+  Value.at("reasons").get_to(Row.m_Reasons);
+  Value.at("first_in_target").get_to(Row.m_FirstInTarget);
+  Value.at("token_in_target").get_to(Row.m_TokenInTarget);
+  Value.at("good").get_to(Row.m_Good);
+  Value.at("tokens").get_to(Row.m_Tokens);
+  Value.at("good_tokens").get_to(Row.m_GoodTokens);
+  Row.m_First = quantilesFromJson(Value.at("first"));
+  Row.m_Gap = quantilesFromJson(Value.at("gap"));
+  Row.m_Total = quantilesFromJson(Value.at("total"));
+  for (const json &Second : Value.at("seconds"))
+    Row.m_Seconds.push_back(
+        {Second.at(0).get<std::uint64_t>(), Second.at(1).get<std::uint64_t>(),
+         Second.at(2).get<std::uint64_t>(), Second.at(3).get<std::uint64_t>()});
+  return Row;
 }
 
 json toJson(const AuditResult &Audit) {
@@ -87,9 +87,9 @@
 /// reordered.
 Duration quantileOf(std::vector<Duration> &Samples, double Share) {
   const auto Last = static_cast<double>(Samples.size() - 1);
-  const std::ptrdiff_t At = std::lround(Last * Share);
-  std::nth_element(Samples.begin(), Samples.begin() + At, Samples.end());
-  return Samples[static_cast<std::size_t>(At)];
+  const std::ptrdiff_t Rank = std::lround(Last * Share);
+  std::nth_element(Samples.begin(), Samples.begin() + Rank, Samples.end());
+  return Samples[static_cast<std::size_t>(Rank)];
 }
 
 } // namespace
@@ -115,8 +115,8 @@
 
 json toJson(const RunResult &Run) {
   json Sources = json::array();
-  for (const SourceResult &Each : Run.m_Sources)
-    Sources.push_back(toJson(Each));
+  for (const SourceResult &Row : Run.m_Sources)
+    Sources.push_back(toJson(Row));
   return {{"experiment", Run.m_Experiment},
           {"policy", Run.m_Policy},
           {"seed", Run.m_Seed},
@@ -134,8 +134,8 @@
   Run.m_Measured = Duration(Value.at("measured_us").get<std::int64_t>());
   Run.m_LargestLateness =
       Duration(Value.at("largest_lateness_us").get<std::int64_t>());
-  for (const json &Each : Value.at("sources"))
-    Run.m_Sources.push_back(sourceFromJson(Each));
+  for (const json &Row : Value.at("sources"))
+    Run.m_Sources.push_back(sourceFromJson(Row));
   Run.m_Audit = auditFromJson(Value.at("audit"));
   return Run;
 }
--- a/src/load/runner.cpp
+++ b/src/load/runner.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Duration DrainPoll = std::chrono::milliseconds(20);
+constexpr Duration DrainPollInterval = std::chrono::milliseconds(20);
 
 } // namespace
 
@@ -26,11 +26,11 @@
 
 void Runner::begin() {
   m_Start = m_Clock.fresh();
-  for (const Action &Each : m_Plan.m_Actions)
-    m_Timers.after(Each.m_At, [this, &Each] {
-      logEvent(LogEvent::LoadAction,
-               {{"where", toString(Each.m_Where)}, {"path", Each.m_Path}});
-      m_Http.call({"POST", Each.m_Where, Each.m_Path, Each.m_Body},
+  for (const Action &Planned : m_Plan.m_Actions)
+    m_Timers.after(Planned.m_At, [this, &Planned] {
+      logEvent(LogEvent::LoadAction, {{"where", toString(Planned.m_Where)},
+                                      {"path", Planned.m_Path}});
+      m_Http.call({"POST", Planned.m_Where, Planned.m_Path, Planned.m_Body},
                   [](const HttpResult &Result) {
                     if (std::holds_alternative<HttpFailure>(Result))
                       logEvent(LogEvent::LoadActionFailed);
@@ -54,22 +54,22 @@
 void Runner::drain() {
   const Duration End = m_Plan.m_WarmUp + m_Plan.m_Measured;
   if (m_Callers.open() > 0 && elapsed() < End + m_Plan.m_DrainLimit) {
-    m_Timers.after(DrainPoll, [this] { drain(); });
+    m_Timers.after(DrainPollInterval, [this] { drain(); });
     return;
   }
   m_Callers.giveUp();
   // Calls without response headers end in a later iteration of the loop.
   if (m_Callers.open() > 0)
-    m_Timers.after(DrainPoll, [this] { drain(); });
+    m_Timers.after(DrainPollInterval, [this] { drain(); });
   else
     finish();
 }
 
 void Runner::finish() {
   m_Audit.finish(m_Recorder.delivered(), m_Recorder.toldByKey(),
-                 [this](const AuditResult &Found) {
+                 [this](const AuditResult &Audited) {
                    RunResult Result = m_Recorder.result(m_Policy);
-                   Result.m_Audit = Found;
+                   Result.m_Audit = Audited;
                    m_Done(std::move(Result));
                  });
 }
--- a/tests/unit/load_test.cpp
+++ b/tests/unit/load_test.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-Experiment planOf(double Rate) {
+Experiment makePlan(double Rate) {
   Experiment Plan;
   Plan.m_Name = "plan";
   Plan.m_Measured = 100s;
@@ -35,11 +35,11 @@
   return Plan;
 }
 
-std::vector<PlannedCall> all(const Experiment &Plan) {
+std::vector<PlannedCall> allCalls(const Experiment &Plan) {
   std::vector<PlannedCall> Result;
-  Arrivals From(Plan);
-  while (From.nextTime())
-    Result.push_back(From.take());
+  Arrivals Sequence(Plan);
+  while (Sequence.nextTime())
+    Result.push_back(Sequence.take());
   return Result;
 }
 
@@ -65,9 +65,9 @@
 } // namespace
 
 BOOST_AUTO_TEST_CASE(SameSeedGivesTheSameRequests) {
-  const Experiment Plan = planOf(20);
-  const auto First = all(Plan);
-  const auto Second = all(Plan);
+  const Experiment Plan = makePlan(20);
+  const auto First = allCalls(Plan);
+  const auto Second = allCalls(Plan);
   BOOST_TEST(First.size() == Second.size());
   for (std::size_t Index = 0; Index < First.size(); ++Index) {
     BOOST_TEST((First[Index].m_At == Second[Index].m_At));
@@ -76,12 +76,12 @@
 }
 
 BOOST_AUTO_TEST_CASE(ArrivalsFollowRatesPhasesAndShares) {
-  Experiment Plan = planOf(20);
+  Experiment Plan = makePlan(20);
   Plan.m_Phases = {{0, 50s, 100s, 3}};
   double Before = 0;
   double During = 0;
   double Large = 0;
-  for (const PlannedCall &Call : all(Plan)) {
+  for (const PlannedCall &Call : allCalls(Plan)) {
     (Call.m_At < 50s ? Before : During) += 1;
     Large += Call.m_Workspace == 0 ? 1 : 0;
   }
@@ -94,10 +94,10 @@
 
 BOOST_AUTO_TEST_CASE(WholeAnswerMayComeInAnyPieces) {
   const std::string Text = event(0, "mine") + event(1, "mine") + endEvents(2);
-  for (const std::size_t Piece : {1U, 7U, 1000U}) {
+  for (const std::size_t PieceSize : {1U, 7U, 1000U}) {
     AnswerCheck Check("mine", true);
-    for (std::size_t At = 0; At < Text.size(); At += Piece)
-      Check.feed(std::string_view(Text).substr(At, Piece));
+    for (std::size_t At = 0; At < Text.size(); At += PieceSize)
+      Check.feed(std::string_view(Text).substr(At, PieceSize));
     BOOST_TEST(Check.whole());
     BOOST_TEST(!Check.wrong());
   }
@@ -126,18 +126,18 @@
 }
 
 BOOST_AUTO_TEST_CASE(AttainmentNeedsBothTargetsAndAWholeAnswer) {
-  const Experiment Plan = planOf(1);
+  const Experiment Plan = makePlan(1);
   Recorder Sums(Plan);
   Sums.add(outcome(CallEnd::Whole, 100ms, 20ms));
   Sums.add(outcome(CallEnd::Whole, 101ms, 20ms));
   Sums.add(outcome(CallEnd::Whole, 100ms, 21ms));
   Sums.add(outcome(CallEnd::Cut, 1ms, 1ms));
   const RunResult Result = Sums.result("policy");
-  const SourceResult &Of = Result.m_Sources.at(0);
-  BOOST_TEST(Of.m_Sent == 4U);
-  BOOST_TEST(Of.m_FirstInTarget == 2U);
-  BOOST_TEST(Of.m_TokenInTarget == 2U);
-  BOOST_TEST(Of.m_Good == 1U);
+  const SourceResult &Guide = Result.m_Sources.at(0);
+  BOOST_TEST(Guide.m_Sent == 4U);
+  BOOST_TEST(Guide.m_FirstInTarget == 2U);
+  BOOST_TEST(Guide.m_TokenInTarget == 2U);
+  BOOST_TEST(Guide.m_Good == 1U);
   BOOST_TEST(Sums.delivered() == 8U);
   BOOST_TEST(toJson(resultFromJson(toJson(Result))) == toJson(Result));
   BOOST_TEST(markdownReport({Result}).find("| guide | policy | 4 |") !=
@@ -147,12 +147,13 @@
 BOOST_AUTO_TEST_CASE(ExamplesOfBothDeploymentsAreValid) {
   BOOST_CHECK_EQUAL(chdir(CROWSTEP_SOURCE_DIR), 0);
   int Count = 0;
-  for (const auto &Each :
+  for (const auto &Example :
        std::filesystem::recursive_directory_iterator("examples/experiments")) {
-    const std::filesystem::path Base = Each.path().parent_path() / "base.ini";
-    if (Each.path().extension() != ".ini" || Each.path() == Base)
+    const std::filesystem::path Base =
+        Example.path().parent_path() / "base.ini";
+    if (Example.path().extension() != ".ini" || Example.path() == Base)
       continue;
-    Settings File = joinedSettings({Base.string(), Each.path().string()});
+    Settings File = joinedSettings({Base.string(), Example.path().string()});
     BOOST_TEST(!readExperiment(File).m_Sources.empty());
     BOOST_CHECK_NO_THROW(File.rejectUnknown());
     ++Count;
