--- a/src/load/load_command.h
+++ b/src/load/load_command.h
@@ -16,9 +16,9 @@
 struct SendCommand {
   Experiment m_Plan;              ///< Requests to send.
   std::vector<Address> m_Targets; ///< Entries, or engines directly.
-  std::string m_Policy;           ///< Column of the report.
-  std::string m_Out;              ///< Result file; empty: none.
-  bool m_CheckOnly = false;       ///< Validate the plan and exit.
+  std::string m_Policy; ///< Compared policy; names its rows and plot columns.
+  std::string m_Out;    ///< Result file; empty: none.
+  bool m_CheckOnly = false; ///< Validate the plan and exit.
 };
 
 /// Writes a report on result files.
--- a/src/load/result.h
+++ b/src/load/result.h
@@ -64,8 +64,8 @@
 
 /// One run.
 struct RunResult {
-  std::string m_Experiment;     ///< Name of the plan.
-  std::string m_Policy;         ///< Column of the report.
+  std::string m_Experiment; ///< Name of the plan.
+  std::string m_Policy; ///< Compared policy; names its rows and plot columns.
   std::uint64_t m_Seed = 0;     ///< Of the plan.
   Duration m_Measured{};        ///< Length of the measured time.
   Duration m_LargestLateness{}; ///< Of sending: shows an overloaded tool.
