--- a/src/load/answer_check.cpp
+++ b/src/load/answer_check.cpp
@@ -1,4 +1,4 @@
-/// Events, documents and the tokens in them.
+/// Parses events and documents and checks their tokens.
 #include "load/answer_check.h"
 
 #include "load/token_text.h"
@@ -13,7 +13,7 @@
 
 constexpr std::string_view DataPrefix = "data: ";
 
-/// Returns the text of a choice in any of the four forms.
+/// Returns the text of a choice: of a chat or text completion, streamed or not.
 std::string textOf(const json &Choice) {
   for (const char *Field : {"delta", "message"})
     if (Choice.contains(Field))
@@ -27,7 +27,7 @@
     : m_Hash(promptHashOf(Prompt)), m_Stream(Stream) {}
 
 std::uint64_t AnswerCheck::feed(std::string_view Bytes) {
-  const std::uint64_t Before = m_Next;
+  const std::uint64_t FirstNew = m_Next;
   m_Rest += Bytes;
   if (!m_Stream)
     return 0;
@@ -38,7 +38,7 @@
     Start = End + 1;
   }
   m_Rest.erase(0, Start);
-  return m_Next - Before;
+  return m_Next - FirstNew;
 }
 
 void AnswerCheck::finish() {
