--- a/tests/standin/completion.cpp
+++ b/tests/standin/completion.cpp
@@ -1,4 +1,4 @@
-/// Reading and writing of completions.
+/// Parses completion requests and builds their answers.
 #include "standin/completion.h"
 
 #include "load/token_text.h"
@@ -11,7 +11,8 @@
 
 constexpr std::size_t CharactersPerToken = 4;
 
-/// Stands where a token's text goes while an event's frame is made once.
+/// Placeholder for a token's text, by which an event is split into the head
+/// and the tail that all tokens of an answer share.
 constexpr const char *TextMark = "@TEXT@";
 
 } // namespace
--- a/tests/standin/engine_batch.cpp
+++ b/tests/standin/engine_batch.cpp
@@ -1,4 +1,4 @@
-/// Steps of a batch.
+/// Admission to a batch and its steps.
 #include "standin/engine_batch.h"
 
 #include <algorithm>
@@ -48,7 +48,7 @@
     Sequence &Work = Next.mapped();
     const std::uint64_t Cached =
         m_Cache.use(Work.m_Prefixes) * PrefixCharacters / CharactersPerToken;
-    // A resumed sequence computes the tokens that the caller has, too.
+    // A resumed sequence prefills the tokens that the caller has, too.
     const std::uint64_t Whole = Work.m_PromptTokens + Work.m_Next;
     const std::uint64_t Fresh = Whole - std::min(Whole, Cached);
     const double Cost = static_cast<double>(Fresh) * m_Factor;
@@ -61,7 +61,7 @@
   TimePoint EarliestDecode = TimePoint::max();
   for (const auto &[Id, Work] : m_Running)
     EarliestDecode = std::min(EarliestDecode, Work.m_Decodes);
-  if (EarliestDecode > Now) // All prefill: the step ends with the first.
+  if (EarliestDecode > Now) // Prefill only: ends with the first.
     return EarliestDecode;
   const auto Others = static_cast<double>(m_Running.size() - 1);
   const double Share = 1 + m_Settings.m_BatchPenalty * Others;
@@ -105,8 +105,8 @@
                     Prompt.data() + Prompt.size(), Length);
     return std::max<std::uint64_t>(Length, 1);
   }
-  // Seeded by the prompt alone, so that every engine gives the same answer
-  // and a stream can be resumed on another one.
+  // Seeded by the prompt alone: every engine gives the same answer, so that a
+  // stream can be resumed on another engine.
   std::mt19937_64 Random(XXH3_64bits(Prompt.data(), Prompt.size()));
   std::lognormal_distribution<double> Draw(std::log(With.m_MedianTokens),
                                            With.m_Sigma);
--- a/tests/standin/engine_batch.h
+++ b/tests/standin/engine_batch.h
@@ -1,5 +1,5 @@
-/// Continuous batching of one engine, without I/O: time comes in, tokens go
-/// out.
+/// Continuous batching of one engine, without I/O and clock: the caller passes
+/// the time and takes the tokens.
 #ifndef CROWSTEP_STANDIN_ENGINE_BATCH_H
 #define CROWSTEP_STANDIN_ENGINE_BATCH_H
 
@@ -15,24 +15,24 @@
 
 using SequenceId = StrongId<struct SequenceTag, std::uint64_t>;
 
-/// Work of one call.
+/// One call's generation.
 struct Sequence {
   int m_Priority = 0;                    ///< 0 is the most urgent.
-  std::uint64_t m_PromptTokens = 0;      ///< To prefill.
-  std::vector<std::uint64_t> m_Prefixes; ///< Of the prompt, for the cache.
+  std::uint64_t m_PromptTokens = 0;      ///< Prompt length.
+  std::vector<std::uint64_t> m_Prefixes; ///< Hashes, for the prefix cache.
   std::uint64_t m_Next = 0;              ///< Index of the next token.
-  std::uint64_t m_Length = 1;            ///< Tokens of the whole answer.
-  TimePoint m_Decodes;                   ///< When its prefill ends.
+  std::uint64_t m_Length = 1; ///< Answer length, resumed part included.
+  TimePoint m_Decodes;        ///< Decodes from then on.
 };
 
 /// One token of one sequence.
 struct Generated {
-  SequenceId m_Sequence;     ///< Whose.
-  std::uint64_t m_Index = 0; ///< Place in the answer, from 0.
-  bool m_Last = false;       ///< The sequence has left the batch.
+  SequenceId m_Sequence;     ///< Sequence that it belongs to.
+  std::uint64_t m_Index = 0; ///< Position in the answer, from 0.
+  bool m_Last = false;       ///< The sequence is complete and removed.
 };
 
-/// Sequences that run in steps, each step one token for each of them.
+/// Runs sequences in steps; a step makes one token for each that decodes.
 class EngineBatch {
 public:
   EngineBatch(const EngineSettings &With, PrefixCache::Listener OnCacheChange);
@@ -41,10 +41,12 @@
   void remove(SequenceId Gone);
   void clear();
 
-  /// Makes a token take \p Factor times as long from the next step on.
+  /// Multiplies the time of steps and prefills by \p Factor from the next step
+  /// on.
   void setFactor(double Factor) { m_Factor = Factor; }
 
-  /// Begins a step unless one runs; returns its end, nothing when idle.
+  /// Begins a step unless one runs; returns its end, or nothing when there is
+  /// no work.
   std::optional<TimePoint> begin(TimePoint Now);
 
   /// Ends the step and returns its tokens.
@@ -59,18 +61,19 @@
   [[nodiscard]] TimePoint stepEnd(TimePoint Now) const;
 
   const EngineSettings &m_Settings; ///< Outlives the batch.
-  PrefixCache m_Cache;              ///< Of this engine.
+  PrefixCache m_Cache;              ///< Prefixes that need no prefill.
   std::uint64_t m_LastId = 0;       ///< Ids start at 1.
-  double m_Factor = 1;              ///< 10 makes a straggler.
+  double m_Factor = 1;              ///< 1: normal speed; 10 makes a straggler.
   std::map<std::pair<int, SequenceId>, Sequence>
       m_Waiting;                            ///< By priority, then arrival.
   std::map<SequenceId, Sequence> m_Running; ///< At most `slots`.
-  TimePoint m_StepStart;                    ///< Of the step that runs.
+  TimePoint m_StepStart;                    ///< Of the running step.
   std::optional<TimePoint> m_StepEnd;       ///< Empty while idle.
 };
 
-/// Returns the length that a prompt's answer has by itself: what `[len=N]` in
-/// it says, or else drawn from the settings' distribution by its hash.
+/// Returns the length in tokens of a prompt's answer without a limit by the
+/// caller: N if the prompt contains `[len=N]`, otherwise drawn from the
+/// settings' distribution with the prompt's hash as seed.
 std::uint64_t naturalLength(const EngineSettings &With,
                             const std::string &Prompt);
 
--- a/tests/standin/engine_main.cpp
+++ b/tests/standin/engine_main.cpp
@@ -1,5 +1,5 @@
-/// Stand-in for model engines and plain services; the sections of the settings
-/// say which.
+/// Stand-in for model engines and plain services, one for each section of the
+/// settings.
 #include "standin/upstream_host.h"
 
 int main(int Argc, char **Argv) {
--- a/tests/standin/engine_server.cpp
+++ b/tests/standin/engine_server.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
+/// Lets the tokens so far leave the process before a connection is closed.
 constexpr Duration FlushTime = std::chrono::milliseconds(5);
 
-/// How far behind its steps a busy process may be and still catch up.
+/// Lateness of steps that a busy process may catch up on.
 constexpr Duration LargestLateness = std::chrono::milliseconds(20);
 
 } // namespace
@@ -130,7 +131,7 @@
   if (Set.m_Mode == FaultMode::Crash) {
     m_Timer.stop();
     m_Batch.clear();
-    m_Live.clear(); // Open answers are cut when they go.
+    m_Live.clear(); // Closes the connections of open answers.
     noteLoad();
     return;
   }
@@ -140,8 +141,7 @@
 void EngineServer::proceed() {
   if (m_Server.frozen())
     return;
-  // The next step begins where the last one ended, so that a late timer does
-  // not slow the engine down; an idle engine begins now.
+  // An idle engine begins now, but not before the end of its last step.
   const TimePoint Now = m_Server.clock().now();
   const TimePoint Start = m_StepEnd > Now ? m_StepEnd : Now;
   if (const std::optional<TimePoint> End = m_Batch.begin(Start)) {
@@ -154,6 +154,8 @@
 void EngineServer::stepDone() {
   for (const Generated &Token : m_Batch.finish())
     deliver(Token);
+  // The next step begins where the last one ended, so that a late timer does
+  // not slow the engine down.
   const TimePoint Now = m_Server.clock().now();
   const TimePoint Start = std::max(m_StepEnd, Now - LargestLateness);
   if (const std::optional<TimePoint> End = m_Batch.begin(Start)) {
@@ -177,7 +179,6 @@
     Call.m_Text += Text;
   if (Call.m_Fault.m_Mode == FaultMode::CrashMidStream &&
       Record.m_Generated >= Call.m_Fault.m_AfterTokens) {
-    // Cut a little later, so that the tokens so far have left the process.
     m_Server.scheduler().after(FlushTime,
                                [Answer = Call.m_Answer] { Answer->cut(); });
     m_Batch.remove(Token.m_Sequence);
--- a/tests/standin/engine_server.h
+++ b/tests/standin/engine_server.h
@@ -1,4 +1,4 @@
-/// A stand-in model engine behind HTTP.
+/// A stand-in model engine with an HTTP server.
 #ifndef CROWSTEP_STANDIN_ENGINE_SERVER_H
 #define CROWSTEP_STANDIN_ENGINE_SERVER_H
 
@@ -9,7 +9,7 @@
 
 namespace crowstep::standin {
 
-/// One engine; one timer for all its sequences.
+/// One engine; one timer drives the steps of all its sequences.
 class EngineServer {
 public:
   explicit EngineServer(EngineSettings With);
@@ -17,13 +17,13 @@
 
 private:
   struct Live {
-    Completion m_Call;         ///< What was asked for.
-    ExchangePtr m_Answer;      ///< Where it goes.
-    Fault m_Fault;             ///< Of this call.
-    std::size_t m_Record = 0;  ///< Its index.
-    std::uint64_t m_Total = 0; ///< Length of the whole answer.
-    bool m_Capped = false;     ///< By max_tokens.
-    std::string m_Text;        ///< Collected for a plain answer.
+    Completion m_Call;         ///< The request.
+    ExchangePtr m_Answer;      ///< The open answer.
+    Fault m_Fault;             ///< Fault that applies to this call.
+    std::size_t m_Record = 0;  ///< Index in the call records.
+    std::uint64_t m_Total = 0; ///< Length of the answer.
+    bool m_Capped = false;     ///< max_tokens ends the answer early.
+    std::string m_Text;        ///< Of a plain answer, so far.
   };
 
   void work(const UpstreamCall &Call);
@@ -38,14 +38,15 @@
   void cancelled(SequenceId Id);
   void noteLoad();
 
-  EngineSettings m_Settings;          ///< As read at the start.
-  UpstreamServer m_Server;            ///< HTTP side.
-  EngineBatch m_Batch;                ///< What runs.
-  StepTimer m_Timer;                  ///< End of the present step.
-  TimePoint m_StepEnd;                ///< When m_Timer falls due.
-  std::map<SequenceId, Live> m_Live;  ///< Open calls.
-  std::uint64_t m_HighestFencing = 0; ///< Of all orders.
-  nlohmann::json m_Orders = nlohmann::json::array(); ///< All, for tests.
+  EngineSettings m_Settings;          ///< Orders change the models.
+  UpstreamServer m_Server;            ///< HTTP, admission, faults, reports.
+  EngineBatch m_Batch;                ///< Waiting and running sequences.
+  StepTimer m_Timer;                  ///< Fires at the end of a step.
+  TimePoint m_StepEnd;                ///< End of the newest step.
+  std::map<SequenceId, Live> m_Live;  ///< Calls that are not answered yet.
+  std::uint64_t m_HighestFencing = 0; ///< Of all orders received.
+  nlohmann::json m_Orders =
+      nlohmann::json::array(); ///< All received, for GET /orders.
 };
 
 } // namespace crowstep::standin
--- a/tests/standin/engine_settings.cpp
+++ b/tests/standin/engine_settings.cpp
@@ -1,4 +1,4 @@
-/// Reading of the upstreams' sections.
+/// Reads the upstreams' sections of a settings file.
 #include "standin/engine_settings.h"
 
 #include <sstream>
@@ -11,7 +11,7 @@
 
 constexpr std::int64_t Many = 1000000;
 
-/// Reads the keys that have defaults, over what \p Into holds.
+/// Reads the shared keys; the values in \p Target are the defaults.
 void readCommon(Settings &File, const std::string &Section,
                 UpstreamSettings &Into) {
   Into.m_Slots = static_cast<std::size_t>(File.integer(
--- a/tests/standin/exchange.cpp
+++ b/tests/standin/exchange.cpp
@@ -1,4 +1,4 @@
-/// Calls at a stand-in.
+/// JSON answers and event streams of a call at a stand-in.
 #include "standin/exchange.h"
 
 namespace crowstep::standin {
--- a/tests/standin/exchange.h
+++ b/tests/standin/exchange.h
@@ -1,4 +1,4 @@
-/// One HTTP call at a stand-in, answered later, streamed or cut on purpose.
+/// One HTTP call at a stand-in: answered later, streamed, or closed by a fault.
 #ifndef CROWSTEP_STANDIN_EXCHANGE_H
 #define CROWSTEP_STANDIN_EXCHANGE_H
 
@@ -10,32 +10,33 @@
 
 namespace crowstep::standin {
 
-/// A call whose answer is still open. Every method may be called after the
-/// connection has gone; it then does nothing.
+/// A call that may still be open. Every method may be called after the answer
+/// is complete or the connection is closed; it then sends nothing.
 class Exchange {
 public:
-  /// Takes over \p Message, which stays paused until it is answered.
+  /// Pauses \p Message until it is answered.
   explicit Exchange(SoupServerMessage *Message) : m_Held(Message) {}
 
-  /// Runs \p Gone once when the caller closes before the answer is complete.
+  /// Runs \p Job once when the caller closes before the answer is complete, or
+  /// at once if the answer is not open any more.
   void onClosed(std::function<void()> Gone);
 
-  /// Answers with JSON, and with Retry-After where \p RetryAfter is not 0.
+  /// Answers with JSON, and with Retry-After if \p RetryAfter is not 0.
   void answer(unsigned Status, const std::string &Body,
               std::chrono::seconds RetryAfter = {});
 
-  /// Sends the headers of an event stream.
+  /// Sends the headers of a stream of server-sent events.
   void beginStream();
   void append(const std::string &Events) { m_Held.append(Events); }
   void endStream() { m_Held.endStream(); }
 
-  /// Closes the connection at once, with nothing more sent.
+  /// Closes the connection at once without sending anything more.
   void cut() { m_Held.cut(); }
 
   [[nodiscard]] bool open() const { return m_Held.open(); }
 
 private:
-  HeldAnswer m_Held; ///< The message.
+  HeldAnswer m_Held; ///< libsoup's message.
 };
 
 using ExchangePtr = std::shared_ptr<Exchange>;
--- a/tests/standin/fault.cpp
+++ b/tests/standin/fault.cpp
@@ -1,4 +1,4 @@
-/// Reading and counting of faults.
+/// Parses faults and counts the calls they apply to.
 #include "standin/fault.h"
 
 #include <map>
--- a/tests/standin/fault.h
+++ b/tests/standin/fault.h
@@ -1,4 +1,4 @@
-/// Fault switches of the stand-ins, set by POST /faults.
+/// Faults that tests inject into stand-ins by POST /faults.
 #ifndef CROWSTEP_STANDIN_FAULT_H
 #define CROWSTEP_STANDIN_FAULT_H
 
@@ -11,39 +11,40 @@
 
 namespace crowstep::standin {
 
-/// A fault's body is not understood.
+/// The fault mode in a request is unknown.
 class FaultError : public Error {
 public:
   explicit FaultError(const std::string &Mode)
       : Error("unknown fault mode '" + Mode + "'") {}
 };
 
-/// What goes wrong.
+/// Kinds of faults. A plain service's running calls ignore Crash and Freeze.
 enum class FaultMode : std::uint8_t {
   None,
-  Refuse,          ///< Answered at once that nothing took effect.
-  Delay,           ///< Handled only after a delay.
-  DropAnswer,      ///< Takes effect; then closed without an answer.
-  Hang,            ///< Never answered and without effect.
-  Slow,            ///< Tokens take `factor` times as long.
-  CrashMidStream,  ///< A stream is closed after `after_tokens` tokens.
-  Crash,           ///< All streams are cut; calls are closed at once.
-  Freeze,          ///< Nothing moves and nothing is answered.
-  CloseBeforeByte, ///< Closed at arrival, without effect.
+  Refuse,          ///< Answered at once; nothing is executed.
+  Delay,           ///< Handled after `delay_ms`.
+  DropAnswer,      ///< Executed, then closed without an answer.
+  Hang,            ///< Held without effect until the next POST /faults; an
+                   ///< upstream then handles it, the platform closes it.
+  Slow,            ///< Work takes `factor` times as long.
+  CrashMidStream,  ///< Closed after `after_tokens` tokens.
+  Crash,           ///< Open answers and new calls are closed at once.
+  Freeze,          ///< An engine's steps stop; calls are held as by Hang.
+  CloseBeforeByte, ///< Closed on arrival, without effect.
 };
 
-/// A switch with the number of calls that it still applies to.
+/// A fault and the number of calls that it still applies to.
 struct Fault {
-  FaultMode m_Mode = FaultMode::None; ///< None: all is well.
-  Duration m_Delay{};                 ///< Of mode Delay.
-  double m_Factor = 10;               ///< Of mode Slow.
-  std::uint64_t m_AfterTokens = 1;    ///< Of mode CrashMidStream.
-  std::uint64_t m_Left = 0;           ///< Calls left; 0: until changed.
+  FaultMode m_Mode = FaultMode::None; ///< None: no fault.
+  Duration m_Delay{};                 ///< For mode Delay.
+  double m_Factor = 10;               ///< For mode Slow.
+  std::uint64_t m_AfterTokens = 1;    ///< For mode CrashMidStream.
+  std::uint64_t m_Left = 0; ///< 0: applies until the fault is changed.
 
-  /// Reads the body of POST /faults. \throws FaultError.
+  /// Parses the body of POST /faults. \throws FaultError.
   static Fault parse(const nlohmann::json &Body);
 
-  /// Returns the fault of one call, and counts the call.
+  /// Returns the fault to apply to one call and counts that call.
   Fault take();
 };
 
--- a/tests/standin/fleet_model.cpp
+++ b/tests/standin/fleet_model.cpp
@@ -1,4 +1,4 @@
-/// Events of the fleet in virtual time.
+/// Engines, callers and gateways of the simulated fleet.
 #include "standin/fleet_model.h"
 
 #include "balance/balancer.h"
@@ -24,23 +24,23 @@
   return Duration(static_cast<Duration::rep>(Count));
 }
 
-/// A call from its placement to its end.
+/// A placed call.
 struct Call {
-  const ModelClass *m_Class;  ///< Never null.
-  std::size_t m_Gateway;      ///< Which placed it.
+  const ModelClass *m_Class;  ///< Not null.
+  std::size_t m_Gateway;      ///< Index of the gateway that placed it.
   TicketId m_Ticket;          ///< Of that gateway's balancer.
-  PromptSize m_Prompt;        ///< As the gateway knows it.
-  TimePoint m_Begin;          ///< When the caller asked.
-  TimePoint m_LastEvent{};    ///< Its newest event.
-  std::uint32_t m_Unread = 0; ///< Prompt tokens to read.
-  std::uint32_t m_Made = 0;   ///< Tokens made.
-  bool m_Running = false;     ///< In its engine's batch.
-  bool m_InTime = true;       ///< So far.
+  PromptSize m_Prompt;        ///< As in the placement query.
+  TimePoint m_Begin;          ///< Arrival of the request.
+  TimePoint m_LastEvent{};    ///< Time of the newest event.
+  std::uint32_t m_Unread = 0; ///< Prompt tokens left to prefill.
+  std::uint32_t m_Made = 0;   ///< Output tokens so far.
+  bool m_Running = false;     ///< Placed and not ended.
+  bool m_InTime = true;       ///< No event was late so far.
 };
 
 using CallPtr = std::shared_ptr<Call>;
 
-/// One engine: a batch in steps, and what waits for it.
+/// One engine: a batch that runs in steps, and the calls that wait for a slot.
 class ModelEngine {
 public:
   ModelEngine(const FleetModel &With, UpstreamId Id)
@@ -53,7 +53,7 @@
   }
   [[nodiscard]] bool idle() const { return !m_Stepping; }
 
-  /// Ends all calls here; returns them.
+  /// Removes all calls and returns them.
   std::vector<CallPtr> crash() {
     std::vector<CallPtr> Result = std::move(m_Running);
     Result.insert(Result.end(), m_Waiting.begin(), m_Waiting.end());
@@ -63,7 +63,7 @@
     return Result;
   }
 
-  /// Begins a step; returns its length, nothing if there is no work.
+  /// Begins a step; returns its duration, or nothing if there is no work.
   std::optional<Duration> begin() {
     admit();
     if (m_Running.empty())
@@ -88,17 +88,18 @@
                         m_Model.m_ReadUs * (m_Model.m_Chunk - Left));
   }
 
-  /// Ends the step; returns the calls that made a token in it.
+  /// Ends the step; returns the calls that generated a token in it.
   std::vector<CallPtr> finish() {
     m_Stepping = false;
     return std::move(m_Decoding);
   }
 
-  /// Returns tokens of shared parts read again here, and the new ones in all.
+  /// Returns how many prefill tokens here were of segments that some engine had
+  /// computed before.
   [[nodiscard]] std::uint64_t readAgain() const { return m_ReadAgain; }
   [[nodiscard]] bool used() const { return m_Used; }
 
-  /// Parts that any engine has read.
+  /// Clears the record of segments that any engine has computed.
   static void forgetParts() { everRead().clear(); }
 
 private:
@@ -115,7 +116,7 @@
                      });
   }
 
-  /// Slots are given, and prompts read, in the order of urgency.
+  /// Assigns slots by urgency, and sorts running calls for prefill by urgency.
   void admit() {
     sortByUrgency(m_Waiting);
     while (!m_Waiting.empty() && m_Running.size() < m_Model.m_Slots) {
@@ -137,16 +138,17 @@
   }
 
   const FleetModel &m_Model;       ///< Outlives the engine.
-  UpstreamId m_Id;                 ///< Own.
-  CacheModel m_Cache;              ///< What it keeps.
-  std::vector<CallPtr> m_Waiting;  ///< For a slot.
-  std::vector<CallPtr> m_Running;  ///< In the batch.
-  std::vector<CallPtr> m_Decoding; ///< Make a token in the present step.
-  std::uint64_t m_ReadAgain = 0;   ///< Tokens.
-  bool m_Stepping = false;         ///< A step runs.
-  bool m_Used = false;             ///< It had a call.
+  UpstreamId m_Id;                 ///< Of this engine.
+  CacheModel m_Cache;              ///< Its prefix cache.
+  std::vector<CallPtr> m_Waiting;  ///< Calls that wait for a slot.
+  std::vector<CallPtr> m_Running;  ///< Calls in the batch.
+  std::vector<CallPtr> m_Decoding; ///< Generate a token in this step.
+  std::uint64_t m_ReadAgain = 0;   ///< See repeatedPrefillTokens().
+  bool m_Stepping = false;         ///< A step is running.
+  bool m_Used = false;             ///< Has run at least one call.
 };
 
+/// Event loop in virtual time.
 class Play {
 public:
   explicit Play(const FleetModel &What) : m_Model(What), m_Random(What.m_Seed) {
@@ -265,7 +267,7 @@
     for (const ModelPart &Each : Which.m_Shared)
       Result.m_Parts.push_back(
           {Name + (++Depth << 32U) + m_Random() % Each.m_Count, Each.m_Tokens});
-    // Half to one and a half times the mean.
+    // From 0.5 to 1.5 times the mean.
     const auto Own = static_cast<std::uint32_t>(
         Which.m_OwnTokens / 2 + m_Random() % (Which.m_OwnTokens + 1));
     Result.m_Parts.push_back({++m_LastOwn, Own});
@@ -407,18 +409,18 @@
 
   static constexpr TimePoint Start{std::chrono::seconds(1000)};
 
-  const FleetModel &m_Model;                   ///< Outlives the play.
-  std::mt19937_64 m_Random;                    ///< For the load.
-  TimePoint m_Now = Start;                     ///< Of the play.
-  std::priority_queue<Event> m_Events;         ///< Soonest first.
-  std::uint64_t m_Order = 0;                   ///< Among equal times.
-  std::uint64_t m_LastOwn = 1;                 ///< Last parts' ids.
-  std::vector<Balancer> m_Gateways;            ///< By index.
-  std::vector<DigestSum> m_Sums;               ///< By zone.
-  unsigned m_Ticks = 0;                        ///< Digests so far.
-  std::vector<Upstream> m_List;                ///< Engines that are there.
-  std::map<UpstreamId, ModelEngine> m_Engines; ///< All of them.
-  FleetResult m_Result;                        ///< So far.
+  const FleetModel &m_Model;           ///< Outlives the simulation.
+  std::mt19937_64 m_Random;            ///< For arrivals, prompts and crashes.
+  TimePoint m_Now = Start;             ///< Virtual time.
+  std::priority_queue<Event> m_Events; ///< Earliest first.
+  std::uint64_t m_Order = 0;           ///< Orders events of equal times.
+  std::uint64_t m_LastOwn = 1;         ///< Id of the last unique segment.
+  std::vector<Balancer> m_Gateways;    ///< By index.
+  std::vector<DigestSum> m_Sums;       ///< By zone.
+  unsigned m_Ticks = 0;                ///< Digest intervals so far.
+  std::vector<Upstream> m_List;        ///< Listed engines.
+  std::map<UpstreamId, ModelEngine> m_Engines; ///< Lost engines included.
+  FleetResult m_Result;                        ///< Counts so far.
 };
 
 } // namespace
--- a/tests/standin/fleet_model.h
+++ b/tests/standin/fleet_model.h
@@ -1,10 +1,10 @@
-/// A fleet in virtual time: gateways with the real balancer, engines that read
-/// prompts in chunks between the tokens of other calls, and callers by class.
+/// A simulation of a fleet in virtual time: gateways with the real balancer,
+/// engines with chunked prefill, and callers by class.
 ///
-/// It plays a load in a fraction of its time and gives the same result for the
-/// same seed, so that a decision can be tested by what callers get. It has no
-/// network delays and no preemption, engines' memory holds what they keep of
-/// prompts only, and a crash is known to all gateways at once.
+/// It runs a load in a fraction of its time and gives the same result for the
+/// same seed, so that tests can judge placement by what callers get. It has no
+/// network delays and no preemption, engines' memory holds only their prefix
+/// caches, and all gateways know of a crash at once.
 #ifndef CROWSTEP_STANDIN_FLEET_MODEL_H
 #define CROWSTEP_STANDIN_FLEET_MODEL_H
 
@@ -14,58 +14,59 @@
 
 namespace crowstep::standin {
 
-/// A part that prompts of a class share.
+/// A prefix segment that prompts of a class share.
 struct ModelPart {
-  std::uint32_t m_Tokens = 0; ///< Size of each.
-  std::uint64_t m_Count = 1;  ///< How many different ones there are.
+  std::uint32_t m_Tokens = 0; ///< Size of each variant.
+  std::uint64_t m_Count = 1;  ///< Different segments to draw from.
 };
 
-/// One class of calls.
+/// One class of requests.
 struct ModelClass {
-  std::string m_Name;               ///< For results.
-  double m_PerSecond = 1;           ///< Poisson arrivals.
-  balance::Urgency m_Urgency = 0;   ///< 0 goes first.
-  Duration m_Target{};              ///< To the first event.
-  Duration m_LongestPause{};        ///< Between events, in time.
-  Duration m_Deadline{};            ///< The caller leaves then.
-  std::vector<ModelPart> m_Shared;  ///< From the first on; chosen at random.
-  std::uint32_t m_OwnTokens = 1000; ///< Mean; from a half to one and a half.
-  std::uint32_t m_Output = 50;      ///< Tokens made.
+  std::string m_Name;               ///< Key of the results.
+  double m_PerSecond = 1;           ///< Per second; Poisson process.
+  balance::Urgency m_Urgency = 0;   ///< 0 is the most urgent.
+  Duration m_Target{};              ///< Limit for the first event.
+  Duration m_LongestPause{};        ///< Limit between events.
+  Duration m_Deadline{};            ///< The caller then gives up.
+  std::vector<ModelPart> m_Shared;  ///< In order; variants drawn at random.
+  std::uint32_t m_OwnTokens = 1000; ///< Drawn from 0.5 to 1.5 times this.
+  std::uint32_t m_Output = 50;      ///< Length of the answer.
 };
 
-/// More or less of one class for a while.
+/// A period in which the arrival rate of one class is changed.
 struct ModelBurst {
   std::size_t m_Class = 0; ///< Index among the classes.
   Duration m_From{};       ///< Since the start.
   Duration m_To{};         ///< Since the start.
-  double m_Factor = 1;     ///< Times its usual rate.
+  double m_Factor = 1;     ///< Multiplies the arrival rate.
 };
 
-/// Engines are lost with their calls and memory, and others take their places.
+/// A loss of engines with their calls and caches; others replace them later.
 struct ModelCrash {
   Duration m_At{};    ///< Since the start.
-  Duration m_For{};   ///< Until the others are there.
-  double m_Share = 0; ///< Of the engines.
+  Duration m_For{};   ///< Until the replacements start.
+  double m_Share = 0; ///< Share of the engines lost.
 };
 
-/// A fleet and its load. The engine's figures are those of a large dense model.
+/// A fleet and its load. The engines' defaults are those of a large dense
+/// model.
 struct FleetModel {
   std::size_t m_Gateways = 9;
 
-  /// With one zone all gateways tell one another; of more zones, each zone
-  /// tells the others its sum with every second digest.
+  /// Gateways of a zone send their digests to one another. Of more than one
+  /// zone, each sends its sum to the others with every second digest.
   std::size_t m_Zones = 1;
   Duration m_DigestInterval = std::chrono::milliseconds(100);
 
   std::size_t m_Engines = 12;
   std::uint32_t m_Slots = 64;
   std::uint64_t m_CacheTokens = 290000;
-  std::uint32_t m_Chunk = 2048; ///< Prompt tokens read in a step.
-  std::uint32_t m_Stride = 3;   ///< Tokens of an event.
-  double m_StepUs = 6000;       ///< Of a step with nothing to read.
-  double m_SlotUs = 45;         ///< Added for each call that runs.
-  double m_ReadUs = 22;         ///< Added for each prompt token read.
-  double m_WaitShare = 0.4;     ///< Of the target, for room; 0: none waits.
+  std::uint32_t m_Chunk = 2048; ///< Prefill tokens in one step.
+  std::uint32_t m_Stride = 3;   ///< Tokens in one event.
+  double m_StepUs = 6000;       ///< Step time without calls or prefill.
+  double m_SlotUs = 45;         ///< Added for each running call.
+  double m_ReadUs = 22;         ///< Added for each prefill token.
+  double m_WaitShare = 0.4;     ///< Of the target, for a slot; 0: no wait.
   Duration m_Length = std::chrono::seconds(20);
   std::uint64_t m_Seed = 1;
   std::vector<ModelClass> m_Classes;
@@ -73,7 +74,7 @@
   std::vector<ModelCrash> m_Crashes;
 };
 
-/// What the callers of a class got.
+/// Outcomes of the requests of one class.
 struct ModelResult {
   int m_Asked = 0;
   int m_InTime = 0; ///< First event and all pauses in time, and complete.
@@ -82,21 +83,21 @@
   int m_Unfinished = 0; ///< Their deadline came first.
   int m_Lost = 0;       ///< Their engine crashed.
 
-  /// Returns the share that was answered in time.
+  /// Returns the share of requests answered in time.
   [[nodiscard]] double inTime() const {
     return m_Asked == 0 ? 1 : static_cast<double>(m_InTime) / m_Asked;
   }
 };
 
-/// What a play came to.
+/// Result of a simulation.
 struct FleetResult {
   std::map<std::string, ModelResult> m_Classes; ///< By name.
-  std::uint64_t m_ReadAgain = 0; ///< Tokens of shared parts that some engine
-                                 ///< had read before.
-  std::size_t m_EnginesUsed = 0; ///< That got at least one call.
+  std::uint64_t m_ReadAgain = 0; ///< Prefill tokens of segments that some
+                                 ///< engine had computed before.
+  std::size_t m_EnginesUsed = 0; ///< Engines with at least one call.
 };
 
-/// Plays a load to its end.
+/// Simulates a load to its end.
 FleetResult play(const FleetModel &What);
 
 } // namespace crowstep::standin
--- a/tests/standin/held_answer.cpp
+++ b/tests/standin/held_answer.cpp
@@ -1,4 +1,4 @@
-/// Paused libsoup messages, and the watch for a caller that closes.
+/// Pauses libsoup messages and detects that a caller closes its connection.
 #include "standin/held_answer.h"
 
 #include "core/http_server.h"
@@ -15,8 +15,9 @@
   soup_server_message_pause(m_Message);
   g_signal_connect(m_Message, "finished", G_CALLBACK(onFinished), this);
   g_signal_connect(m_Message, "wrote-body-data", G_CALLBACK(onWrote), this);
-  // libsoup reads nothing while an answer is awaited: without this a caller
-  // that went would keep its place in the queue and its slot to the end.
+  // libsoup does not read while an answer is pending: without this watch the
+  // request of a caller that has closed would keep its place in the queue or
+  // its slot to the end.
   if (GSocket *Socket = soup_server_message_get_socket(m_Message)) {
     m_Watch.emplace(g_socket_get_fd(Socket), *this);
     m_Watch->watchFor({.m_Read = true, .m_HungUp = true});
@@ -49,7 +50,7 @@
       soup_server_message_get_response_headers(m_Message);
   soup_message_headers_set_encoding(Headers, SOUP_ENCODING_CHUNKED);
   soup_message_headers_replace(Headers, "Content-Type", ContentType.c_str());
-  // Chunks that are written are thrown away; libsoup would keep them all.
+  // Frees each chunk once it is written; by default libsoup keeps them all.
   soup_message_body_set_accumulate(
       soup_server_message_get_response_body(m_Message), 0);
   soup_server_message_unpause(m_Message);
@@ -78,11 +79,11 @@
     return;
   m_Open = false;
   m_Watch.reset();
-  if (m_Finished) // libsoup has let go of the connection.
+  if (m_Finished) // The connection is not the message's any more.
     return;
   if (GSocket *Socket = soup_server_message_get_socket(m_Message))
     g_socket_shutdown(Socket, 1, 1, nullptr);
-  // The next write fails, and libsoup then frees the connection.
+  // The next write fails, upon which libsoup frees the connection.
   if (m_Streaming)
     soup_message_body_complete(
         soup_server_message_get_response_body(m_Message));
@@ -121,7 +122,7 @@
       recv(g_socket_get_fd(Socket), &Byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (Seen < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
     return;
-  if (Seen > 0) // The next request of a connection that is kept alive.
+  if (Seen > 0) // Next request on a keep-alive connection.
     m_Watch->watchFor({.m_HungUp = true});
   else
     gone();
--- a/tests/standin/held_answer.h
+++ b/tests/standin/held_answer.h
@@ -1,8 +1,8 @@
-/// The open answer to a request at libsoup's server.
+/// An answer given after the request handler of libsoup's server has returned.
 ///
-/// The message stays paused until it is answered, streamed or cut, and its
-/// caller's close is seen while nothing is written. Every method may be called
-/// after the caller has gone; it then does nothing.
+/// The message stays paused until it is answered, streamed or closed. A close
+/// by the caller is detected also while nothing is written. Every method may
+/// be called after the caller has closed; it then does nothing.
 #ifndef CROWSTEP_STANDIN_HELD_ANSWER_H
 #define CROWSTEP_STANDIN_HELD_ANSWER_H
 
@@ -18,44 +18,44 @@
 
 class HeldAnswer final : public SocketListener {
 public:
-  /// Takes over \p Message.
+  /// Pauses \p Message and keeps a reference to it.
   explicit HeldAnswer(SoupServerMessage *Message);
 
-  /// Cuts what is still open.
+  /// Closes the connection if the answer is still open.
   ~HeldAnswer() override;
   HeldAnswer(const HeldAnswer &) = delete;
   HeldAnswer &operator=(const HeldAnswer &) = delete;
 
-  /// Returns the message, for further headers before the answer begins.
+  /// Returns the message, to set further headers before the answer begins.
   [[nodiscard]] SoupServerMessage *message() const { return m_Message; }
 
-  /// Answers at once and whole.
+  /// Sends a complete answer.
   void answer(unsigned Status, const std::string &ContentType,
               const std::string &Body);
 
-  /// Sends the head of an answer that comes in pieces.
+  /// Sends the status and headers of a chunked answer.
   void beginStream(unsigned Status, const std::string &ContentType);
   void append(const std::string &Bytes);
   void endStream();
 
-  /// Closes the connection without an answer, or amid a stream, so that the
-  /// caller sees that it is not whole.
+  /// Closes the connection without an answer, or in mid-stream, so that the
+  /// caller detects that the answer is incomplete.
   void cut();
 
-  /// Returns whether the answer can still go on.
+  /// Returns whether the answer can still be given or continued.
   [[nodiscard]] bool open() const { return m_Open; }
 
-  /// Returns whether the head of a stream is given.
+  /// Returns whether beginStream() was called.
   [[nodiscard]] bool streaming() const { return m_Streaming; }
 
-  /// Returns whether the caller has closed its connection, asked just now.
+  /// Checks the socket and returns whether the caller has closed it.
   [[nodiscard]] bool hasLeft() const;
 
-  /// Returns the bytes that were appended and are not yet written.
+  /// Returns the number of bytes appended and not yet written.
   [[nodiscard]] std::size_t backlog() const { return m_Backlog; }
 
-  /// Sets what runs when the caller goes before its answer is complete, and
-  /// when the backlog has shrunk.
+  /// Sets the jobs to run when the caller closes before its answer is complete,
+  /// and after each write.
   void onGone(std::function<void()> Job) { m_Gone = std::move(Job); }
   void onDrained(std::function<void()> Job) { m_Drained = std::move(Job); }
 
@@ -66,13 +66,13 @@
   void gone();
 
   SoupServerMessage *m_Message;       ///< Owned reference.
-  std::optional<SocketWatch> m_Watch; ///< Sees the caller's close.
+  std::optional<SocketWatch> m_Watch; ///< Detects a close by the caller.
   std::function<void()> m_Gone;       ///< Empty once it has run.
   std::function<void()> m_Drained;    ///< May be empty.
-  std::size_t m_Backlog = 0;          ///< Appended and not yet written.
-  bool m_Open = true;                 ///< Until answered, cut or gone.
-  bool m_Finished = false;            ///< libsoup is done with the message.
-  bool m_Streaming = false;           ///< The head of a stream is given.
+  std::size_t m_Backlog = 0;          ///< Bytes appended, not yet written.
+  bool m_Open = true;                 ///< Until answered or closed.
+  bool m_Finished = false;            ///< By libsoup's signal "finished".
+  bool m_Streaming = false;           ///< beginStream() was called.
 };
 
 } // namespace crowstep
--- a/tests/standin/member_main.cpp
+++ b/tests/standin/member_main.cpp
@@ -1,6 +1,7 @@
-/// A member of the fleet and nothing else: membership over real links, for
-/// measurements and tests with many processes. GET /view lists its members,
-/// /deaths says when it last saw one go, /metrics shows its counters.
+/// A process that only takes part in the membership protocol, over real links,
+/// for measurements and tests with many processes. GET /view lists the members
+/// and their states, /deaths returns when the number of live members last
+/// fell, /metrics the counters.
 #include "core/http_server.h"
 #include "core/program.h"
 #include "link/link_tcp.h"
@@ -38,7 +39,7 @@
 
   void stop(std::function<void()> Done) override {
     m_Fleet.leave();
-    // The goodbye leaves with the end of this loop iteration.
+    // The notification of leaving is sent at the end of this loop iteration.
     m_Timers.after(std::chrono::milliseconds(50), std::move(Done));
   }
 
@@ -107,17 +108,18 @@
     m_Live = Live;
   }
 
-  Address m_Http;                 ///< Of the server for tests.
-  std::vector<Address> m_Hints;   ///< Where members may be.
-  link::LinkConfig m_Config;      ///< Who this is.
-  LoopClock m_Time;               ///< The main loop's.
-  LoopScheduler m_Timers;         ///< The main loop's.
-  Metrics m_Stats;                ///< Shown by /metrics.
-  link::TcpLinks m_Links;         ///< To the other members.
-  membership::Membership m_Fleet; ///< What is measured.
-  HttpServer m_Server;            ///< For tests.
+  Address m_Http;                 ///< Listen address of m_Server.
+  std::vector<Address> m_Hints;   ///< Addresses of possible members.
+  link::LinkConfig m_Config;      ///< Own name, incarnation and address.
+  LoopClock m_Time;               ///< Of the main loop.
+  LoopScheduler m_Timers;         ///< Of the main loop.
+  Metrics m_Stats;                ///< Returned by /metrics.
+  link::TcpLinks m_Links;         ///< Links to the other members.
+  membership::Membership m_Fleet; ///< The protocol under test.
+  HttpServer m_Server;            ///< For the requests of tests.
   std::ptrdiff_t m_Live = 0;      ///< Live members at the last change.
-  std::int64_t m_LastDeath = 0;   ///< Wall clock in ms; for one machine only.
+  std::int64_t m_LastDeath = 0;   ///< Wall clock in ms, so that
+                                  ///< processes of one machine compare.
 };
 
 } // namespace
--- a/tests/standin/platform_main.cpp
+++ b/tests/standin/platform_main.cpp
@@ -1,4 +1,4 @@
-/// Stand-in for the platform.
+/// Program that stands in for the platform's services.
 #include "standin/platform_server.h"
 
 int main(int Argc, char **Argv) {
--- a/tests/standin/platform_server.cpp
+++ b/tests/standin/platform_server.cpp
@@ -1,4 +1,4 @@
-/// Paths of the platform's services.
+/// Request routing and faults of the platform's services.
 #include "standin/platform_server.h"
 
 #include <fstream>
@@ -11,7 +11,7 @@
 
 constexpr std::int64_t DefaultWeightReads = 10;
 
-/// Returns the part after /v1/ up to the next slash: the service's name.
+/// Returns the service's name: the path segment after /v1/.
 std::string serviceOf(const std::string &Path) {
   if (!Path.starts_with("/v1/"))
     return "";
@@ -63,7 +63,7 @@
                   queryValue(Message, "prefix"), requestBody(Message)};
   const auto Answer = std::make_shared<Exchange>(Message);
   Fault Present = m_Faults[serviceOf(Path)].take();
-  // A fault of the writes alone, so that a test can lose a commit's answer.
+  // A fault of writes only, so that a test can drop the answer to a commit.
   if (Present.m_Mode == FaultMode::None && Path.ends_with("/write"))
     Present = m_Faults["table_writes"].take();
   switch (Present.m_Mode) {
--- a/tests/standin/platform_server.h
+++ b/tests/standin/platform_server.h
@@ -1,4 +1,4 @@
-/// The platform's services over HTTP, with fault switches for each.
+/// The platform's services over HTTP, with injected faults for each.
 #ifndef CROWSTEP_STANDIN_PLATFORM_SERVER_H
 #define CROWSTEP_STANDIN_PLATFORM_SERVER_H
 
@@ -11,11 +11,11 @@
 
 namespace crowstep::standin {
 
-/// Settings of the stand-in.
+/// Settings of the platform stand-in.
 struct PlatformSettings {
-  Address m_Listen;             ///< Of the one server.
-  std::string m_Seed;           ///< JSON file with first contents, or empty.
-  std::int64_t m_WeightReads{}; ///< Weight reads a second before a 429.
+  Address m_Listen;             ///< One server for all services.
+  std::string m_Seed;           ///< JSON file with initial contents, or empty.
+  std::int64_t m_WeightReads{}; ///< Weight reads a second; more get 429.
 };
 
 /// Table service, object store, instance list and weight store in one server.
@@ -29,13 +29,13 @@
   struct Reply {
     unsigned m_Status = 200;             ///< HTTP status.
     std::string m_Body;                  ///< JSON, or an object's content.
-    std::chrono::seconds m_RetryAfter{}; ///< 0: no such header.
+    std::chrono::seconds m_RetryAfter{}; ///< 0: header is omitted.
   };
   struct Call {
     std::string m_Method; ///< HTTP method.
     std::string m_Path;   ///< Decoded, without the query.
-    std::string m_Prefix; ///< Query parameter.
-    std::string m_Body;   ///< Whole.
+    std::string m_Prefix; ///< Query parameter "prefix".
+    std::string m_Body;   ///< Request body.
   };
 
   void handle(SoupServerMessage *Message, const std::string &Path);
@@ -47,17 +47,17 @@
   Reply instances(const Call &What);
   Reply weights();
 
-  PlatformSettings m_Settings;                  ///< As read at the start.
-  LoopClock m_Clock;                            ///< Of the counts.
-  LoopScheduler m_Scheduler;                    ///< Of delayed answers.
-  HttpServer m_Server;                          ///< One for all services.
-  PlatformStore m_Store;                        ///< Tables.
-  std::map<std::string, std::string> m_Objects; ///< By name.
+  PlatformSettings m_Settings; ///< Read at construction.
+  LoopClock m_Clock;           ///< For call rates and the listing's lag.
+  LoopScheduler m_Scheduler;   ///< For FaultMode::Delay.
+  HttpServer m_Server;         ///< One for all services.
+  PlatformStore m_Store;       ///< Table service.
+  std::map<std::string, std::string> m_Objects; ///< Object store, by name.
   LaggingListing m_Listing;                     ///< Instance list.
-  std::map<std::string, Fault> m_Faults;        ///< By target.
-  std::int64_t m_WeightSecond = 0;              ///< Second being counted.
-  std::int64_t m_WeightCount = 0;               ///< Weight reads in it.
-  std::vector<ExchangePtr> m_Hung;              ///< Never answered.
+  std::map<std::string, Fault> m_Faults; ///< By service, or "table_writes".
+  std::int64_t m_WeightSecond = 0;       ///< Second being counted.
+  std::int64_t m_WeightCount = 0;        ///< Weight reads in it.
+  std::vector<ExchangePtr> m_Hung;       ///< Held until a fault is set.
 };
 
 } // namespace crowstep::standin
--- a/tests/standin/platform_store.cpp
+++ b/tests/standin/platform_store.cpp
@@ -1,4 +1,4 @@
-/// Conditional writes with per-row outcomes, and counts of calls.
+/// Conditional writes with an outcome for each row, and call counts.
 #include "standin/platform_store.h"
 
 using nlohmann::json;
--- a/tests/standin/platform_store.h
+++ b/tests/standin/platform_store.h
@@ -1,4 +1,4 @@
-/// The platform's tables, objects and instance list, without HTTP.
+/// The platform's tables and instance list, without HTTP.
 #ifndef CROWSTEP_STANDIN_PLATFORM_STORE_H
 #define CROWSTEP_STANDIN_PLATFORM_STORE_H
 
@@ -11,7 +11,7 @@
 
 namespace crowstep::standin {
 
-/// Calls of one second and the highest second so far.
+/// Counts calls, in all and in the busiest second.
 class RatePeak {
 public:
   void count(TimePoint Now);
@@ -19,16 +19,16 @@
   [[nodiscard]] std::uint64_t peak() const { return m_Peak; }
 
 private:
-  std::int64_t m_Second = 0;   ///< The second being counted.
-  std::uint64_t m_Present = 0; ///< Calls in it.
-  std::uint64_t m_Peak = 0;    ///< Of any second.
-  std::uint64_t m_Total = 0;   ///< Of all.
+  std::int64_t m_Second = 0;   ///< Second being counted.
+  std::uint64_t m_Present = 0; ///< Calls in that second.
+  std::uint64_t m_Peak = 0;    ///< Most calls in one second.
+  std::uint64_t m_Total = 0;   ///< Calls since the start.
 };
 
-/// Table service and object store.
+/// Table service: rows with versions, conditional writes and call counts.
 class PlatformStore {
 public:
-  /// Carries out {"writes":[...]} and returns {"outcomes":[...]}.
+  /// Executes {"writes":[...]} and returns {"outcomes":[...]}.
   nlohmann::json write(const std::string &Table, const nlohmann::json &Body,
                        TimePoint Now);
   nlohmann::json read(const std::string &Table, const std::string &Key,
@@ -36,21 +36,21 @@
   nlohmann::json list(const std::string &Table, const std::string &Prefix,
                       TimePoint Now);
 
-  /// Fills tables from the "tables" of a seed file.
+  /// Fills the tables from the member "tables" of a seed file.
   void seed(const nlohmann::json &Tables);
 
   [[nodiscard]] nlohmann::json stats() const;
 
 private:
   struct StoredRow {
-    std::uint64_t m_Version = 0; ///< Never repeats within a table.
+    std::uint64_t m_Version = 0; ///< Unique within a table, for good.
     std::string m_Value;         ///< JSON text.
   };
   struct Table {
     std::map<std::string, StoredRow> m_Rows; ///< By key.
-    std::uint64_t m_LastVersion = 0; ///< Grows with each write, also deletes.
-    RatePeak m_Reads;                ///< Calls that read it.
-    RatePeak m_Writes;               ///< Calls that write it.
+    std::uint64_t m_LastVersion = 0; ///< Grows with each write of a value.
+    RatePeak m_Reads;                ///< Read calls.
+    RatePeak m_Writes;               ///< Write calls.
   };
   static nlohmann::json writeRow(Table &Where, const nlohmann::json &Write);
 
@@ -59,18 +59,20 @@
   RatePeak m_Writes;                     ///< Of all tables.
 };
 
-/// A listing that lags.
+/// An instance list of which readers get an old version.
 class LaggingListing {
 public:
   void set(nlohmann::json Listing, TimePoint Now);
   void setLag(Duration Lag) { m_Lag = Lag; }
 
-  /// Returns the newest listing that is as old as the lag.
+  /// Returns the newest list that is at least as old as the lag, or the oldest
+  /// list if there is none. Drops the lists before it, so time must not go
+  /// back.
   [[nodiscard]] nlohmann::json visible(TimePoint Now);
 
 private:
   std::deque<std::pair<TimePoint, nlohmann::json>> m_History; ///< By time.
-  Duration m_Lag{}; ///< Age of what readers see.
+  Duration m_Lag{}; ///< Age of the list that readers get.
 };
 
 } // namespace crowstep::standin
--- a/tests/standin/prefix_cache.cpp
+++ b/tests/standin/prefix_cache.cpp
@@ -1,4 +1,4 @@
-/// Least recently used prefixes.
+/// Prefix hashes and LRU eviction.
 #include "standin/prefix_cache.h"
 
 #include <xxhash.h>
@@ -17,7 +17,8 @@
   std::size_t Held = 0;
   while (Held < Prefixes.size() && m_Where.contains(Prefixes[Held]))
     ++Held;
-  // The first block last: without it the later ones are of no use.
+  // The first block is inserted last and so evicted last: without it the later
+  // blocks are of no use.
   for (auto Prefix = Prefixes.rbegin(); Prefix != Prefixes.rend(); ++Prefix)
     insert(*Prefix);
   return Held;
--- a/tests/standin/prefix_cache.h
+++ b/tests/standin/prefix_cache.h
@@ -1,4 +1,4 @@
-/// An engine's cache of prompt prefixes: limited, least recently used goes.
+/// An engine's cache of prompt prefixes, with LRU eviction.
 #ifndef CROWSTEP_STANDIN_PREFIX_CACHE_H
 #define CROWSTEP_STANDIN_PREFIX_CACHE_H
 
@@ -11,13 +11,13 @@
 
 namespace crowstep::standin {
 
-/// Characters that one block of the cache holds.
+/// Prompt characters in one block of the cache.
 inline constexpr std::size_t PrefixCharacters = 256;
 
 /// Returns the hashes of the first 256, 512, ... characters of \p Prompt.
 std::vector<std::uint64_t> prefixHashes(const std::string &Prompt);
 
-/// Blocks by the hash of the prefix that ends with them.
+/// Cache of blocks, each keyed by the hash of the prefix that it ends.
 class PrefixCache {
 public:
   using Listener = std::function<void(std::uint64_t Prefix, bool Added)>;
@@ -25,8 +25,8 @@
   PrefixCache(std::size_t Blocks, Listener OnChange)
       : m_Blocks(Blocks), m_OnChange(std::move(OnChange)) {}
 
-  /// Returns how many leading blocks of a prompt are held, and holds them all
-  /// from now on.
+  /// Returns how many leading blocks of a prompt are cached, then inserts all
+  /// its blocks; of a prompt beyond the capacity the first blocks stay.
   std::size_t use(const std::vector<std::uint64_t> &Prefixes);
 
   [[nodiscard]] std::size_t freeBlocks() const {
@@ -36,11 +36,11 @@
 private:
   void insert(std::uint64_t Prefix);
 
-  std::size_t m_Blocks;             ///< Limit.
-  Listener m_OnChange;              ///< Told of each change.
+  std::size_t m_Blocks;             ///< In blocks.
+  Listener m_OnChange;              ///< Called on each insertion and eviction.
   std::list<std::uint64_t> m_Order; ///< Most recently used first.
   std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator>
-      m_Where; ///< Place of each block in m_Order.
+      m_Where; ///< Position of each block in m_LruOrder.
 };
 
 } // namespace crowstep::standin
--- a/tests/standin/service_server.cpp
+++ b/tests/standin/service_server.cpp
@@ -1,4 +1,4 @@
-/// Calls of a stand-in plain service.
+/// Queue and execution of calls at a stand-in plain service.
 #include "standin/service_server.h"
 
 #include <xxhash.h>
--- a/tests/standin/service_server.h
+++ b/tests/standin/service_server.h
@@ -1,4 +1,4 @@
-/// A stand-in plain service behind HTTP.
+/// A stand-in plain service with an HTTP server.
 #ifndef CROWSTEP_STANDIN_SERVICE_SERVER_H
 #define CROWSTEP_STANDIN_SERVICE_SERVER_H
 
@@ -6,7 +6,8 @@
 
 namespace crowstep::standin {
 
-/// One plain service: every call takes the same time, `slots` at once.
+/// One plain service: each call takes the same time, at most `slots` run at
+/// once.
 class ServiceServer {
 public:
   explicit ServiceServer(UpstreamSettings With);
@@ -18,12 +19,12 @@
   void run(const UpstreamCall &Call);
   void finished(const UpstreamCall &Call, std::size_t Record);
 
-  UpstreamSettings m_Settings;        ///< As read at the start.
-  UpstreamServer m_Server;            ///< HTTP side.
-  std::deque<UpstreamCall> m_Waiting; ///< In the order of arrival.
+  UpstreamSettings m_Settings;        ///< Used by m_Server, too.
+  UpstreamServer m_Server;            ///< HTTP, admission, faults, reports.
+  std::deque<UpstreamCall> m_Waiting; ///< For a slot, in the order of arrival.
   std::size_t m_Running = 0;          ///< At most `slots`.
-  std::uint64_t m_Calls = 0;          ///< Calls that ran.
-  double m_Factor = 1;                ///< 10 makes a straggler.
+  std::uint64_t m_Calls = 0;          ///< Numbers the answers.
+  double m_Factor = 1; ///< 1: normal speed; 10 makes a straggler.
 };
 
 } // namespace crowstep::standin
--- a/tests/standin/step_timer.cpp
+++ b/tests/standin/step_timer.cpp
@@ -19,7 +19,8 @@
 StepTimer::StepTimer(std::function<void()> Job)
     : m_Job(std::move(Job)),
       m_Source(g_source_new(&SourceFuncs, sizeof(GSource))) {
-  // Only the data is used; the function must be set for dispatch to get it.
+  // dispatch() uses the data only, but GLib passes it on only if a function is
+  // set.
   g_source_set_callback(
       m_Source, [](gpointer) -> int { return G_SOURCE_CONTINUE; }, &m_Job,
       nullptr);
--- a/tests/standin/step_timer.h
+++ b/tests/standin/step_timer.h
@@ -1,5 +1,5 @@
-/// A timer with microseconds, for engine steps; GLib's timeouts count
-/// milliseconds, which is as long as a whole step of a fast engine.
+/// A timer with microsecond resolution for engine steps. GLib's timeouts have
+/// a resolution of 1 ms, which is as long as a whole step of a fast engine.
 #ifndef CROWSTEP_STANDIN_STEP_TIMER_H
 #define CROWSTEP_STANDIN_STEP_TIMER_H
 
@@ -10,7 +10,7 @@
 
 namespace crowstep::standin {
 
-/// Runs its job whenever the time set by wakeAt() has come.
+/// Runs its job once at the time set by startAt().
 class StepTimer {
 public:
   explicit StepTimer(std::function<void()> Job);
@@ -22,8 +22,8 @@
   void stop();
 
 private:
-  std::function<void()> m_Job; ///< Called from the loop.
-  GSource *m_Source;           ///< Owned and attached.
+  std::function<void()> m_Job; ///< Called from the main loop.
+  GSource *m_Source;           ///< Owned; attached to the default context.
 };
 
 } // namespace crowstep::standin
--- a/tests/standin/store_server.cpp
+++ b/tests/standin/store_server.cpp
@@ -1,4 +1,4 @@
-/// A stand-in for the platform's store.
+/// Requests, long polls and transactions of the stand-in store.
 #include "standin/store_server.h"
 
 #include "core/base64.h"
@@ -44,7 +44,8 @@
 }
 
 void StoreServer::dropHistory() {
-  // A change elsewhere comes with it, so that all who wait are behind.
+  // The version grows as by a change of another table, so that every long poll
+  // is behind the oldest version.
   m_Oldest = ++m_Version;
   answerWaiting();
 }
@@ -60,7 +61,7 @@
     return;
   }
   if (m_Mode == Mode::Silent) {
-    g_object_ref(Message); // Never answered; freed with the process.
+    g_object_ref(Message); // Never answered; freed at process exit.
     soup_server_message_pause(Message);
     return;
   }
--- a/tests/standin/store_server.h
+++ b/tests/standin/store_server.h
@@ -1,5 +1,5 @@
-/// A stand-in for the platform's store: rows of tables, with changes to wait
-/// for and troubles to switch on.
+/// A stand-in for the platform's store: rows of tables, a feed of changes by
+/// long polls, and faults that a test sets.
 #ifndef CROWSTEP_TESTS_STANDIN_STORE_SERVER_H
 #define CROWSTEP_TESTS_STANDIN_STORE_SERVER_H
 
@@ -14,40 +14,42 @@
 
 class StoreServer {
 public:
-  /// How calls are answered.
+  /// How requests are answered.
   enum class Mode : std::uint8_t {
-    Up,     ///< As the protocol says.
-    Busy,   ///< 503: nothing was done.
-    Silent, ///< Not at all.
+    Up,     ///< According to the protocol.
+    Busy,   ///< 503 without effect.
+    Silent, ///< Not answered.
   };
 
-  /// Begins to serve. \throws ListenError.
+  /// Starts the server. \throws ListenError.
   void listen(const Address &Where);
 
-  /// Writes or, with an empty value, removes a row, as its owner would.
+  /// Writes a row, or removes it if \p Value is empty, without a condition.
   void put(const std::string &Table, const std::string &Key,
            const std::string &Value);
 
   void setMode(Mode Next) { m_Mode = Next; }
 
-  /// Answers reads from a copy of now until it is called with false.
+  /// Answers reads from a copy of the present tables until called with false.
+  /// A copy of a store without any change is not served.
   void serveOldCopy(bool Old);
 
-  /// Forgets the changes so far: who waits for them gets 410.
+  /// Drops the history of changes: feed requests for an earlier version get
+  /// 410.
   void dropHistory();
 
 private:
   struct Row {
-    std::string m_Value;         ///< Empty: gone.
-    std::uint64_t m_Version = 0; ///< Of its last change.
+    std::string m_Value;         ///< Empty: removed.
+    std::uint64_t m_Version = 0; ///< Version of its last change.
   };
   using Table = std::map<std::string, Row>;
 
-  /// A call that waits for changes.
+  /// A feed request that waits for changes.
   struct Waiting {
     SoupServerMessage *m_Message; ///< Paused; a reference is held.
-    std::string m_Table;          ///< Whose changes.
-    std::uint64_t m_After;        ///< Later ones.
+    std::string m_Table;          ///< Name of the table.
+    std::uint64_t m_After;        ///< Waits for later versions.
   };
 
   void handle(SoupServerMessage *Message, const std::string &Path);
@@ -60,14 +62,14 @@
   void answer(SoupServerMessage *Message, nlohmann::json Body,
               std::uint64_t Version) const;
 
-  HttpServer m_Server;                   ///< Towards the gateways.
+  HttpServer m_Server;                   ///< Serves the gateways.
   std::map<std::string, Table> m_Tables; ///< By name.
-  std::vector<Waiting> m_Waiting;        ///< Paused calls.
-  std::map<std::string, Table> m_Copy;   ///< See serveOldCopy().
-  std::uint64_t m_CopyVersion = 0;       ///< Its version; 0: none is served.
-  std::uint64_t m_Version = 0;           ///< Of the newest change.
-  std::uint64_t m_Oldest = 0;            ///< History before it is gone.
-  Mode m_Mode = Mode::Up;                ///< See Mode.
+  std::vector<Waiting> m_Waiting;        ///< Paused feed requests.
+  std::map<std::string, Table> m_Copy;   ///< See serveStaleCopy().
+  std::uint64_t m_CopyVersion = 0; ///< Version of the copy; 0: none is served.
+  std::uint64_t m_Version = 0;     ///< Version of the newest change.
+  std::uint64_t m_Oldest = 0;      ///< Feeds from earlier versions get 410.
+  Mode m_Mode = Mode::Up;          ///< See Mode.
 };
 
 } // namespace crowstep::standin
--- a/tests/standin/upstream_host.cpp
+++ b/tests/standin/upstream_host.cpp
@@ -1,4 +1,4 @@
-/// The upstreams of one process.
+/// Creates and starts the upstreams of one process.
 #include "standin/upstream_host.h"
 
 namespace crowstep::standin {
--- a/tests/standin/upstream_host.h
+++ b/tests/standin/upstream_host.h
@@ -14,7 +14,7 @@
 using StandinUpstream =
     std::variant<std::unique_ptr<EngineServer>, std::unique_ptr<ServiceServer>>;
 
-/// Hosts an engine for each section [engine*] and a plain service for each
+/// Runs an engine for each section [engine*] and a plain service for each
 /// section [service*].
 class UpstreamHost final : public Daemon {
 public:
@@ -23,7 +23,7 @@
   void stop(std::function<void()> Done) override { Done(); }
 
 private:
-  std::vector<StandinUpstream> m_Upstreams; ///< In the order of the sections.
+  std::vector<StandinUpstream> m_Upstreams; ///< Engines, then services.
 };
 
 } // namespace crowstep::standin
--- a/tests/standin/upstream_server.cpp
+++ b/tests/standin/upstream_server.cpp
@@ -1,4 +1,4 @@
-/// Admission, faults and control paths of an upstream.
+/// Admission, faults and control paths of a stand-in upstream.
 #include "standin/upstream_server.h"
 
 using nlohmann::json;
@@ -70,8 +70,8 @@
   m_Hooks.m_FaultSet(m_Fault);
   if (frozen())
     return;
-  // Like the socket buffers of a process that was stopped: what came in the
-  // meantime is handled now, also where the caller has given up.
+  // As with the socket buffers of a stopped process, calls that arrived in the
+  // meantime are handled now, even if the caller has closed.
   for (UpstreamCall &Call : std::exchange(m_Held, {}))
     serve(Call);
 }
--- a/tests/standin/upstream_server.h
+++ b/tests/standin/upstream_server.h
@@ -1,5 +1,6 @@
-/// The HTTP side that stand-in engines and plain services share: load, drain,
-/// faults and record; what is left over is work and orders.
+/// The HTTP server that stand-in engines and plain services share: admission,
+/// load reports, draining, faults and call records. Work and other paths, such
+/// as orders, are passed to the upstream's hooks.
 #ifndef CROWSTEP_STANDIN_UPSTREAM_SERVER_H
 #define CROWSTEP_STANDIN_UPSTREAM_SERVER_H
 
@@ -12,33 +13,33 @@
 
 namespace crowstep::standin {
 
-/// A call that is neither refused nor cut by a fault.
+/// A received call.
 struct UpstreamCall {
-  std::string m_Path;   ///< Decoded.
+  std::string m_Path;   ///< Decoded, without the query.
   std::string m_Key;    ///< Idempotency-Key, or empty.
-  std::string m_Body;   ///< Whole.
-  ExchangePtr m_Answer; ///< To be answered.
-  Fault m_Fault;        ///< Of this call: DropAnswer, CrashMidStream or None.
+  std::string m_Body;   ///< Request body.
+  ExchangePtr m_Answer; ///< The open answer.
+  Fault m_Fault;        ///< To be applied by the hook.
 };
 
-/// What an upstream of one kind does itself.
+/// Behaviour that depends on the kind of upstream.
 struct UpstreamHooks {
-  /// Takes work, which is already admitted.
+  /// Executes an admitted call.
   std::function<void(UpstreamCall)> m_Work;
-  /// Answers other paths, such as orders; returns false for an unknown one.
+  /// Answers other paths, such as orders; returns false for an unknown path.
   std::function<bool(const UpstreamCall &)> m_Other;
-  /// Told of each change of the fault switch.
+  /// Called on each change of the fault.
   std::function<void(const Fault &)> m_FaultSet;
-  /// Returns how many calls wait for a slot.
+  /// Returns the number of calls that wait for a slot.
   std::function<std::size_t()> m_Waiting;
 };
 
-/// Server of one upstream.
+/// HTTP server of one upstream.
 class UpstreamServer {
 public:
   UpstreamServer(const UpstreamSettings &With, UpstreamHooks Hooks);
 
-  /// Begins to serve. \throws ListenError.
+  /// Starts the server. \throws ListenError.
   void start();
 
   [[nodiscard]] const Clock &clock() const { return m_Clock; }
@@ -56,15 +57,15 @@
   void refuse(const UpstreamCall &Call, const std::string &Code);
 
   const UpstreamSettings &m_Settings; ///< Outlives the server.
-  UpstreamHooks m_Hooks;              ///< Of the kind.
-  LoopClock m_Clock;                  ///< Of steps and reports.
-  LoopScheduler m_Scheduler;          ///< Of delays.
-  HttpServer m_Server;                ///< Of this upstream.
-  CallRecords m_Records;              ///< What ran.
-  LoadReports m_Reports;              ///< What callers see.
-  Fault m_Fault;                      ///< Present switch.
-  bool m_Leaving = false;             ///< Takes no new work.
-  std::vector<UpstreamCall> m_Held;   ///< Arrived while frozen or hung.
+  UpstreamHooks m_Hooks;              ///< Of engine or service.
+  LoopClock m_Clock;                  ///< For steps and reports.
+  LoopScheduler m_Scheduler;          ///< For delays of calls.
+  HttpServer m_Server;                ///< Listens for this upstream.
+  CallRecords m_Records;              ///< Calls that ran, for tests.
+  LoadReports m_Reports;              ///< Load reports, late by the lag.
+  Fault m_Fault;                      ///< Fault in force.
+  bool m_Leaving = false;             ///< Refuses new work.
+  std::vector<UpstreamCall> m_Held;   ///< By Freeze or Hang.
 };
 
 } // namespace crowstep::standin
--- a/tests/standin/upstream_state.cpp
+++ b/tests/standin/upstream_state.cpp
@@ -1,4 +1,4 @@
-/// Records and late reports.
+/// Call records and delayed load reports.
 #include "standin/upstream_state.h"
 
 #include <array>
@@ -59,8 +59,8 @@
 
 void LoadReports::note(LoadSnapshot Snapshot) {
   Snapshot.m_Sequence = ++m_LastSnapshot;
-  // Of changes close together the last one counts, or the history of a busy
-  // engine with a long lag would grow large.
+  // Keeps only the last of several snapshots close together; otherwise the
+  // history of a busy engine with a long lag would grow large.
   const std::size_t Kept = m_Snapshots.size();
   if (Kept > 1 &&
       Snapshot.m_When - m_Snapshots[Kept - 2].m_When < SnapshotInterval)
--- a/tests/standin/upstream_state.h
+++ b/tests/standin/upstream_state.h
@@ -1,5 +1,4 @@
-/// What stand-in engines and plain services share: reports, the record of
-/// what ran, drain and faults.
+/// Call records and load reports of stand-in engines and plain services.
 #ifndef CROWSTEP_STANDIN_UPSTREAM_STATE_H
 #define CROWSTEP_STANDIN_UPSTREAM_STATE_H
 
@@ -12,45 +11,45 @@
 
 namespace crowstep::standin {
 
-/// One call that ran; the oracle of the tests.
+/// One call that ran, with which tests compare what callers got.
 struct CallRecord {
-  std::string m_RequestId;       ///< The router's, or empty.
+  std::string m_RequestId;       ///< Set by the router, or empty.
   std::string m_Key;             ///< Idempotency-Key, or empty.
-  int m_Priority = 0;            ///< As the router gave it.
+  int m_Priority = 0;            ///< Set by the router.
   std::uint64_t m_From = 0;      ///< Index of the first token.
   std::uint64_t m_Generated = 0; ///< Tokens that this call computed.
-  bool m_Finished = false;       ///< Ran to its end.
-  bool m_Cancelled = false;      ///< Ended early at the caller's wish.
+  bool m_Finished = false;       ///< Ran to completion.
+  bool m_Cancelled = false;      ///< Ended early by the caller.
 };
 
-/// Every call that ran, in the order of arrival.
+/// Records of all calls, in the order in which they were added.
 class CallRecords {
 public:
-  /// Returns the index of a new record.
+  /// Adds a record and returns its index.
   std::size_t add(CallRecord Call);
   CallRecord &at(std::size_t Index) { return m_Calls[Index]; }
 
-  /// Returns {"calls":[...], "generated", "finished", "cancelled"}.
+  /// Returns {"calls":[...], "count", "generated", "finished", "cancelled"}.
   [[nodiscard]] nlohmann::json all() const;
 
-  /// Returns the sums without the calls.
+  /// Returns allJson() without "calls".
   [[nodiscard]] nlohmann::json sums() const;
 
 private:
   std::vector<CallRecord> m_Calls; ///< Never shrinks.
 };
 
-/// Load at one time.
+/// Load of an upstream at one time.
 struct LoadSnapshot {
-  TimePoint m_When;             ///< When it was taken.
-  std::uint64_t m_Sequence = 0; ///< Grows with each.
-  std::size_t m_Running = 0;    ///< Calls that run.
-  std::size_t m_Waiting = 0;    ///< Calls that wait.
+  TimePoint m_When;             ///< Time of the snapshot.
+  std::uint64_t m_Sequence = 0; ///< Grows with each snapshot.
+  std::size_t m_Running = 0;    ///< Running calls.
+  std::size_t m_Waiting = 0;    ///< Calls that wait for a slot.
   std::size_t m_FreeBlocks = 0; ///< Of the prefix cache.
 };
 
-/// Load reports and cache events as callers see them: late, and with gaps when
-/// there are more events than the window holds.
+/// Load reports and cache events as callers get them: late, and with gaps if
+/// there are more cache events between two reports than one report holds.
 class LoadReports {
 public:
   explicit LoadReports(Duration Lag) : m_Lag(Lag) {}
@@ -59,20 +58,21 @@
   void note(LoadSnapshot Snapshot);
   void cacheChanged(std::uint64_t Prefix, bool Added, TimePoint Now);
 
-  /// Returns the report that is visible at \p Now.
+  /// Returns the report to give at \p Now, of the state as long ago as the lag.
+  /// Drops the snapshots before it, so time must not go back.
   [[nodiscard]] nlohmann::json visible(TimePoint Now, bool Leaving);
 
 private:
   struct CacheEvent {
-    TimePoint m_When;             ///< When the cache changed.
-    std::uint64_t m_Sequence = 0; ///< Grows with each.
-    std::uint64_t m_Prefix = 0;   ///< Which prefix.
+    TimePoint m_When;             ///< Time of the change.
+    std::uint64_t m_Sequence = 0; ///< Grows with each event.
+    std::uint64_t m_Prefix = 0;   ///< Hash of the prefix.
     bool m_Added = false;         ///< False: evicted.
   };
 
-  Duration m_Lag;                       ///< Age of what callers see.
-  std::uint64_t m_LastSnapshot = 0;     ///< Sequence of the newest.
-  std::uint64_t m_LastEvent = 0;        ///< Sequence of the newest.
+  Duration m_Lag;                       ///< Age of what reports contain.
+  std::uint64_t m_LastSnapshot = 0;     ///< Newest sequence number.
+  std::uint64_t m_LastEvent = 0;        ///< Newest sequence number.
   std::deque<LoadSnapshot> m_Snapshots; ///< Oldest first.
   std::deque<CacheEvent> m_Events;      ///< Oldest first.
 };
--- a/tests/unit/load_play_test.cpp
+++ b/tests/unit/load_play_test.cpp
@@ -1,6 +1,6 @@
-/// Loads played against the real balancer in virtual time, judged by what
-/// callers get. No load here is a user's: numbers of engines, sizes and rates
-/// are chosen to bring out one decision each.
+/// Simulates loads with the real balancer in virtual time and checks what
+/// callers get. The loads are synthetic: numbers of engines, sizes and rates
+/// are chosen so that each test depends on one decision of the balancer.
 #define BOOST_TEST_MODULE load_play
 #include "standin/fleet_model.h"
 
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// The share of calls that a class should have in time while the engines could
-/// serve all of them.
+/// Share of a class's requests to be answered in time while the engines have
+/// the capacity for all.
 constexpr double Aim = 0.95;
 
 ModelClass reports(double PerSecond, std::uint64_t Beginnings) {
@@ -38,8 +38,8 @@
           540,    280};
 }
 
-/// Twelve engines with long reports, shorter advice, and chats, which allow the
-/// shortest pauses; bursts of reports, then of chats.
+/// Twelve engines that serve long reports, shorter advice, and chats, which
+/// allow the shortest pauses; a burst of reports, then one of chats.
 FleetModel mixedLoad(std::uint64_t Seed) {
   FleetModel Result;
   Result.m_Seed = Seed;
@@ -55,7 +55,7 @@
 
 } // namespace
 
-/// The same seed gives the same play, so that a failure can be looked into.
+/// The same seed gives the same result, so that a failure can be reproduced.
 BOOST_AUTO_TEST_CASE(APlayRepeats) {
   const FleetResult First = play(mixedLoad(3));
   const FleetResult Second = play(mixedLoad(3));
@@ -64,15 +64,15 @@
     BOOST_TEST(Each.m_InTime == Second.m_Classes.at(Name).m_InTime);
 }
 
-/// Bursts of one class after another: the line between the roles moves under
-/// streams that run on. Callers of each class are served in time all the same.
+/// Bursts of one class after another move engines between the roles while
+/// streams run. Callers of each class are still served in time.
 BOOST_AUTO_TEST_CASE(BurstsOfEachClassAreServed) {
   for (std::uint64_t Seed = 1; Seed <= 5; ++Seed)
     checkAim(play(mixedLoad(Seed)));
 }
 
-/// A step and a wave of load: what adapts to them settles, and no class pays
-/// for it. The step doubles the reports for good, the wave swings the chats.
+/// The balancer follows a step and a wave of load without harm to any class.
+/// The step doubles the reports for good, the wave varies the chats.
 BOOST_AUTO_TEST_CASE(AStepAndAWaveAreFollowed) {
   FleetModel Step = mixedLoad(1);
   Step.m_Length = 40s;
@@ -86,9 +86,9 @@
   checkAim(play(Wave));
 }
 
-/// A service with one class only: no engine may stand idle for a class that
-/// never comes. Chats at three quarters of what all engines can serve: with
-/// half of the engines kept for long prompts 0.64 were in time, now 0.999.
+/// With one class only, no engine may be kept for a class without requests.
+/// Chats at three quarters of the capacity of all engines: with half of the
+/// engines kept for long prompts 0.64 were in time, now 0.999.
 BOOST_AUTO_TEST_CASE(OneClassGetsAllEngines) {
   for (const ModelClass &Only : {reports(100, 126), advice(110), chats(170)}) {
     FleetModel One;
@@ -99,10 +99,10 @@
   }
 }
 
-/// Engines of 16 slots, bursts that take most of these. A call whose engine is
-/// full waits in its gateway for a slot there. Sent to any engine with a slot
-/// it is read once more in whole, lasts longer and takes more slots, and the
-/// streams beside it are late.
+/// Engines with 16 slots, and bursts that take most of them. A call whose
+/// preferred engine is full waits in its gateway for a slot there. Sent to any
+/// engine with a free slot, it would need a full prefill, last longer, take
+/// more slots, and delay the streams beside it.
 FleetModel fewSlots(double Burst) {
   FleetModel Result;
   Result.m_Gateways = 18;
@@ -120,35 +120,36 @@
   return Result;
 }
 
-/// One and a half times the reports can be served. Without waiting 0.84 of the
-/// chats were in time, and 5.6 million tokens read again; now 0.99, and 1.4.
+/// A burst of 1.5 times the reports can be served. Without waiting, 0.84 of the
+/// chats were in time, and the prefill of 5.6 million tokens was repeated; now
+/// 0.99, and 1.4 million.
 BOOST_AUTO_TEST_CASE(FewSlotsInABurst) {
   const FleetResult Result = play(fewSlots(1.5));
   checkAim(Result);
   BOOST_TEST(Result.m_ReadAgain < 2800000U);
 }
 
-/// Twice the reports are more than can be served while all beginnings are read
-/// for the first time. What can't be served is refused, and four fifths of each
-/// class are in time. Without waiting these were 0.87 of the advice, 0.61 of
-/// the chats and 0.71 of the reports; with the same weight of what must be read
-/// however scarce slots are, 0.78, 0.99 and 0.79; now 0.995 of
-/// the advice and the chats, and 0.90 of the reports.
+/// A burst of 2.1 times the reports is more than can be served while no prefix
+/// is cached yet. The excess is refused, and 0.8 of each class are in time.
+/// Without waiting, 0.87 of the advice, 0.61 of the chats and 0.71 of the
+/// reports were in time; with a weight of uncached tokens that does not depend
+/// on how scarce slots are, 0.78, 0.99 and 0.79; now 0.995 of the advice and
+/// the chats, and 0.90 of the reports.
 BOOST_AUTO_TEST_CASE(FewSlotsBeyondWhatCanBeServed) {
   constexpr double MostOfThem = 0.8;
   const FleetResult Result = play(fewSlots(2.1));
   for (const auto &[Name, Each] : Result.m_Classes)
     BOOST_TEST(Each.inTime() >= MostOfThem, Name << ": " << Each.inTime());
-  // Urgent calls are not refused while less urgent ones begin. With the same
-  // room for all, reports that wait elsewhere took each slot that came free,
-  // and 94 of 836 calls for advice were refused.
+  // Urgent calls are not refused while less urgent ones are placed. When all
+  // classes had the same limits, reports that waited in other gateways took
+  // each slot that became free, and 94 of 836 calls for advice were refused.
   for (const char *Urgent : {"advice", "chat"})
     BOOST_TEST(Result.m_Classes.at(Urgent).m_Refused <= 8, Urgent);
 }
 
-// Guards against prompts that are read over and over where gateways of several
-// zones learn late of one another's calls, and a fifth of the engines is lost
-// amid a burst with what they keep.
+/// Guards against repeated prefill of the same prompts when gateways of several
+/// zones learn late of one another's calls, and a fifth of the engines is lost
+/// during a burst together with their caches.
 BOOST_AUTO_TEST_CASE(ALossAmidABurstIsServedByManyZones) {
   for (std::uint64_t Seed = 1; Seed <= 3; ++Seed) {
     FleetModel Load = mixedLoad(Seed);
@@ -161,7 +162,7 @@
     Load.m_Classes[0].m_Shared[1].m_Count *= 12;
     Load.m_Crashes = {{5s, 4s, 0.2}};
     for (const auto &[Name, Each] : play(Load).m_Classes) {
-      // What a crash broke off can't be helped by placing.
+      // Placement can't save the calls that a crash ended.
       const double Share =
           static_cast<double>(Each.m_InTime) / (Each.m_Asked - Each.m_Lost);
       BOOST_TEST(Share >= Aim, Name << ": " << Share);
--- a/tests/unit/standin_test.cpp
+++ b/tests/unit/standin_test.cpp
@@ -1,6 +1,6 @@
-/// The stand-ins' own promises, on which the tests of the router rely: tokens
-/// name their prompt, a resumed answer is the same answer, priorities go
-/// first, conditional writes hold, and reports are late.
+/// Tests of the properties of the stand-ins on which the router's tests rely:
+/// tokens depend on their prompt, a resumed stream continues the same answer,
+/// urgent work is admitted first, writes are conditional, reports are late.
 #define BOOST_TEST_MODULE standin
 #include "load/token_text.h"
 #include "standin/engine_batch.h"
@@ -18,10 +18,10 @@
 
 constexpr TimePoint Start{1h};
 
-/// An engine driven by hand.
+/// An engine whose steps the test runs.
 struct Bench {
   EngineSettings m_Settings;            ///< Set before m_Batch is used.
-  std::vector<std::uint64_t> m_Evicted; ///< By the cache.
+  std::vector<std::uint64_t> m_Evicted; ///< Prefixes that the cache evicted.
   EngineBatch m_Batch{m_Settings, [this](std::uint64_t Prefix, bool Added) {
                         if (!Added)
                           m_Evicted.push_back(Prefix);
@@ -98,7 +98,7 @@
   BOOST_TEST(One.size() == 2U);
   BOOST_TEST(Cache.use(One) == 0U);
   BOOST_TEST(Cache.use(One) == 2U);
-  BOOST_TEST(Cache.use(Two) == 0U); // Takes the place of One's second block.
+  BOOST_TEST(Cache.use(Two) == 0U); // Evicts the second block of the first.
   BOOST_TEST(Cache.use(One) == 1U);
 }
 
@@ -109,7 +109,7 @@
   const json Second = Store.write("t", insertOf("k", 0), Start);
   BOOST_TEST(!Second["outcomes"][0]["written"].get<bool>());
   BOOST_TEST(Second["outcomes"][0]["row"] == First["outcomes"][0]["row"]);
-  // A deleted row's version does not come back with the next insert.
+  // A row that is inserted again does not get its old version.
   json Delete = insertOf("k", 1);
   Delete["writes"][0]["value"] = nullptr;
   BOOST_TEST(
