--- a/tests/standin/upstream_server.h
+++ b/tests/standin/upstream_server.h
@@ -19,7 +19,7 @@
   std::string m_Key;    ///< Idempotency-Key, or empty.
   std::string m_Body;   ///< Request body.
   ExchangePtr m_Answer; ///< The open answer.
-  Fault m_Fault;        ///< To be applied by the hook.
+  Fault m_Fault;        ///< The hooks apply DropAnswer, CrashMidStream.
 };
 
 /// Behaviour that depends on the kind of upstream.
--- a/tests/unit/load_play_test.cpp
+++ b/tests/unit/load_play_test.cpp
@@ -100,7 +100,7 @@
 }
 
 /// Engines with 16 slots, and bursts that take most of them. A call whose
-/// preferred engine is full waits in its gateway for a slot there. Sent to any
+/// best engine is full waits in its gateway for a slot there. Sent to any
 /// engine with a free slot, it would need a full prefill, last longer, take
 /// more slots, and delay the streams beside it.
 FleetModel fewSlots(double Burst) {
@@ -140,9 +140,10 @@
   const FleetResult Result = play(fewSlots(2.1));
   for (const auto &[Name, Each] : Result.m_Classes)
     BOOST_TEST(Each.inTime() >= MostOfThem, Name << ": " << Each.inTime());
-  // Urgent calls are not refused while less urgent ones are placed. When all
-  // classes had the same limits, reports that waited in other gateways took
-  // each slot that became free, and 94 of 836 calls for advice were refused.
+  // Urgent calls are not refused while less urgent ones are placed. When calls
+  // of all classes were given the same room, reports that waited in other
+  // gateways took each slot that became free, and 94 of 836 calls for advice
+  // were refused.
   for (const char *Urgent : {"advice", "chat"})
     BOOST_TEST(Result.m_Classes.at(Urgent).m_Refused <= 8, Urgent);
 }
