--- a/tests/standin/completion.cpp
+++ b/tests/standin/completion.cpp
@@ -13,7 +13,7 @@
 
 /// Placeholder for a token's text, by which an event is split into the head
 /// and the tail that all tokens of an answer share.
-constexpr const char *TextMark = "@TEXT@";
+constexpr const char *TextPlaceholder = "@TEXT@";
 
 } // namespace
 
@@ -28,8 +28,9 @@
           {"choices", json::array({std::move(Choice)})}};
 }
 
-Completion Completion::parse(const std::string &Path, const std::string &Text) {
-  const json Body = json::parse(Text);
+Completion Completion::parse(const std::string &Path,
+                             const std::string &BodyText) {
+  const json Body = json::parse(BodyText);
   Completion Result;
   Result.m_Chat = Path == "/v1/chat/completions";
   Result.m_Stream = Body.value("stream", false);
@@ -42,14 +43,16 @@
       (Result.m_Prompt.size() + CharactersPerToken - 1) / CharactersPerToken;
   Result.m_From = Body.value("resume_tokens", std::uint64_t{0});
   Result.m_MaxTokens = Body.value("max_tokens", std::uint64_t{0});
-  const json Choice = Result.m_Chat ? json{{"delta", {{"content", TextMark}}}}
-                                    : json{{"text", TextMark}};
-  json Whole = Result.frame(Choice);
-  Whole["choices"][0]["finish_reason"] = nullptr;
-  const std::string Event = "data: " + Whole.dump() + "\n\n";
-  const std::size_t At = Event.rfind(TextMark);
-  Result.m_Before = Event.substr(0, At);
-  Result.m_After = Event.substr(At + std::string(TextMark).size());
+  const json Choice = Result.m_Chat
+                          ? json{{"delta", {{"content", TextPlaceholder}}}}
+                          : json{{"text", TextPlaceholder}};
+  json Envelope = Result.frame(Choice);
+  Envelope["choices"][0]["finish_reason"] = nullptr;
+  const std::string Event = "data: " + Envelope.dump() + "\n\n";
+  const std::size_t TextStart = Event.rfind(TextPlaceholder);
+  Result.m_Before = Event.substr(0, TextStart);
+  Result.m_After =
+      Event.substr(TextStart + std::string(TextPlaceholder).size());
   return Result;
 }
 
@@ -75,9 +78,9 @@
     Choice["delta"] = json::object();
   else
     Choice["text"] = "";
-  json Whole = frame(std::move(Choice));
-  Whole["usage"] = usage(Tokens);
-  return "data: " + Whole.dump() + "\n\ndata: [DONE]\n\n";
+  json Envelope = frame(std::move(Choice));
+  Envelope["usage"] = usage(Tokens);
+  return "data: " + Envelope.dump() + "\n\ndata: [DONE]\n\n";
 }
 
 std::string Completion::plainBody(const std::string &Text,
@@ -88,9 +91,9 @@
     Choice["message"] = {{"role", "assistant"}, {"content", Text}};
   else
     Choice["text"] = Text;
-  json Whole = frame(std::move(Choice));
-  Whole["usage"] = usage(Tokens);
-  return Whole.dump();
+  json Envelope = frame(std::move(Choice));
+  Envelope["usage"] = usage(Tokens);
+  return Envelope.dump();
 }
 
 } // namespace crowstep::standin
--- a/tests/standin/engine_batch.cpp
+++ b/tests/standin/engine_batch.cpp
@@ -19,9 +19,10 @@
 
 } // namespace
 
-EngineBatch::EngineBatch(const EngineSettings &With,
+EngineBatch::EngineBatch(const EngineSettings &Config,
                          PrefixCache::Listener OnCacheChange)
-    : m_Settings(With), m_Cache(With.m_CacheBlocks, std::move(OnCacheChange)) {}
+    : m_Settings(Config),
+      m_Cache(Config.m_CacheBlocks, std::move(OnCacheChange)) {}
 
 SequenceId EngineBatch::add(Sequence Work) {
   const SequenceId Id(++m_LastId);
@@ -30,10 +31,10 @@
   return Id;
 }
 
-void EngineBatch::remove(SequenceId Gone) {
-  m_Running.erase(Gone);
+void EngineBatch::remove(SequenceId Removed) {
+  m_Running.erase(Removed);
   std::erase_if(m_Waiting,
-                [&](const auto &Item) { return Item.first.second == Gone; });
+                [&](const auto &Item) { return Item.first.second == Removed; });
 }
 
 void EngineBatch::clear() {
@@ -49,9 +50,9 @@
     const std::uint64_t Cached =
         m_Cache.use(Work.m_Prefixes) * PrefixCharacters / CharactersPerToken;
     // A resumed sequence prefills the tokens that the caller has, too.
-    const std::uint64_t Whole = Work.m_PromptTokens + Work.m_Next;
-    const std::uint64_t Fresh = Whole - std::min(Whole, Cached);
-    const double Cost = static_cast<double>(Fresh) * m_Factor;
+    const std::uint64_t Total = Work.m_PromptTokens + Work.m_Next;
+    const std::uint64_t Uncached = Total - std::min(Total, Cached);
+    const double Cost = static_cast<double>(Uncached) * m_Factor;
     Work.m_Decodes = Now + scaled(m_Settings.m_PrefillPerToken, Cost);
     m_Running.emplace(Next.key().second, std::move(Work));
   }
@@ -64,8 +65,8 @@
   if (EarliestDecode > Now) // Prefill only: ends with the first.
     return EarliestDecode;
   const auto Others = static_cast<double>(m_Running.size() - 1);
-  const double Share = 1 + m_Settings.m_BatchPenalty * Others;
-  return Now + scaled(m_Settings.m_TokenTime, Share * m_Factor);
+  const double Scale = 1 + m_Settings.m_BatchPenalty * Others;
+  return Now + scaled(m_Settings.m_TokenTime, Scale * m_Factor);
 }
 
 std::optional<TimePoint> EngineBatch::begin(TimePoint Now) {
@@ -95,23 +96,23 @@
   return Result;
 }
 
-std::uint64_t naturalLength(const EngineSettings &With,
+std::uint64_t naturalLength(const EngineSettings &Config,
                             const std::string &Prompt) {
   static const std::string Mark = "[len=";
-  const std::size_t At = Prompt.find(Mark);
+  const std::size_t MarkStart = Prompt.find(Mark);
   std::uint64_t Length = 0;
-  if (At != std::string::npos) {
-    std::from_chars(Prompt.data() + At + Mark.size(),
+  if (MarkStart != std::string::npos) {
+    std::from_chars(Prompt.data() + MarkStart + Mark.size(),
                     Prompt.data() + Prompt.size(), Length);
     return std::max<std::uint64_t>(Length, 1);
   }
   // Seeded by the prompt alone: every engine gives the same answer, so that a
   // stream can be resumed on another engine.
   std::mt19937_64 Random(XXH3_64bits(Prompt.data(), Prompt.size()));
-  std::lognormal_distribution<double> Draw(std::log(With.m_MedianTokens),
-                                           With.m_Sigma);
+  std::lognormal_distribution<double> Draw(std::log(Config.m_MedianTokens),
+                                           Config.m_Sigma);
   Length = static_cast<std::uint64_t>(Draw(Random));
-  return std::clamp(Length, With.m_MinTokens, With.m_MaxTokens);
+  return std::clamp(Length, Config.m_MinTokens, Config.m_MaxTokens);
 }
 
 } // namespace crowstep::standin
--- a/tests/standin/engine_batch.h
+++ b/tests/standin/engine_batch.h
@@ -35,10 +35,11 @@
 /// Runs sequences in steps; a step makes one token for each that decodes.
 class EngineBatch {
 public:
-  EngineBatch(const EngineSettings &With, PrefixCache::Listener OnCacheChange);
+  EngineBatch(const EngineSettings &Config,
+              PrefixCache::Listener OnCacheChange);
 
   SequenceId add(Sequence Work);
-  void remove(SequenceId Gone);
+  void remove(SequenceId Removed);
   void clear();
 
   /// Multiplies the time of steps and prefills by \p Factor from the next step
@@ -74,7 +75,7 @@
 /// Returns the length in tokens of a prompt's answer without a limit by the
 /// caller: N if the prompt contains `[len=N]`, otherwise drawn from the
 /// settings' distribution with the prompt's hash as seed.
-std::uint64_t naturalLength(const EngineSettings &With,
+std::uint64_t naturalLength(const EngineSettings &Config,
                             const std::string &Prompt);
 
 } // namespace crowstep::standin
--- a/tests/standin/engine_server.cpp
+++ b/tests/standin/engine_server.cpp
@@ -10,19 +10,19 @@
 namespace {
 
 /// Lets the tokens so far leave the process before a connection is closed.
-constexpr Duration FlushTime = std::chrono::milliseconds(5);
+constexpr Duration FlushDelay = std::chrono::milliseconds(5);
 
 /// Lateness of steps that a busy process may catch up on.
-constexpr Duration LargestLateness = std::chrono::milliseconds(20);
+constexpr Duration MaxLateness = std::chrono::milliseconds(20);
 
 } // namespace
 
-EngineServer::EngineServer(EngineSettings With)
-    : m_Settings(std::move(With)),
+EngineServer::EngineServer(EngineSettings Config)
+    : m_Settings(std::move(Config)),
       m_Server(m_Settings,
                {[this](const UpstreamCall &Call) { work(Call); },
                 [this](const UpstreamCall &Call) { return other(Call); },
-                [this](const Fault &Set) { faultSet(Set); },
+                [this](const Fault &NewFault) { faultSet(NewFault); },
                 [this] { return m_Batch.waiting(); }}),
       m_Batch(m_Settings,
               [this](std::uint64_t Prefix, bool Added) {
@@ -32,41 +32,42 @@
       m_Timer([this] { stepDone(); }) {}
 
 void EngineServer::work(const UpstreamCall &Call) {
-  Live Opened{Completion::parse(Call.m_Path, Call.m_Body), Call.m_Answer,
-              Call.m_Fault};
-  const Completion &Asked = Opened.m_Call;
-  if (!m_Settings.m_Models.empty() && !Asked.m_Model.empty() &&
-      !m_Settings.m_Models.contains(Asked.m_Model)) {
+  Live NewCall{Completion::parse(Call.m_Path, Call.m_Body), Call.m_Answer,
+               Call.m_Fault};
+  const Completion &Request = NewCall.m_Call;
+  if (!m_Settings.m_Models.empty() && !Request.m_Model.empty() &&
+      !m_Settings.m_Models.contains(Request.m_Model)) {
     Call.m_Answer->answer(
         503, R"({"error":{"type":"not_run","code":"model_not_loaded"}})");
     return;
   }
-  if (Asked.m_From > 0 && !m_Settings.m_Resumes) {
+  if (Request.m_From > 0 && !m_Settings.m_Resumes) {
     Call.m_Answer->answer(
         503, R"({"error":{"type":"not_run","code":"cannot_resume"}})");
     return;
   }
   Sequence Work;
-  Work.m_Priority = Asked.m_Priority;
-  Work.m_PromptTokens = Asked.m_PromptTokens;
-  Work.m_Prefixes = prefixHashes(Asked.m_Prompt);
-  Work.m_Next = Asked.m_From;
-  Work.m_Length = naturalLength(m_Settings, Asked.m_Prompt);
-  if (Asked.m_MaxTokens > 0 && Asked.m_MaxTokens < Work.m_Length) {
-    Work.m_Length = Asked.m_MaxTokens;
-    Opened.m_Capped = true;
+  Work.m_Priority = Request.m_Priority;
+  Work.m_PromptTokens = Request.m_PromptTokens;
+  Work.m_Prefixes = prefixHashes(Request.m_Prompt);
+  Work.m_Next = Request.m_From;
+  Work.m_Length = naturalLength(m_Settings, Request.m_Prompt);
+  if (Request.m_MaxTokens > 0 && Request.m_MaxTokens < Work.m_Length) {
+    Work.m_Length = Request.m_MaxTokens;
+    NewCall.m_Capped = true;
   }
-  Opened.m_Total = Work.m_Length;
+  NewCall.m_Total = Work.m_Length;
   CallRecord Record;
-  Record.m_RequestId = Asked.m_RequestId;
+  Record.m_RequestId = Request.m_RequestId;
   Record.m_Key = Call.m_Key;
-  Record.m_Priority = Asked.m_Priority;
-  Record.m_From = Asked.m_From;
-  Opened.m_Record = m_Server.records().add(std::move(Record));
+  Record.m_Priority = Request.m_Priority;
+  Record.m_From = Request.m_From;
+  NewCall.m_Record = m_Server.records().add(std::move(Record));
   const SequenceId Id = m_Batch.add(std::move(Work));
-  if (Opened.m_Call.m_Stream && Opened.m_Fault.m_Mode != FaultMode::DropAnswer)
-    Opened.m_Answer->beginStream();
-  m_Live.emplace(Id, std::move(Opened));
+  if (NewCall.m_Call.m_Stream &&
+      NewCall.m_Fault.m_Mode != FaultMode::DropAnswer)
+    NewCall.m_Answer->beginStream();
+  m_Live.emplace(Id, std::move(NewCall));
   Call.m_Answer->onClosed([this, Id] { cancelled(Id); });
   proceed();
 }
@@ -90,8 +91,8 @@
   const auto Fencing = Body.at("fencing").get<std::uint64_t>();
   const auto Order = Body.at("order").get<std::string>();
   const auto Name = Body.value("name", std::string());
-  const bool Old = Fencing < m_HighestFencing;
-  const bool Accepted = !Old || !m_Settings.m_ChecksFencing;
+  const bool Outdated = Fencing < m_HighestFencing;
+  const bool Accepted = !Outdated || !m_Settings.m_ChecksFencing;
   m_HighestFencing = std::max(m_HighestFencing, Fencing);
   m_Orders.push_back({{"fencing", Fencing},
                       {"order", Order},
@@ -109,11 +110,11 @@
 }
 
 void EngineServer::cancelByName(const std::string &RequestId) {
-  std::vector<SequenceId> Named;
+  std::vector<SequenceId> Matching;
   for (const auto &[Id, Call] : m_Live)
     if (Call.m_Call.m_RequestId == RequestId)
-      Named.push_back(Id);
-  for (const SequenceId Id : Named) {
+      Matching.push_back(Id);
+  for (const SequenceId Id : Matching) {
     Live &Call = m_Live.at(Id);
     m_Batch.remove(Id);
     m_Server.records().at(Call.m_Record).m_Cancelled = true;
@@ -122,13 +123,13 @@
   noteLoad();
 }
 
-void EngineServer::faultSet(const Fault &Set) {
-  m_Batch.setFactor(Set.m_Mode == FaultMode::Slow ? Set.m_Factor : 1);
-  if (Set.m_Mode == FaultMode::Freeze) {
+void EngineServer::faultSet(const Fault &NewFault) {
+  m_Batch.setFactor(NewFault.m_Mode == FaultMode::Slow ? NewFault.m_Factor : 1);
+  if (NewFault.m_Mode == FaultMode::Freeze) {
     m_Timer.stop();
     return;
   }
-  if (Set.m_Mode == FaultMode::Crash) {
+  if (NewFault.m_Mode == FaultMode::Crash) {
     m_Timer.stop();
     m_Batch.clear();
     m_Live.clear(); // Closes the connections of open answers.
@@ -157,7 +158,7 @@
   // The next step begins where the last one ended, so that a late timer does
   // not slow the engine down.
   const TimePoint Now = m_Server.clock().now();
-  const TimePoint Start = std::max(m_StepEnd, Now - LargestLateness);
+  const TimePoint Start = std::max(m_StepEnd, Now - MaxLateness);
   if (const std::optional<TimePoint> End = m_Batch.begin(Start)) {
     m_StepEnd = *End;
     m_Timer.wakeAt(*End);
@@ -179,7 +180,7 @@
     Call.m_Text += Text;
   if (Call.m_Fault.m_Mode == FaultMode::CrashMidStream &&
       Record.m_Generated >= Call.m_Fault.m_AfterTokens) {
-    m_Server.scheduler().after(FlushTime,
+    m_Server.scheduler().after(FlushDelay,
                                [Answer = Call.m_Answer] { Answer->cut(); });
     m_Batch.remove(Token.m_Sequence);
     m_Live.erase(Found);
@@ -218,12 +219,12 @@
 }
 
 void EngineServer::noteLoad() {
-  LoadSnapshot Present;
-  Present.m_When = m_Server.clock().now();
-  Present.m_Running = m_Batch.running();
-  Present.m_Waiting = m_Batch.waiting();
-  Present.m_FreeBlocks = m_Batch.freeBlocks();
-  m_Server.reports().note(Present);
+  LoadSnapshot Current;
+  Current.m_When = m_Server.clock().now();
+  Current.m_Running = m_Batch.running();
+  Current.m_Waiting = m_Batch.waiting();
+  Current.m_FreeBlocks = m_Batch.freeBlocks();
+  m_Server.reports().note(Current);
 }
 
 } // namespace crowstep::standin
--- a/tests/standin/engine_server.h
+++ b/tests/standin/engine_server.h
@@ -12,7 +12,7 @@
 /// One engine; one timer drives the steps of all its sequences.
 class EngineServer {
 public:
-  explicit EngineServer(EngineSettings With);
+  explicit EngineServer(EngineSettings Config);
   void start() { m_Server.start(); }
 
 private:
@@ -30,7 +30,7 @@
   bool other(const UpstreamCall &Call);
   void cancelByName(const std::string &RequestId);
   void order(const UpstreamCall &Call);
-  void faultSet(const Fault &Set);
+  void faultSet(const Fault &NewFault);
   void proceed();
   void stepDone();
   void deliver(const Generated &Token);
--- a/tests/standin/exchange.cpp
+++ b/tests/standin/exchange.cpp
@@ -9,11 +9,11 @@
 
 } // namespace
 
-void Exchange::onClosed(std::function<void()> Gone) {
+void Exchange::onClosed(std::function<void()> Job) {
   if (m_Held.open())
-    m_Held.onGone(std::move(Gone));
+    m_Held.onGone(std::move(Job));
   else
-    Gone();
+    Job();
 }
 
 void Exchange::answer(unsigned Status, const std::string &Body,
--- a/tests/standin/exchange.h
+++ b/tests/standin/exchange.h
@@ -19,7 +19,7 @@
 
   /// Runs \p Job once when the caller closes before the answer is complete, or
   /// at once if the answer is not open any more.
-  void onClosed(std::function<void()> Gone);
+  void onClosed(std::function<void()> Job);
 
   /// Answers with JSON, and with Retry-After if \p RetryAfter is not 0.
   void answer(unsigned Status, const std::string &Body,
--- a/tests/standin/fault.cpp
+++ b/tests/standin/fault.cpp
@@ -39,10 +39,10 @@
 }
 
 Fault Fault::take() {
-  const Fault Present = *this;
+  const Fault Current = *this;
   if (m_Left > 0 && --m_Left == 0)
     *this = Fault();
-  return Present;
+  return Current;
 }
 
 } // namespace crowstep::standin
--- a/tests/standin/fleet_model.cpp
+++ b/tests/standin/fleet_model.cpp
@@ -18,7 +18,7 @@
 using namespace balance;
 
 constexpr const char *ServiceName = "model";
-constexpr Duration AskAgain = std::chrono::milliseconds(20);
+constexpr Duration WaitPollInterval = std::chrono::milliseconds(20);
 
 Duration microseconds(double Count) {
   return Duration(static_cast<Duration::rep>(Count));
@@ -26,32 +26,32 @@
 
 /// A placed call.
 struct Call {
-  const ModelClass *m_Class;  ///< Not null.
-  std::size_t m_Gateway;      ///< Index of the gateway that placed it.
-  TicketId m_Ticket;          ///< Of that gateway's balancer.
-  PromptSize m_Prompt;        ///< As in the placement query.
-  TimePoint m_Begin;          ///< Arrival of the request.
-  TimePoint m_LastEvent{};    ///< Time of the newest event.
-  std::uint32_t m_Unread = 0; ///< Prompt tokens left to prefill.
-  std::uint32_t m_Made = 0;   ///< Output tokens so far.
-  bool m_Running = false;     ///< Placed and not ended.
-  bool m_InTime = true;       ///< No event was late so far.
+  const ModelClass *m_Class;           ///< Not null.
+  std::size_t m_Gateway;               ///< Index of the gateway that placed it.
+  TicketId m_Ticket;                   ///< Of that gateway's balancer.
+  PromptSize m_Prompt;                 ///< As in the placement query.
+  TimePoint m_ArrivedAt;               ///< Arrival of the request.
+  TimePoint m_LastEventAt{};           ///< Time of the newest event.
+  std::uint32_t m_PrefillTokens = 0;   ///< Prompt tokens left to prefill.
+  std::uint32_t m_GeneratedTokens = 0; ///< Output tokens so far.
+  bool m_Running = false;              ///< Placed and not ended.
+  bool m_InTime = true;                ///< No event was late so far.
 };
 
 using CallPtr = std::shared_ptr<Call>;
 
 /// One engine: a batch that runs in steps, and the calls that wait for a slot.
-class ModelEngine {
+class SimulatedEngine {
 public:
-  ModelEngine(const FleetModel &With, UpstreamId Id)
-      : m_Model(With), m_Id(Id) {}
+  SimulatedEngine(const FleetModel &Load, UpstreamId Id)
+      : m_Model(Load), m_Id(Id) {}
 
-  void add(const CallPtr &Fresh) { m_Waiting.push_back(Fresh); }
-  void remove(const CallPtr &Gone) {
-    std::erase(m_Waiting, Gone);
-    std::erase(m_Running, Gone);
+  void add(const CallPtr &NewCall) { m_Waiting.push_back(NewCall); }
+  void remove(const CallPtr &Ended) {
+    std::erase(m_Waiting, Ended);
+    std::erase(m_Running, Ended);
   }
-  [[nodiscard]] bool idle() const { return !m_Stepping; }
+  [[nodiscard]] bool isIdle() const { return !m_Stepping; }
 
   /// Removes all calls and returns them.
   std::vector<CallPtr> crash() {
@@ -64,23 +64,23 @@
   }
 
   /// Begins a step; returns its duration, or nothing if there is no work.
-  std::optional<Duration> begin() {
+  std::optional<Duration> beginStep() {
     admit();
     if (m_Running.empty())
       return std::nullopt;
     m_Stepping = true;
     std::uint32_t Left = m_Model.m_Chunk;
     m_Decoding.clear();
-    for (const CallPtr &Each : m_Running) {
-      if (Each->m_Unread == 0) {
-        m_Decoding.push_back(Each);
+    for (const CallPtr &Active : m_Running) {
+      if (Active->m_PrefillTokens == 0) {
+        m_Decoding.push_back(Active);
         continue;
       }
-      const std::uint32_t Now = std::min(Left, Each->m_Unread);
-      Each->m_Unread -= Now;
-      Left -= Now;
-      if (Now > 0 && Each->m_Unread == 0)
-        m_Decoding.push_back(Each);
+      const std::uint32_t Prefilled = std::min(Left, Active->m_PrefillTokens);
+      Active->m_PrefillTokens -= Prefilled;
+      Left -= Prefilled;
+      if (Prefilled > 0 && Active->m_PrefillTokens == 0)
+        m_Decoding.push_back(Active);
     }
     return microseconds(m_Model.m_StepUs +
                         m_Model.m_SlotUs *
@@ -89,23 +89,25 @@
   }
 
   /// Ends the step; returns the calls that generated a token in it.
-  std::vector<CallPtr> finish() {
+  std::vector<CallPtr> endStep() {
     m_Stepping = false;
     return std::move(m_Decoding);
   }
 
   /// Returns how many prefill tokens here were of segments that some engine had
   /// computed before.
-  [[nodiscard]] std::uint64_t readAgain() const { return m_ReadAgain; }
-  [[nodiscard]] bool used() const { return m_Used; }
+  [[nodiscard]] std::uint64_t repeatedPrefillTokens() const {
+    return m_RepeatedPrefillTokens;
+  }
+  [[nodiscard]] bool hasServed() const { return m_Used; }
 
   /// Clears the record of segments that any engine has computed.
-  static void forgetParts() { everRead().clear(); }
+  static void clearComputedSegments() { computedSegments().clear(); }
 
 private:
-  static std::set<std::uint64_t> &everRead() {
-    static std::set<std::uint64_t> Parts;
-    return Parts;
+  static std::set<std::uint64_t> &computedSegments() {
+    static std::set<std::uint64_t> Segments;
+    return Segments;
   }
 
   static void sortByUrgency(std::vector<CallPtr> &Calls) {
@@ -122,14 +124,15 @@
     while (!m_Waiting.empty() && m_Running.size() < m_Model.m_Slots) {
       const CallPtr Next = m_Waiting.front();
       m_Waiting.erase(m_Waiting.begin());
-      const std::vector<PromptPart> &Parts = Next->m_Prompt.m_Parts;
-      const std::uint32_t Kept = m_Cache.kept(m_Id, Parts);
-      Next->m_Unread = std::max(1U, Next->m_Prompt.m_PromptTokens - Kept);
-      for (const PromptPart &Each : Parts) {
-        if (m_Cache.kept(m_Id, {Each}) == 0 &&
-            !everRead().insert(Each.m_Id).second)
-          m_ReadAgain += Each.m_Tokens;
-        m_Cache.placed(m_Id, Each, m_Model.m_CacheTokens);
+      const std::vector<PromptPart> &Segments = Next->m_Prompt.m_Parts;
+      const std::uint32_t Cached = m_Cache.kept(m_Id, Segments);
+      Next->m_PrefillTokens =
+          std::max(1U, Next->m_Prompt.m_PromptTokens - Cached);
+      for (const PromptPart &Segment : Segments) {
+        if (m_Cache.kept(m_Id, {Segment}) == 0 &&
+            !computedSegments().insert(Segment.m_Id).second)
+          m_RepeatedPrefillTokens += Segment.m_Tokens;
+        m_Cache.placed(m_Id, Segment, m_Model.m_CacheTokens);
       }
       m_Running.push_back(Next);
       m_Used = true;
@@ -137,269 +140,273 @@
     sortByUrgency(m_Running);
   }
 
-  const FleetModel &m_Model;       ///< Outlives the engine.
-  UpstreamId m_Id;                 ///< Of this engine.
-  CacheModel m_Cache;              ///< Its prefix cache.
-  std::vector<CallPtr> m_Waiting;  ///< Calls that wait for a slot.
-  std::vector<CallPtr> m_Running;  ///< Calls in the batch.
-  std::vector<CallPtr> m_Decoding; ///< Generate a token in this step.
-  std::uint64_t m_ReadAgain = 0;   ///< See repeatedPrefillTokens().
-  bool m_Stepping = false;         ///< A step is running.
-  bool m_Used = false;             ///< Has run at least one call.
+  const FleetModel &m_Model;                 ///< Outlives the engine.
+  UpstreamId m_Id;                           ///< Of this engine.
+  CacheModel m_Cache;                        ///< Its prefix cache.
+  std::vector<CallPtr> m_Waiting;            ///< Calls that wait for a slot.
+  std::vector<CallPtr> m_Running;            ///< Calls in the batch.
+  std::vector<CallPtr> m_Decoding;           ///< Generate a token in this step.
+  std::uint64_t m_RepeatedPrefillTokens = 0; ///< See repeatedPrefillTokens().
+  bool m_Stepping = false;                   ///< A step is running.
+  bool m_Used = false;                       ///< Has run at least one call.
 };
 
 /// Event loop in virtual time.
-class Play {
+class FleetSimulation {
 public:
-  explicit Play(const FleetModel &What) : m_Model(What), m_Random(What.m_Seed) {
-    ModelEngine::forgetParts();
-    for (std::size_t I = 0; I < What.m_Engines; ++I)
+  explicit FleetSimulation(const FleetModel &Load)
+      : m_Model(Load), m_Random(Load.m_Seed) {
+    SimulatedEngine::clearComputedSegments();
+    for (std::size_t I = 0; I < Load.m_Engines; ++I)
       addEngine("engine-" + std::to_string(I));
-    Duration Tightest{};
-    for (const ModelClass &Each : What.m_Classes)
-      if (Each.m_LongestPause > Duration::zero() &&
-          (Tightest == Duration::zero() || Each.m_LongestPause < Tightest))
-        Tightest = Each.m_LongestPause;
-    for (std::size_t I = 0; I < What.m_Gateways; ++I) {
-      m_Gateways.emplace_back(AvailabilityZone{"a"}, What.m_Seed * 1000 + I);
-      m_Gateways.back().setUpstreams(m_List);
-      m_Gateways.back().setCacheTokens(ServiceName, What.m_CacheTokens);
-      m_Gateways.back().setTightestPauses({{ServiceName, Tightest}});
+    Duration MinPause{};
+    for (const ModelClass &Class : Load.m_Classes)
+      if (Class.m_LongestPause > Duration::zero() &&
+          (MinPause == Duration::zero() || Class.m_LongestPause < MinPause))
+        MinPause = Class.m_LongestPause;
+    for (std::size_t I = 0; I < Load.m_Gateways; ++I) {
+      m_Gateways.emplace_back(AvailabilityZone{"a"}, Load.m_Seed * 1000 + I);
+      m_Gateways.back().setUpstreams(m_Listed);
+      m_Gateways.back().setCacheTokens(ServiceName, Load.m_CacheTokens);
+      m_Gateways.back().setTightestPauses({{ServiceName, MinPause}});
     }
   }
 
   FleetResult run() {
     for (std::size_t I = 0; I < m_Model.m_Classes.size(); ++I)
       planArrival(I);
-    at(m_Model.m_DigestInterval, [this] { digests(); });
-    for (const ModelCrash &Each : m_Model.m_Crashes)
-      at(Each.m_At, [this, &Each] { crash(Each); });
+    schedule(m_Model.m_DigestInterval, [this] { sendDigests(); });
+    for (const ModelCrash &Loss : m_Model.m_Crashes)
+      schedule(Loss.m_At, [this, &Loss] { crashEngines(Loss); });
     while (!m_Events.empty()) {
       const Event Next = m_Events.top();
       m_Events.pop();
-      m_Now = Next.m_When;
-      Next.m_What();
+      m_Now = Next.m_DueAt;
+      Next.m_Job();
     }
-    for (const auto &[Id, Each] : m_Engines) {
-      m_Result.m_ReadAgain += Each.readAgain();
-      m_Result.m_EnginesUsed += Each.used() ? 1 : 0;
+    for (const auto &[Id, Simulated] : m_Engines) {
+      m_Result.m_ReadAgain += Simulated.repeatedPrefillTokens();
+      m_Result.m_EnginesUsed += Simulated.hasServed() ? 1 : 0;
     }
     return std::move(m_Result);
   }
 
 private:
   struct Event {
-    TimePoint m_When;
+    TimePoint m_DueAt;
     std::uint64_t m_Order;
-    std::function<void()> m_What;
+    std::function<void()> m_Job;
     bool operator<(const Event &Other) const {
-      return std::pair(m_When, m_Order) >
-             std::pair(Other.m_When, Other.m_Order);
+      return std::pair(m_DueAt, m_Order) >
+             std::pair(Other.m_DueAt, Other.m_Order);
     }
   };
 
-  void at(Duration In, std::function<void()> What) {
-    m_Events.push({m_Now + In, ++m_Order, std::move(What)});
+  void schedule(Duration Delay, std::function<void()> Job) {
+    m_Events.push({m_Now + Delay, ++m_Order, std::move(Job)});
   }
 
-  [[nodiscard]] bool over() const { return m_Now - Start > m_Model.m_Length; }
+  [[nodiscard]] bool isOver() const { return m_Now - Start > m_Model.m_Length; }
 
   double rateOf(std::size_t Class) const {
     double Result = m_Model.m_Classes[Class].m_PerSecond;
-    for (const ModelBurst &Each : m_Model.m_Bursts)
-      if (Each.m_Class == Class && m_Now - Start >= Each.m_From &&
-          m_Now - Start < Each.m_To)
-        Result *= Each.m_Factor;
+    for (const ModelBurst &Burst : m_Model.m_Bursts)
+      if (Burst.m_Class == Class && m_Now - Start >= Burst.m_From &&
+          m_Now - Start < Burst.m_To)
+        Result *= Burst.m_Factor;
     return Result;
   }
 
   void addEngine(const std::string &Name) {
-    m_List.push_back({upstreamIdOf(Name),
-                      Name,
-                      ServiceName,
-                      Address{},
-                      {"a"},
-                      Engine{m_Model.m_Slots, {}, true, true},
-                      false});
-    m_Engines.emplace(m_List.back().m_Id,
-                      ModelEngine(m_Model, m_List.back().m_Id));
+    m_Listed.push_back({upstreamIdOf(Name),
+                        Name,
+                        ServiceName,
+                        Address{},
+                        {"a"},
+                        Engine{m_Model.m_Slots, {}, true, true},
+                        false});
+    m_Engines.emplace(m_Listed.back().m_Id,
+                      SimulatedEngine(m_Model, m_Listed.back().m_Id));
   }
 
-  void tellGateways() {
-    for (Balancer &Each : m_Gateways)
-      Each.setUpstreams(m_List);
+  void updateGateways() {
+    for (Balancer &Gateway : m_Gateways)
+      Gateway.setUpstreams(m_Listed);
   }
 
-  void crash(const ModelCrash &Which) {
+  void crashEngines(const ModelCrash &Loss) {
     const auto Count = static_cast<std::size_t>(
-        Which.m_Share * static_cast<double>(m_List.size()));
-    std::shuffle(m_List.begin(), m_List.end(), m_Random);
+        Loss.m_Share * static_cast<double>(m_Listed.size()));
+    std::shuffle(m_Listed.begin(), m_Listed.end(), m_Random);
     for (std::size_t I = 0; I < Count; ++I) {
-      for (const CallPtr &Each : m_Engines.at(m_List.back().m_Id).crash()) {
-        ++m_Result.m_Classes[Each->m_Class->m_Name].m_Lost;
-        end(Each, CallOutcome::Failed);
+      for (const CallPtr &Affected :
+           m_Engines.at(m_Listed.back().m_Id).crash()) {
+        ++m_Result.m_Classes[Affected->m_Class->m_Name].m_Lost;
+        endCall(Affected, CallOutcome::Failed);
       }
-      m_List.pop_back();
+      m_Listed.pop_back();
     }
-    tellGateways();
-    at(Which.m_For, [this, Count] {
+    updateGateways();
+    schedule(Loss.m_For, [this, Count] {
       for (std::size_t I = 0; I < Count; ++I)
         addEngine("later-" + std::to_string(m_Engines.size()));
-      tellGateways();
+      updateGateways();
     });
   }
 
   void planArrival(std::size_t Class) {
     constexpr double UsPerSecond = 1e6;
     std::exponential_distribution<double> Gap(rateOf(Class));
-    at(microseconds(Gap(m_Random) * UsPerSecond), [this, Class] {
-      if (over())
+    schedule(microseconds(Gap(m_Random) * UsPerSecond), [this, Class] {
+      if (isOver())
         return;
-      arrive(m_Model.m_Classes[Class]);
+      startRequest(m_Model.m_Classes[Class]);
       planArrival(Class);
     });
   }
 
-  PromptSize promptFor(const ModelClass &Which) {
-    const auto Name = std::hash<std::string>()(Which.m_Name);
+  PromptSize promptFor(const ModelClass &Class) {
+    const auto Name = std::hash<std::string>()(Class.m_Name);
     PromptSize Result;
     std::uint64_t Depth = 0;
-    for (const ModelPart &Each : Which.m_Shared)
+    for (const ModelPart &Shared : Class.m_Shared)
       Result.m_Parts.push_back(
-          {Name + (++Depth << 32U) + m_Random() % Each.m_Count, Each.m_Tokens});
+          {Name + (++Depth << 32U) + m_Random() % Shared.m_Count,
+           Shared.m_Tokens});
     // From 0.5 to 1.5 times the mean.
-    const auto Own = static_cast<std::uint32_t>(
-        Which.m_OwnTokens / 2 + m_Random() % (Which.m_OwnTokens + 1));
-    Result.m_Parts.push_back({++m_LastOwn, Own});
-    for (const PromptPart &Each : Result.m_Parts)
-      Result.m_PromptTokens += Each.m_Tokens;
-    Result.m_MaxOutput = Which.m_Output;
-    Result.m_ExpectedOutput = Which.m_Output;
+    const auto UniqueTokens = static_cast<std::uint32_t>(
+        Class.m_OwnTokens / 2 + m_Random() % (Class.m_OwnTokens + 1));
+    Result.m_Parts.push_back({++m_LastUniqueSegment, UniqueTokens});
+    for (const PromptPart &Segment : Result.m_Parts)
+      Result.m_PromptTokens += Segment.m_Tokens;
+    Result.m_MaxOutput = Class.m_Output;
+    Result.m_ExpectedOutput = Class.m_Output;
     return Result;
   }
 
-  void arrive(const ModelClass &Which) {
-    ++m_Result.m_Classes[Which.m_Name].m_Asked;
+  void startRequest(const ModelClass &Class) {
+    ++m_Result.m_Classes[Class.m_Name].m_Asked;
     PlacementQuery Query;
     Query.m_Service = ServiceName;
-    Query.m_Urgency = Which.m_Urgency;
-    Query.m_Target = Which.m_Target;
-    Query.m_LongestPause = Which.m_LongestPause;
-    Query.m_Prompt = promptFor(Which);
+    Query.m_Urgency = Class.m_Urgency;
+    Query.m_Target = Class.m_Target;
+    Query.m_LongestPause = Class.m_LongestPause;
+    Query.m_Prompt = promptFor(Class);
     Query.m_MayWait = m_Model.m_WaitShare > 0;
-    ask(Which, Query, m_Random() % m_Gateways.size(), m_Now);
+    place(Class, Query, m_Random() % m_Gateways.size(), m_Now);
   }
 
-  void ask(const ModelClass &Which, const PlacementQuery &Query,
-           std::size_t Gateway, TimePoint Begin) {
+  void place(const ModelClass &Class, const PlacementQuery &Query,
+             std::size_t Gateway, TimePoint ArrivedAt) {
     const PlacementResult Answer = m_Gateways[Gateway].place(Query, m_Now);
-    const bool Patient =
-        m_Now - Begin <
+    const bool KeepsWaiting =
+        m_Now - ArrivedAt <
         microseconds(m_Model.m_WaitShare *
-                     static_cast<double>(Which.m_Target.count()));
-    if (std::holds_alternative<MustWait>(Answer) && Patient) {
-      at(AskAgain, [this, &Which, Query, Gateway, Begin] {
-        ask(Which, Query, Gateway, Begin);
+                     static_cast<double>(Class.m_Target.count()));
+    if (std::holds_alternative<MustWait>(Answer) && KeepsWaiting) {
+      schedule(WaitPollInterval, [this, &Class, Query, Gateway, ArrivedAt] {
+        place(Class, Query, Gateway, ArrivedAt);
       });
       return;
     }
     if (std::holds_alternative<MustWait>(Answer)) {
-      PlacementQuery Last = Query;
-      Last.m_MayWait = false;
-      Last.m_WaitedInVain = true;
-      ask(Which, Last, Gateway, Begin);
+      PlacementQuery Final = Query;
+      Final.m_MayWait = false;
+      Final.m_WaitedInVain = true;
+      place(Class, Final, Gateway, ArrivedAt);
       return;
     }
-    const auto *Where = std::get_if<Placed>(&Answer);
-    if (Where == nullptr) {
-      ++m_Result.m_Classes[Which.m_Name].m_Refused;
+    const auto *Placement = std::get_if<Placed>(&Answer);
+    if (Placement == nullptr) {
+      ++m_Result.m_Classes[Class.m_Name].m_Refused;
       return;
     }
-    auto Fresh = std::make_shared<Call>();
-    Fresh->m_Class = &Which;
-    Fresh->m_Gateway = Gateway;
-    Fresh->m_Ticket = Where->m_Ticket;
-    Fresh->m_Prompt = Query.m_Prompt;
-    Fresh->m_Begin = Begin;
-    Fresh->m_Running = true;
-    const UpstreamId Engine = Where->m_Upstream;
-    m_Engines.at(Engine).add(Fresh);
-    step(Engine);
-    at(Which.m_Deadline - (m_Now - Begin),
-       [this, Fresh, Engine] { deadline(Fresh, Engine); });
+    auto NewCall = std::make_shared<Call>();
+    NewCall->m_Class = &Class;
+    NewCall->m_Gateway = Gateway;
+    NewCall->m_Ticket = Placement->m_Ticket;
+    NewCall->m_Prompt = Query.m_Prompt;
+    NewCall->m_ArrivedAt = ArrivedAt;
+    NewCall->m_Running = true;
+    const UpstreamId Engine = Placement->m_Upstream;
+    m_Engines.at(Engine).add(NewCall);
+    startStep(Engine);
+    schedule(Class.m_Deadline - (m_Now - ArrivedAt),
+             [this, NewCall, Engine] { handleDeadline(NewCall, Engine); });
   }
 
-  void deadline(const CallPtr &Which, UpstreamId Engine) {
-    if (!Which->m_Running)
+  void handleDeadline(const CallPtr &Target, UpstreamId Engine) {
+    if (!Target->m_Running)
       return;
-    ++m_Result.m_Classes[Which->m_Class->m_Name].m_Unfinished;
-    m_Engines.at(Engine).remove(Which);
-    end(Which, CallOutcome::Dropped);
+    ++m_Result.m_Classes[Target->m_Class->m_Name].m_Unfinished;
+    m_Engines.at(Engine).remove(Target);
+    endCall(Target, CallOutcome::Dropped);
   }
 
-  void end(const CallPtr &Which, CallOutcome How) {
-    Which->m_Running = false;
-    m_Gateways[Which->m_Gateway].ended(Which->m_Ticket, How, m_Now);
+  void endCall(const CallPtr &Target, CallOutcome Outcome) {
+    Target->m_Running = false;
+    m_Gateways[Target->m_Gateway].ended(Target->m_Ticket, Outcome, m_Now);
   }
 
-  void step(UpstreamId Engine) {
-    ModelEngine &Which = m_Engines.at(Engine);
-    if (!Which.idle())
+  void startStep(UpstreamId Engine) {
+    SimulatedEngine &Target = m_Engines.at(Engine);
+    if (!Target.isIdle())
       return;
-    if (const auto Length = Which.begin())
-      at(*Length, [this, Engine] { stepped(Engine); });
+    if (const auto Length = Target.beginStep())
+      schedule(*Length, [this, Engine] { finishStep(Engine); });
   }
 
-  void stepped(UpstreamId Engine) {
-    for (const CallPtr &Each : m_Engines.at(Engine).finish())
-      if (Each->m_Running)
-        token(Each, Engine);
-    step(Engine);
+  void finishStep(UpstreamId Engine) {
+    for (const CallPtr &Affected : m_Engines.at(Engine).endStep())
+      if (Affected->m_Running)
+        addToken(Affected, Engine);
+    startStep(Engine);
   }
 
-  void token(const CallPtr &Which, UpstreamId Engine) {
-    const ModelClass &Class = *Which->m_Class;
-    ++Which->m_Made;
-    const bool Last = Which->m_Made >= Class.m_Output;
-    if (Which->m_Made % m_Model.m_Stride != 1 % m_Model.m_Stride && !Last)
+  void addToken(const CallPtr &Target, UpstreamId Engine) {
+    const ModelClass &Class = *Target->m_Class;
+    ++Target->m_GeneratedTokens;
+    const bool Last = Target->m_GeneratedTokens >= Class.m_Output;
+    if (Target->m_GeneratedTokens % m_Model.m_Stride != 1 % m_Model.m_Stride &&
+        !Last)
       return;
-    if (Which->m_Made == 1) {
-      m_Gateways[Which->m_Gateway].answered(Which->m_Ticket, m_Now);
-      Which->m_InTime = m_Now - Which->m_Begin <= Class.m_Target;
-    } else if (m_Now - Which->m_LastEvent > Class.m_LongestPause) {
-      Which->m_InTime = false;
+    if (Target->m_GeneratedTokens == 1) {
+      m_Gateways[Target->m_Gateway].answered(Target->m_Ticket, m_Now);
+      Target->m_InTime = m_Now - Target->m_ArrivedAt <= Class.m_Target;
+    } else if (m_Now - Target->m_LastEventAt > Class.m_LongestPause) {
+      Target->m_InTime = false;
     }
-    Which->m_LastEvent = m_Now;
+    Target->m_LastEventAt = m_Now;
     if (!Last)
       return;
     ModelResult &Counts = m_Result.m_Classes[Class.m_Name];
-    ++(Which->m_InTime ? Counts.m_InTime : Counts.m_Late);
-    m_Engines.at(Engine).remove(Which);
-    end(Which, CallOutcome::Served);
+    ++(Target->m_InTime ? Counts.m_InTime : Counts.m_Late);
+    m_Engines.at(Engine).remove(Target);
+    endCall(Target, CallOutcome::Served);
   }
 
   [[nodiscard]] std::size_t zoneOf(std::size_t Gateway) const {
     return Gateway % m_Model.m_Zones;
   }
 
-  void digests() {
-    m_Sums.resize(m_Model.m_Zones);
+  void sendDigests() {
+    m_ZoneSums.resize(m_Model.m_Zones);
     for (std::size_t From = 0; From < m_Gateways.size(); ++From) {
-      const LoadDigest Said = m_Gateways[From].takeDigest(m_Now);
-      m_Sums[zoneOf(From)].take(InstanceId(From + 1), Said, m_Now);
+      const LoadDigest Digest = m_Gateways[From].takeDigest(m_Now);
+      m_ZoneSums[zoneOf(From)].take(InstanceId(From + 1), Digest, m_Now);
       for (std::size_t To = 0; To < m_Gateways.size(); ++To)
         if (To != From && zoneOf(To) == zoneOf(From))
-          m_Gateways[To].peerSaid(InstanceId(From + 1), Said, m_Now);
+          m_Gateways[To].peerSaid(InstanceId(From + 1), Digest, m_Now);
     }
-    if (m_Model.m_Zones > 1 && ++m_Ticks % 2 == 0)
-      zoneSums();
-    if (!over())
-      at(m_Model.m_DigestInterval, [this] { digests(); });
+    if (m_Model.m_Zones > 1 && ++m_DigestIntervals % 2 == 0)
+      sendZoneSums();
+    if (!isOver())
+      schedule(m_Model.m_DigestInterval, [this] { sendDigests(); });
   }
 
-  void zoneSums() {
+  void sendZoneSums() {
     for (std::size_t From = 0; From < m_Model.m_Zones; ++From) {
-      const LoadDigest Sum = m_Sums[From].takeSum(m_Now);
+      const LoadDigest Sum = m_ZoneSums[From].takeSum(m_Now);
       for (std::size_t To = 0; To < m_Gateways.size(); ++To)
         if (zoneOf(To) != From)
           m_Gateways[To].peerSaid(InstanceId(m_Gateways.size() + 1 + From), Sum,
@@ -409,22 +416,22 @@
 
   static constexpr TimePoint Start{std::chrono::seconds(1000)};
 
-  const FleetModel &m_Model;           ///< Outlives the simulation.
-  std::mt19937_64 m_Random;            ///< For arrivals, prompts and crashes.
-  TimePoint m_Now = Start;             ///< Virtual time.
-  std::priority_queue<Event> m_Events; ///< Earliest first.
-  std::uint64_t m_Order = 0;           ///< Orders events of equal times.
-  std::uint64_t m_LastOwn = 1;         ///< Id of the last unique segment.
-  std::vector<Balancer> m_Gateways;    ///< By index.
-  std::vector<DigestSum> m_Sums;       ///< By zone.
-  unsigned m_Ticks = 0;                ///< Digest intervals so far.
-  std::vector<Upstream> m_List;        ///< Listed engines.
-  std::map<UpstreamId, ModelEngine> m_Engines; ///< Lost engines included.
-  FleetResult m_Result;                        ///< Counts so far.
+  const FleetModel &m_Model;             ///< Outlives the simulation.
+  std::mt19937_64 m_Random;              ///< For arrivals, prompts and crashes.
+  TimePoint m_Now = Start;               ///< Virtual time.
+  std::priority_queue<Event> m_Events;   ///< Earliest first.
+  std::uint64_t m_Order = 0;             ///< Orders events of equal times.
+  std::uint64_t m_LastUniqueSegment = 1; ///< Id of the last unique segment.
+  std::vector<Balancer> m_Gateways;      ///< By index.
+  std::vector<DigestSum> m_ZoneSums;     ///< By zone.
+  unsigned m_DigestIntervals = 0;        ///< Digest intervals so far.
+  std::vector<Upstream> m_Listed;        ///< Listed engines.
+  std::map<UpstreamId, SimulatedEngine> m_Engines; ///< Lost engines included.
+  FleetResult m_Result;                            ///< Counts so far.
 };
 
 } // namespace
 
-FleetResult play(const FleetModel &What) { return Play(What).run(); }
+FleetResult play(const FleetModel &Load) { return FleetSimulation(Load).run(); }
 
 } // namespace crowstep::standin
--- a/tests/standin/fleet_model.h
+++ b/tests/standin/fleet_model.h
@@ -98,7 +98,7 @@
 };
 
 /// Simulates a load to its end.
-FleetResult play(const FleetModel &What);
+FleetResult play(const FleetModel &Load);
 
 } // namespace crowstep::standin
 
--- a/tests/standin/held_answer.cpp
+++ b/tests/standin/held_answer.cpp
@@ -111,18 +111,18 @@
     Owner->m_Drained();
 }
 
-void HeldAnswer::socketReady(SocketEvents What) {
-  if (What.m_HungUp) {
+void HeldAnswer::socketReady(SocketEvents Events) {
+  if (Events.m_HungUp) {
     gone();
     return;
   }
   char Byte = 0;
   GSocket *Socket = soup_server_message_get_socket(m_Message);
-  const ssize_t Seen =
+  const ssize_t Received =
       recv(g_socket_get_fd(Socket), &Byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  if (Seen < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
+  if (Received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
     return;
-  if (Seen > 0) // Next request on a keep-alive connection.
+  if (Received > 0) // Next request on a keep-alive connection.
     m_Watch->watchFor({.m_HungUp = true});
   else
     gone();
--- a/tests/standin/held_answer.h
+++ b/tests/standin/held_answer.h
@@ -62,7 +62,7 @@
 private:
   static void onFinished(SoupServerMessage *Message, void *Self);
   static void onWrote(SoupServerMessage *Message, unsigned Size, void *Self);
-  void socketReady(SocketEvents What) override;
+  void socketReady(SocketEvents Events) override;
   void gone();
 
   SoupServerMessage *m_Message;       ///< Owned reference.
--- a/tests/standin/member_main.cpp
+++ b/tests/standin/member_main.cpp
@@ -21,40 +21,41 @@
 class MemberDaemon final : public Daemon, public link::LinkListener {
 public:
   explicit MemberDaemon(Settings &File)
-      : m_Http(File.address("member", "http")),
+      : m_HttpAddress(File.address("member", "http")),
         m_Hints(File.addresses("member", "hints")), m_Config(configOf(File)),
-        m_Links(m_Config, m_Timers, m_Stats, *this),
-        m_Fleet({}, selfOf(m_Config), m_Time, m_Timers, m_Links, m_Stats) {}
+        m_Links(m_Config, m_Scheduler, m_Metrics, *this),
+        m_Membership({}, selfOf(m_Config), m_Clock, m_Scheduler, m_Links,
+                     m_Metrics) {}
 
   void start() override {
     m_Links.start();
-    m_Server.listen(m_Http,
+    m_Server.listen(m_HttpAddress,
                     [this](SoupServerMessage *Message, const char *Path) {
                       answer(Message, Path);
                     });
-    m_Fleet.onChange([this] { noteDeaths(); });
-    m_Fleet.start();
-    m_Fleet.seed(m_Hints);
+    m_Membership.onChange([this] { recordDeaths(); });
+    m_Membership.start();
+    m_Membership.seed(m_Hints);
   }
 
   void stop(std::function<void()> Done) override {
-    m_Fleet.leave();
+    m_Membership.leave();
     // The notification of leaving is sent at the end of this loop iteration.
-    m_Timers.after(std::chrono::milliseconds(50), std::move(Done));
+    m_Scheduler.after(std::chrono::milliseconds(50), std::move(Done));
   }
 
-  void linkUp(link::LinkId Link, const link::Peer &Who) override {
-    m_Fleet.linkUp(Link, Who);
+  void linkUp(link::LinkId Link, const link::Peer &Peer) override {
+    m_Membership.linkUp(Link, Peer);
   }
   void linkFrame(link::LinkId Link, const wire::Frame &Frame) override {
-    m_Fleet.linkFrame(Link, Frame);
+    m_Membership.linkFrame(Link, Frame);
   }
-  void linkDown(link::LinkId Link, const link::Peer &Who,
-                link::CloseReason Why) override {
-    m_Fleet.linkDown(Link, Who, Why);
+  void linkDown(link::LinkId Link, const link::Peer &Peer,
+                link::CloseReason Reason) override {
+    m_Membership.linkDown(Link, Peer, Reason);
   }
-  void dialFailed(const Address &Where, link::CloseReason Why) override {
-    m_Fleet.dialFailed(Where, Why);
+  void dialFailed(const Address &Target, link::CloseReason Reason) override {
+    m_Membership.dialFailed(Target, Reason);
   }
 
 private:
@@ -81,7 +82,7 @@
 
   void answer(SoupServerMessage *Message, const std::string &Path) {
     if (Path == "/metrics")
-      respond(Message, SOUP_STATUS_OK, "text/plain", m_Stats.text());
+      respond(Message, SOUP_STATUS_OK, "text/plain", m_Metrics.text());
     else if (Path == "/view")
       respond(Message, SOUP_STATUS_OK, "text/plain", view());
     else if (Path == "/deaths")
@@ -93,33 +94,34 @@
 
   [[nodiscard]] std::string view() const {
     std::string Result;
-    for (const membership::Member &Each : m_Fleet.members())
-      Result += Each.m_Name + " " + membership::stateName(Each.m_State) + "\n";
+    for (const membership::Member &Current : m_Membership.members())
+      Result +=
+          Current.m_Name + " " + membership::stateName(Current.m_State) + "\n";
     return Result;
   }
 
-  void noteDeaths() {
-    const auto Live = std::ranges::count_if(
-        m_Fleet.members(), [](const membership::Member &Each) {
-          return membership::isLive(Each.m_State);
+  void recordDeaths() {
+    const auto LiveCount = std::ranges::count_if(
+        m_Membership.members(), [](const membership::Member &Current) {
+          return membership::isLive(Current.m_State);
         });
-    if (Live < m_Live)
+    if (LiveCount < m_LiveCount)
       m_LastDeath = g_get_real_time() / MicrosecondsPerMillisecond;
-    m_Live = Live;
+    m_LiveCount = LiveCount;
   }
 
-  Address m_Http;                 ///< Listen address of m_Server.
-  std::vector<Address> m_Hints;   ///< Addresses of possible members.
-  link::LinkConfig m_Config;      ///< Own name, incarnation and address.
-  LoopClock m_Time;               ///< Of the main loop.
-  LoopScheduler m_Timers;         ///< Of the main loop.
-  Metrics m_Stats;                ///< Returned by /metrics.
-  link::TcpLinks m_Links;         ///< Links to the other members.
-  membership::Membership m_Fleet; ///< The protocol under test.
-  HttpServer m_Server;            ///< For the requests of tests.
-  std::ptrdiff_t m_Live = 0;      ///< Live members at the last change.
-  std::int64_t m_LastDeath = 0;   ///< Wall clock in ms, so that
-                                  ///< processes of one machine compare.
+  Address m_HttpAddress;               ///< Listen address of m_Server.
+  std::vector<Address> m_Hints;        ///< Addresses of possible members.
+  link::LinkConfig m_Config;           ///< Own name, incarnation and address.
+  LoopClock m_Clock;                   ///< Of the main loop.
+  LoopScheduler m_Scheduler;           ///< Of the main loop.
+  Metrics m_Metrics;                   ///< Returned by /metrics.
+  link::TcpLinks m_Links;              ///< Links to the other members.
+  membership::Membership m_Membership; ///< The protocol under test.
+  HttpServer m_Server;                 ///< For the requests of tests.
+  std::ptrdiff_t m_LiveCount = 0;      ///< Live members at the last change.
+  std::int64_t m_LastDeath = 0;        ///< Wall clock in ms, so that
+                                       ///< processes of one machine compare.
 };
 
 } // namespace
--- a/tests/standin/platform_server.cpp
+++ b/tests/standin/platform_server.cpp
@@ -59,14 +59,14 @@
 
 void PlatformServer::handle(SoupServerMessage *Message,
                             const std::string &Path) {
-  const Call What{soup_server_message_get_method(Message), Path,
-                  queryValue(Message, "prefix"), requestBody(Message)};
+  const Call Request{soup_server_message_get_method(Message), Path,
+                     queryValue(Message, "prefix"), requestBody(Message)};
   const auto Answer = std::make_shared<Exchange>(Message);
-  Fault Present = m_Faults[serviceOf(Path)].take();
+  Fault Active = m_Faults[serviceOf(Path)].take();
   // A fault of writes only, so that a test can drop the answer to a commit.
-  if (Present.m_Mode == FaultMode::None && Path.ends_with("/write"))
-    Present = m_Faults["table_writes"].take();
-  switch (Present.m_Mode) {
+  if (Active.m_Mode == FaultMode::None && Path.ends_with("/write"))
+    Active = m_Faults["table_writes"].take();
+  switch (Active.m_Mode) {
   case FaultMode::Hang:
   case FaultMode::Freeze:
     m_Hung.push_back(Answer);
@@ -78,20 +78,20 @@
     Answer->cut();
     return;
   case FaultMode::Delay:
-    m_Scheduler.after(Present.m_Delay, [this, What, Answer] {
-      finish(What, Answer, FaultMode::None);
+    m_Scheduler.after(Active.m_Delay, [this, Request, Answer] {
+      finish(Request, Answer, FaultMode::None);
     });
     return;
   default:
-    finish(What, Answer, Present.m_Mode);
+    finish(Request, Answer, Active.m_Mode);
   }
 }
 
-void PlatformServer::finish(const Call &What, const ExchangePtr &Answer,
+void PlatformServer::finish(const Call &Request, const ExchangePtr &Answer,
                             FaultMode Mode) {
   Reply Result;
   try {
-    Result = serve(What);
+    Result = serve(Request);
   } catch (const std::exception &Failure) {
     Result = {400, json{{"error", Failure.what()}}.dump()};
   }
@@ -101,54 +101,55 @@
     Answer->answer(Result.m_Status, Result.m_Body, Result.m_RetryAfter);
 }
 
-PlatformServer::Reply PlatformServer::serve(const Call &What) {
-  const std::string Service = serviceOf(What.m_Path);
+PlatformServer::Reply PlatformServer::serve(const Call &Request) {
+  const std::string Service = serviceOf(Request.m_Path);
   if (Service == "tables")
-    return tables(What);
+    return tables(Request);
   if (Service == "objects")
-    return objects(What);
+    return objects(Request);
   if (Service == "instances")
-    return instances(What);
+    return instances(Request);
   if (Service == "weights")
     return weights();
-  return control(What);
+  return control(Request);
 }
 
-PlatformServer::Reply PlatformServer::control(const Call &What) {
-  if (What.m_Path == "/stats")
+PlatformServer::Reply PlatformServer::control(const Call &Request) {
+  if (Request.m_Path == "/stats")
     return {200, m_Store.stats().dump()};
-  if (What.m_Path != "/faults")
+  if (Request.m_Path != "/faults")
     return {404, R"({"error":"no such path"})"};
-  const json Body = json::parse(What.m_Body);
+  const json Body = json::parse(Request.m_Body);
   const auto Target = Body.at("target").get<std::string>();
   m_Faults[Target] = Fault::parse(Body);
   m_Hung.clear();
   return {200, "{}"};
 }
 
-PlatformServer::Reply PlatformServer::tables(const Call &What) {
+PlatformServer::Reply PlatformServer::tables(const Call &Request) {
   // /v1/tables/T/write, /v1/tables/T/rows and /v1/tables/T/rows/KEY
   const std::size_t NameStart = std::string("/v1/tables/").size();
-  const std::size_t NameEnd = What.m_Path.find('/', NameStart);
+  const std::size_t NameEnd = Request.m_Path.find('/', NameStart);
   if (NameEnd == std::string::npos)
     return {404, R"({"error":"no such path"})"};
-  const std::string Table = What.m_Path.substr(NameStart, NameEnd - NameStart);
-  const std::string Rest = What.m_Path.substr(NameEnd);
+  const std::string Table =
+      Request.m_Path.substr(NameStart, NameEnd - NameStart);
+  const std::string Suffix = Request.m_Path.substr(NameEnd);
   const TimePoint Now = m_Clock.now();
-  if (Rest == "/write" && What.m_Method == "POST")
-    return {200, m_Store.write(Table, json::parse(What.m_Body), Now).dump()};
-  if (Rest == "/rows" && What.m_Method == "GET")
-    return {200, m_Store.list(Table, What.m_Prefix, Now).dump()};
-  if (Rest.starts_with("/rows/") && What.m_Method == "GET")
-    return {200, m_Store.read(Table, Rest.substr(6), Now).dump()};
+  if (Suffix == "/write" && Request.m_Method == "POST")
+    return {200, m_Store.write(Table, json::parse(Request.m_Body), Now).dump()};
+  if (Suffix == "/rows" && Request.m_Method == "GET")
+    return {200, m_Store.list(Table, Request.m_Prefix, Now).dump()};
+  if (Suffix.starts_with("/rows/") && Request.m_Method == "GET")
+    return {200, m_Store.read(Table, Suffix.substr(6), Now).dump()};
   return {404, R"({"error":"no such path"})"};
 }
 
-PlatformServer::Reply PlatformServer::objects(const Call &What) {
+PlatformServer::Reply PlatformServer::objects(const Call &Request) {
   const std::string Name =
-      What.m_Path.substr(std::string("/v1/objects/").size());
-  if (What.m_Method == "PUT") {
-    m_Objects[Name] = What.m_Body;
+      Request.m_Path.substr(std::string("/v1/objects/").size());
+  if (Request.m_Method == "PUT") {
+    m_Objects[Name] = Request.m_Body;
     return {200, "{}"};
   }
   const auto Found = m_Objects.find(Name);
@@ -157,11 +158,11 @@
   return {200, Found->second};
 }
 
-PlatformServer::Reply PlatformServer::instances(const Call &What) {
-  if (What.m_Method == "GET")
+PlatformServer::Reply PlatformServer::instances(const Call &Request) {
+  if (Request.m_Method == "GET")
     return {200, m_Listing.visible(m_Clock.now()).dump()};
-  const json Body = json::parse(What.m_Body);
-  if (What.m_Path == "/v1/instances/lag")
+  const json Body = json::parse(Request.m_Body);
+  if (Request.m_Path == "/v1/instances/lag")
     m_Listing.setLag(std::chrono::milliseconds(Body.at("ms").get<int>()));
   else
     m_Listing.set(Body, m_Clock.now());
--- a/tests/standin/platform_server.h
+++ b/tests/standin/platform_server.h
@@ -39,12 +39,12 @@
   };
 
   void handle(SoupServerMessage *Message, const std::string &Path);
-  void finish(const Call &What, const ExchangePtr &Answer, FaultMode Mode);
-  Reply serve(const Call &What);
-  Reply control(const Call &What);
-  Reply tables(const Call &What);
-  Reply objects(const Call &What);
-  Reply instances(const Call &What);
+  void finish(const Call &Request, const ExchangePtr &Answer, FaultMode Mode);
+  Reply serve(const Call &Request);
+  Reply control(const Call &Request);
+  Reply tables(const Call &Request);
+  Reply objects(const Call &Request);
+  Reply instances(const Call &Request);
   Reply weights();
 
   PlatformSettings m_Settings; ///< Read at construction.
--- a/tests/standin/platform_store.cpp
+++ b/tests/standin/platform_store.cpp
@@ -25,44 +25,44 @@
   m_Peak = std::max(m_Peak, ++m_Present);
 }
 
-json PlatformStore::writeRow(Table &Where, const json &Write) {
+json PlatformStore::writeRow(Table &Target, const json &Write) {
   const auto Key = Write.at("key").get<std::string>();
   const auto Expected = Write.value("expected", std::uint64_t{0});
-  auto Found = Where.m_Rows.find(Key);
-  const std::uint64_t Present =
-      Found == Where.m_Rows.end() ? 0 : Found->second.m_Version;
-  const bool Written = Present == Expected;
+  auto Found = Target.m_Rows.find(Key);
+  const std::uint64_t Version =
+      Found == Target.m_Rows.end() ? 0 : Found->second.m_Version;
+  const bool Written = Version == Expected;
   const json &Value = Write.at("value");
-  if (Written && Value.is_null() && Found != Where.m_Rows.end())
-    Where.m_Rows.erase(Found);
+  if (Written && Value.is_null() && Found != Target.m_Rows.end())
+    Target.m_Rows.erase(Found);
   else if (Written && !Value.is_null())
-    Where.m_Rows[Key] = {++Where.m_LastVersion, Value.get<std::string>()};
-  Found = Where.m_Rows.find(Key);
+    Target.m_Rows[Key] = {++Target.m_LastVersion, Value.get<std::string>()};
+  Found = Target.m_Rows.find(Key);
   json Row = nullptr;
-  if (Found != Where.m_Rows.end())
+  if (Found != Target.m_Rows.end())
     Row = rowJson(Key, Found->second.m_Version, Found->second.m_Value);
   return {{"written", Written}, {"row", std::move(Row)}};
 }
 
 json PlatformStore::write(const std::string &TableName, const json &Body,
                           TimePoint Now) {
-  Table &Where = m_Tables[TableName];
+  Table &Target = m_Tables[TableName];
   m_Writes.count(Now);
-  Where.m_Writes.count(Now);
+  Target.m_Writes.count(Now);
   json Outcomes = json::array();
   for (const json &Write : Body.at("writes"))
-    Outcomes.push_back(writeRow(Where, Write));
+    Outcomes.push_back(writeRow(Target, Write));
   return {{"outcomes", std::move(Outcomes)}};
 }
 
 json PlatformStore::read(const std::string &TableName, const std::string &Key,
                          TimePoint Now) {
-  Table &Where = m_Tables[TableName];
+  Table &Source = m_Tables[TableName];
   m_Reads.count(Now);
-  Where.m_Reads.count(Now);
+  Source.m_Reads.count(Now);
   json Rows = json::array();
-  const auto Found = Where.m_Rows.find(Key);
-  if (Found != Where.m_Rows.end())
+  const auto Found = Source.m_Rows.find(Key);
+  if (Found != Source.m_Rows.end())
     Rows.push_back(
         rowJson(Key, Found->second.m_Version, Found->second.m_Value));
   return {{"rows", std::move(Rows)}};
@@ -70,12 +70,12 @@
 
 json PlatformStore::list(const std::string &TableName,
                          const std::string &Prefix, TimePoint Now) {
-  Table &Where = m_Tables[TableName];
+  Table &Source = m_Tables[TableName];
   m_Reads.count(Now);
-  Where.m_Reads.count(Now);
+  Source.m_Reads.count(Now);
   json Rows = json::array();
-  for (auto Row = Where.m_Rows.lower_bound(Prefix);
-       Row != Where.m_Rows.end() && Row->first.starts_with(Prefix); ++Row)
+  for (auto Row = Source.m_Rows.lower_bound(Prefix);
+       Row != Source.m_Rows.end() && Row->first.starts_with(Prefix); ++Row)
     Rows.push_back(
         rowJson(Row->first, Row->second.m_Version, Row->second.m_Value));
   return {{"rows", std::move(Rows)}};
@@ -96,8 +96,8 @@
   };
   json Result = Counts(m_Reads, m_Writes);
   Result["tables"] = json::object();
-  for (const auto &[Name, Where] : m_Tables)
-    Result["tables"][Name] = Counts(Where.m_Reads, Where.m_Writes);
+  for (const auto &[Name, Source] : m_Tables)
+    Result["tables"][Name] = Counts(Source.m_Reads, Source.m_Writes);
   return Result;
 }
 
--- a/tests/standin/platform_store.h
+++ b/tests/standin/platform_store.h
@@ -52,7 +52,7 @@
     RatePeak m_Reads;                ///< Read calls.
     RatePeak m_Writes;               ///< Write calls.
   };
-  static nlohmann::json writeRow(Table &Where, const nlohmann::json &Write);
+  static nlohmann::json writeRow(Table &Target, const nlohmann::json &Write);
 
   std::map<std::string, Table> m_Tables; ///< By name.
   RatePeak m_Reads;                      ///< Of all tables.
--- a/tests/standin/prefix_cache.cpp
+++ b/tests/standin/prefix_cache.cpp
@@ -14,14 +14,14 @@
 }
 
 std::size_t PrefixCache::use(const std::vector<std::uint64_t> &Prefixes) {
-  std::size_t Held = 0;
-  while (Held < Prefixes.size() && m_Where.contains(Prefixes[Held]))
-    ++Held;
+  std::size_t Cached = 0;
+  while (Cached < Prefixes.size() && m_Where.contains(Prefixes[Cached]))
+    ++Cached;
   // The first block is inserted last and so evicted last: without it the later
   // blocks are of no use.
   for (auto Prefix = Prefixes.rbegin(); Prefix != Prefixes.rend(); ++Prefix)
     insert(*Prefix);
-  return Held;
+  return Cached;
 }
 
 void PrefixCache::insert(std::uint64_t Prefix) {
--- a/tests/standin/service_server.cpp
+++ b/tests/standin/service_server.cpp
@@ -7,13 +7,15 @@
 
 namespace crowstep::standin {
 
-ServiceServer::ServiceServer(UpstreamSettings With)
-    : m_Settings(std::move(With)),
+ServiceServer::ServiceServer(UpstreamSettings Config)
+    : m_Settings(std::move(Config)),
       m_Server(m_Settings,
                {[this](UpstreamCall Call) { work(std::move(Call)); },
                 [](const UpstreamCall &) { return false; },
-                [this](const Fault &Set) {
-                  m_Factor = Set.m_Mode == FaultMode::Slow ? Set.m_Factor : 1;
+                [this](const Fault &NewFault) {
+                  m_Factor = NewFault.m_Mode == FaultMode::Slow
+                                 ? NewFault.m_Factor
+                                 : 1;
                 },
                 [this] { return m_Waiting.size(); }}) {}
 
@@ -27,11 +29,11 @@
     run(m_Waiting.front());
     m_Waiting.pop_front();
   }
-  LoadSnapshot Present;
-  Present.m_When = m_Server.clock().now();
-  Present.m_Running = m_Running;
-  Present.m_Waiting = m_Waiting.size();
-  m_Server.reports().note(Present);
+  LoadSnapshot Current;
+  Current.m_When = m_Server.clock().now();
+  Current.m_Running = m_Running;
+  Current.m_Waiting = m_Waiting.size();
+  m_Server.reports().note(Current);
 }
 
 void ServiceServer::run(const UpstreamCall &Call) {
@@ -44,9 +46,9 @@
     Record.m_Priority = Body.value("priority", 0);
   }
   const std::size_t Index = m_Server.records().add(std::move(Record));
-  const auto Time =
+  const auto WorkTime =
       std::chrono::round<Duration>(m_Settings.m_ServiceTime * m_Factor);
-  m_Server.scheduler().after(Time,
+  m_Server.scheduler().after(WorkTime,
                              [this, Call, Index] { finished(Call, Index); });
 }
 
--- a/tests/standin/service_server.h
+++ b/tests/standin/service_server.h
@@ -10,7 +10,7 @@
 /// once.
 class ServiceServer {
 public:
-  explicit ServiceServer(UpstreamSettings With);
+  explicit ServiceServer(UpstreamSettings Config);
   void start() { m_Server.start(); }
 
 private:
--- a/tests/standin/step_timer.cpp
+++ b/tests/standin/step_timer.cpp
@@ -33,8 +33,8 @@
   g_source_unref(m_Source);
 }
 
-void StepTimer::wakeAt(TimePoint When) {
-  g_source_set_ready_time(m_Source, When.time_since_epoch().count());
+void StepTimer::wakeAt(TimePoint Due) {
+  g_source_set_ready_time(m_Source, Due.time_since_epoch().count());
 }
 
 void StepTimer::stop() { g_source_set_ready_time(m_Source, -1); }
--- a/tests/standin/step_timer.h
+++ b/tests/standin/step_timer.h
@@ -18,7 +18,7 @@
   StepTimer(const StepTimer &) = delete;
   StepTimer &operator=(const StepTimer &) = delete;
 
-  void wakeAt(TimePoint When);
+  void wakeAt(TimePoint Due);
   void stop();
 
 private:
--- a/tests/standin/store_server.cpp
+++ b/tests/standin/store_server.cpp
@@ -31,10 +31,11 @@
 
 } // namespace
 
-void StoreServer::listen(const Address &Where) {
-  m_Server.listen(Where, [this](SoupServerMessage *Message, const char *Path) {
-    handle(Message, Path);
-  });
+void StoreServer::listen(const Address &Endpoint) {
+  m_Server.listen(Endpoint,
+                  [this](SoupServerMessage *Message, const char *Path) {
+                    handle(Message, Path);
+                  });
 }
 
 void StoreServer::put(const std::string &Table, const std::string &Key,
@@ -50,9 +51,9 @@
   answerWaiting();
 }
 
-void StoreServer::serveOldCopy(bool Old) {
-  m_Copy = Old ? m_Tables : std::map<std::string, Table>();
-  m_CopyVersion = Old ? m_Version : 0;
+void StoreServer::serveOldCopy(bool Enabled) {
+  m_Copy = Enabled ? m_Tables : std::map<std::string, Table>();
+  m_CopyVersion = Enabled ? m_Version : 0;
 }
 
 void StoreServer::handle(SoupServerMessage *Message, const std::string &Path) {
@@ -84,9 +85,9 @@
 }
 
 void StoreServer::read(SoupServerMessage *Message, const std::string &Name) {
-  const bool Old = m_CopyVersion != 0;
+  const bool Stale = m_CopyVersion != 0;
   Json Rows = Json::array();
-  for (const auto &[Key, Row] : Old ? m_Copy[Name] : m_Tables[Name])
+  for (const auto &[Key, Row] : Stale ? m_Copy[Name] : m_Tables[Name])
     if (!Row.m_Value.empty())
       Rows.push_back({{"table", Name},
                       {"part", ""},
@@ -94,7 +95,7 @@
                       {"value", base64Encoded(Row.m_Value)},
                       {"schemaVersion", Row.m_Version}});
   answer(Message, {{"rows", Rows}, {"hasMore", false}},
-         Old ? m_CopyVersion : m_Version);
+         Stale ? m_CopyVersion : m_Version);
 }
 
 Json StoreServer::changes(const std::string &Name, std::uint64_t After) {
@@ -102,30 +103,30 @@
   for (const auto &[Key, Row] : m_Tables[Name]) {
     if (Row.m_Version <= After)
       continue;
-    Json &Told = Ordered[Row.m_Version];
-    Told = {{"table", Name},
-            {"part", ""},
-            {"key", Key},
-            {"schemaVersion", Row.m_Version}};
+    Json &Change = Ordered[Row.m_Version];
+    Change = {{"table", Name},
+              {"part", ""},
+              {"key", Key},
+              {"schemaVersion", Row.m_Version}};
     if (Row.m_Value.empty())
-      Told["deleted"] = true;
+      Change["deleted"] = true;
     else
-      Told["value"] = base64Encoded(Row.m_Value);
+      Change["value"] = base64Encoded(Row.m_Value);
   }
   Json Rows = Json::array();
-  for (const auto &[Version, Told] : Ordered)
-    Rows.push_back(Told);
+  for (const auto &[Version, Change] : Ordered)
+    Rows.push_back(Change);
   return Rows;
 }
 
 void StoreServer::follow(SoupServerMessage *Message, const std::string &Name,
-                         std::uint64_t After, bool Waits) {
+                         std::uint64_t After, bool MayWait) {
   if (After < m_Oldest) {
     respond(Message, HttpGone, "text/plain", "");
     return;
   }
   const Json Rows = changes(Name, After);
-  if (!Rows.empty() || !Waits) {
+  if (!Rows.empty() || !MayWait) {
     answer(Message, {{"rows", Rows}}, m_Version);
     return;
   }
@@ -135,31 +136,31 @@
 }
 
 void StoreServer::answerWaiting() {
-  std::vector<Waiting> Still;
-  for (const Waiting &Each : m_Waiting) {
-    const Json Rows = changes(Each.m_Table, Each.m_After);
-    if (Rows.empty() && Each.m_After >= m_Oldest) {
-      Still.push_back(Each);
+  std::vector<Waiting> Remaining;
+  for (const Waiting &Poll : m_Waiting) {
+    const Json Rows = changes(Poll.m_Table, Poll.m_After);
+    if (Rows.empty() && Poll.m_After >= m_Oldest) {
+      Remaining.push_back(Poll);
       continue;
     }
-    if (soup_server_message_get_socket(Each.m_Message) != nullptr) {
-      if (Each.m_After < m_Oldest)
-        respond(Each.m_Message, HttpGone, "text/plain", "");
+    if (soup_server_message_get_socket(Poll.m_Message) != nullptr) {
+      if (Poll.m_After < m_Oldest)
+        respond(Poll.m_Message, HttpGone, "text/plain", "");
       else
-        answer(Each.m_Message, {{"rows", Rows}}, m_Version);
-      soup_server_message_unpause(Each.m_Message);
+        answer(Poll.m_Message, {{"rows", Rows}}, m_Version);
+      soup_server_message_unpause(Poll.m_Message);
     }
-    g_object_unref(Each.m_Message);
+    g_object_unref(Poll.m_Message);
   }
-  m_Waiting = std::move(Still);
+  m_Waiting = std::move(Remaining);
 }
 
 void StoreServer::transact(SoupServerMessage *Message) {
   const Json Body = Json::parse(requestBody(Message));
   for (const Json &Expected : Body.at("expectedRevision")) {
-    const Row &Present = m_Tables[Expected.at("table")][Expected.at("key")];
+    const Row &Current = m_Tables[Expected.at("table")][Expected.at("key")];
     const std::uint64_t Version =
-        Present.m_Value.empty() ? 0 : Present.m_Version;
+        Current.m_Value.empty() ? 0 : Current.m_Version;
     if (Version != Expected.at("schemaVersion").get<std::uint64_t>()) {
       respond(Message, HttpPreconditionFailed, "application/json",
               R"({"rows":[]})");
--- a/tests/standin/store_server.h
+++ b/tests/standin/store_server.h
@@ -22,17 +22,17 @@
   };
 
   /// Starts the server. \throws ListenError.
-  void listen(const Address &Where);
+  void listen(const Address &Endpoint);
 
   /// Writes a row, or removes it if \p Value is empty, without a condition.
   void put(const std::string &Table, const std::string &Key,
            const std::string &Value);
 
-  void setMode(Mode Next) { m_Mode = Next; }
+  void setMode(Mode NewMode) { m_Mode = NewMode; }
 
   /// Answers reads from a copy of the present tables until called with false.
   /// A copy of a store without any change is not served.
-  void serveOldCopy(bool Old);
+  void serveOldCopy(bool Enabled);
 
   /// Drops the history of changes: feed requests for an earlier version get
   /// 410.
@@ -55,7 +55,7 @@
   void handle(SoupServerMessage *Message, const std::string &Path);
   void read(SoupServerMessage *Message, const std::string &Name);
   void follow(SoupServerMessage *Message, const std::string &Name,
-              std::uint64_t After, bool Waits);
+              std::uint64_t After, bool MayWait);
   void transact(SoupServerMessage *Message);
   void answerWaiting();
   nlohmann::json changes(const std::string &Name, std::uint64_t After);
--- a/tests/standin/upstream_host.cpp
+++ b/tests/standin/upstream_host.cpp
@@ -13,8 +13,8 @@
 }
 
 void UpstreamHost::start() {
-  for (const StandinUpstream &One : m_Upstreams)
-    std::visit([](const auto &Server) { Server->start(); }, One);
+  for (const StandinUpstream &Hosted : m_Upstreams)
+    std::visit([](const auto &Server) { Server->start(); }, Hosted);
 }
 
 } // namespace crowstep::standin
--- a/tests/standin/upstream_server.cpp
+++ b/tests/standin/upstream_server.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-bool isWork(const std::string &Path) {
+bool isWorkPath(const std::string &Path) {
   return Path == "/v1/chat/completions" || Path == "/v1/completions" ||
          Path.starts_with("/v1/services/");
 }
 
 } // namespace
 
-UpstreamServer::UpstreamServer(const UpstreamSettings &With,
+UpstreamServer::UpstreamServer(const UpstreamSettings &Config,
                                UpstreamHooks Hooks)
-    : m_Settings(With), m_Hooks(std::move(Hooks)), m_Reports(With.m_ReportLag) {
-}
+    : m_Settings(Config), m_Hooks(std::move(Hooks)),
+      m_Reports(Config.m_ReportLag) {}
 
 void UpstreamServer::start() {
   m_Server.listen(m_Settings.m_Listen,
@@ -85,7 +85,7 @@
     Call.m_Answer->cut();
     return;
   }
-  if (isWork(Call.m_Path)) {
+  if (isWorkPath(Call.m_Path)) {
     m_Scheduler.after(m_Settings.m_ClientDelay, [this, Call] { admit(Call); });
     return;
   }
@@ -101,9 +101,9 @@
 }
 
 void UpstreamServer::admit(UpstreamCall Call) {
-  const Fault Present = m_Fault.take();
-  Call.m_Fault = Present;
-  switch (Present.m_Mode) {
+  const Fault Active = m_Fault.take();
+  Call.m_Fault = Active;
+  switch (Active.m_Mode) {
   case FaultMode::Refuse:
     refuse(Call, "busy");
     return;
@@ -117,7 +117,7 @@
     return;
   case FaultMode::Delay:
     Call.m_Fault = Fault();
-    m_Scheduler.after(Present.m_Delay, [this, Call] { m_Hooks.m_Work(Call); });
+    m_Scheduler.after(Active.m_Delay, [this, Call] { m_Hooks.m_Work(Call); });
     return;
   default:
     break;
--- a/tests/standin/upstream_server.h
+++ b/tests/standin/upstream_server.h
@@ -37,7 +37,7 @@
 /// HTTP server of one upstream.
 class UpstreamServer {
 public:
-  UpstreamServer(const UpstreamSettings &With, UpstreamHooks Hooks);
+  UpstreamServer(const UpstreamSettings &Config, UpstreamHooks Hooks);
 
   /// Starts the server. \throws ListenError.
   void start();
--- a/tests/standin/upstream_state.cpp
+++ b/tests/standin/upstream_state.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr std::size_t EventWindow = 1024;
-constexpr std::size_t ReportedEvents = 256;
+constexpr std::size_t MaxKeptEvents = 1024;
+constexpr std::size_t MaxReportedEvents = 256;
 constexpr Duration SnapshotInterval = std::chrono::milliseconds(5);
 
 std::string hexOf(std::uint64_t Value) {
@@ -71,32 +71,32 @@
 void LoadReports::cacheChanged(std::uint64_t Prefix, bool Added,
                                TimePoint Now) {
   m_Events.push_back({Now, ++m_LastEvent, Prefix, Added});
-  if (m_Events.size() > EventWindow)
+  if (m_Events.size() > MaxKeptEvents)
     m_Events.pop_front();
 }
 
-json LoadReports::visible(TimePoint Now, bool Leaving) {
-  const TimePoint Until = Now - m_Lag;
-  while (m_Snapshots.size() > 1 && m_Snapshots[1].m_When <= Until)
+json LoadReports::visible(TimePoint Now, bool Draining) {
+  const TimePoint Newest = Now - m_Lag;
+  while (m_Snapshots.size() > 1 && m_Snapshots[1].m_When <= Newest)
     m_Snapshots.pop_front();
-  LoadSnapshot Seen;
-  if (!m_Snapshots.empty() && m_Snapshots.front().m_When <= Until)
-    Seen = m_Snapshots.front();
+  LoadSnapshot Visible;
+  if (!m_Snapshots.empty() && m_Snapshots.front().m_When <= Newest)
+    Visible = m_Snapshots.front();
   json Events = json::array();
   for (auto Event = m_Events.rbegin();
-       Event != m_Events.rend() && Events.size() < ReportedEvents; ++Event)
-    if (Event->m_When <= Until)
+       Event != m_Events.rend() && Events.size() < MaxReportedEvents; ++Event)
+    if (Event->m_When <= Newest)
       Events.push_back({{"sequence", Event->m_Sequence},
                         {"prefix", hexOf(Event->m_Prefix)},
                         {"added", Event->m_Added}});
   std::reverse(Events.begin(), Events.end());
   const auto Age = std::chrono::duration_cast<std::chrono::milliseconds>(m_Lag);
-  return {{"sequence", Seen.m_Sequence},
+  return {{"sequence", Visible.m_Sequence},
           {"age_ms", Age.count()},
-          {"running", Seen.m_Running},
-          {"waiting", Seen.m_Waiting},
-          {"free_cache_blocks", Seen.m_FreeBlocks},
-          {"leaving", Leaving},
+          {"running", Visible.m_Running},
+          {"waiting", Visible.m_Waiting},
+          {"free_cache_blocks", Visible.m_FreeBlocks},
+          {"leaving", Draining},
           {"cache_events", std::move(Events)}};
 }
 
--- a/tests/standin/upstream_state.h
+++ b/tests/standin/upstream_state.h
@@ -60,7 +60,7 @@
 
   /// Returns the report to give at \p Now, of the state as long ago as the lag.
   /// Drops the snapshots before it, so time must not go back.
-  [[nodiscard]] nlohmann::json visible(TimePoint Now, bool Leaving);
+  [[nodiscard]] nlohmann::json visible(TimePoint Now, bool Draining);
 
 private:
   struct CacheEvent {
--- a/tests/unit/load_play_test.cpp
+++ b/tests/unit/load_play_test.cpp
@@ -14,16 +14,16 @@
 
 /// Share of a class's requests to be answered in time while the engines have
 /// the capacity for all.
-constexpr double Aim = 0.95;
+constexpr double MinInTimeShare = 0.95;
 
-ModelClass reports(double PerSecond, std::uint64_t Beginnings) {
+ModelClass reports(double PerSecond, std::uint64_t PrefixCount) {
   return {"report",
           PerSecond,
           5,
           1500ms,
           600ms,
           6s,
-          {{2500, 4}, {3800, Beginnings}},
+          {{2500, 4}, {3800, PrefixCount}},
           2900,
           52};
 }
@@ -48,9 +48,10 @@
   return Result;
 }
 
-void checkAim(const FleetResult &Result) {
-  for (const auto &[Name, Each] : Result.m_Classes)
-    BOOST_TEST(Each.inTime() >= Aim, Name << ": " << Each.inTime());
+void checkInTimeShares(const FleetResult &Result) {
+  for (const auto &[Name, ClassResult] : Result.m_Classes)
+    BOOST_TEST(ClassResult.inTime() >= MinInTimeShare,
+               Name << ": " << ClassResult.inTime());
 }
 
 } // namespace
@@ -60,15 +61,15 @@
   const FleetResult First = play(mixedLoad(3));
   const FleetResult Second = play(mixedLoad(3));
   BOOST_TEST(First.m_ReadAgain == Second.m_ReadAgain);
-  for (const auto &[Name, Each] : First.m_Classes)
-    BOOST_TEST(Each.m_InTime == Second.m_Classes.at(Name).m_InTime);
+  for (const auto &[Name, ClassResult] : First.m_Classes)
+    BOOST_TEST(ClassResult.m_InTime == Second.m_Classes.at(Name).m_InTime);
 }
 
 /// Bursts of one class after another move engines between the roles while
 /// streams run. Callers of each class are still served in time.
 BOOST_AUTO_TEST_CASE(BurstsOfEachClassAreServed) {
   for (std::uint64_t Seed = 1; Seed <= 5; ++Seed)
-    checkAim(play(mixedLoad(Seed)));
+    checkInTimeShares(play(mixedLoad(Seed)));
 }
 
 /// The balancer follows a step and a wave of load without harm to any class.
@@ -77,25 +78,25 @@
   FleetModel Step = mixedLoad(1);
   Step.m_Length = 40s;
   Step.m_Bursts = {{0, 10s, 40s, 2}};
-  checkAim(play(Step));
+  checkInTimeShares(play(Step));
   FleetModel Wave = mixedLoad(1);
   Wave.m_Length = 40s;
   Wave.m_Bursts.clear();
   for (int I = 0; I < 10; ++I)
     Wave.m_Bursts.push_back({2, I * 4s, I * 4s + 2s, 2.5});
-  checkAim(play(Wave));
+  checkInTimeShares(play(Wave));
 }
 
 /// With one class only, no engine may be kept for a class without requests.
 /// Chats at three quarters of the capacity of all engines: with half of the
 /// engines kept for long prompts 0.64 were in time, now 0.999.
 BOOST_AUTO_TEST_CASE(OneClassGetsAllEngines) {
-  for (const ModelClass &Only : {reports(100, 126), advice(110), chats(170)}) {
-    FleetModel One;
-    One.m_Classes = {Only};
-    const FleetResult Result = play(One);
-    BOOST_TEST(Result.m_EnginesUsed == One.m_Engines);
-    checkAim(Result);
+  for (const ModelClass &Class : {reports(100, 126), advice(110), chats(170)}) {
+    FleetModel Load;
+    Load.m_Classes = {Class};
+    const FleetResult Result = play(Load);
+    BOOST_TEST(Result.m_EnginesUsed == Load.m_Engines);
+    checkInTimeShares(Result);
   }
 }
 
@@ -125,7 +126,7 @@
 /// 0.99, and 1.4 million.
 BOOST_AUTO_TEST_CASE(FewSlotsInABurst) {
   const FleetResult Result = play(fewSlots(1.5));
-  checkAim(Result);
+  checkInTimeShares(Result);
   BOOST_TEST(Result.m_ReadAgain < 2800000U);
 }
 
@@ -136,10 +137,11 @@
 /// on how scarce slots are, 0.78, 0.99 and 0.79; now 0.995 of the advice and
 /// the chats, and 0.90 of the reports.
 BOOST_AUTO_TEST_CASE(FewSlotsBeyondWhatCanBeServed) {
-  constexpr double MostOfThem = 0.8;
+  constexpr double MinShare = 0.8;
   const FleetResult Result = play(fewSlots(2.1));
-  for (const auto &[Name, Each] : Result.m_Classes)
-    BOOST_TEST(Each.inTime() >= MostOfThem, Name << ": " << Each.inTime());
+  for (const auto &[Name, ClassResult] : Result.m_Classes)
+    BOOST_TEST(ClassResult.inTime() >= MinShare,
+               Name << ": " << ClassResult.inTime());
   // Urgent calls are not refused while less urgent ones are placed. When calls
   // of all classes were given the same room, reports that waited in other
   // gateways took each slot that became free, and 94 of 836 calls for advice
@@ -158,15 +160,15 @@
     Load.m_Zones = 3;
     Load.m_DigestInterval = 120ms;
     Load.m_Engines = 48;
-    for (ModelClass &Each : Load.m_Classes)
-      Each.m_PerSecond *= 4.2;
+    for (ModelClass &Class : Load.m_Classes)
+      Class.m_PerSecond *= 4.2;
     Load.m_Classes[0].m_Shared[1].m_Count *= 12;
     Load.m_Crashes = {{5s, 4s, 0.2}};
-    for (const auto &[Name, Each] : play(Load).m_Classes) {
+    for (const auto &[Name, ClassResult] : play(Load).m_Classes) {
       // Placement can't save the calls that a crash ended.
-      const double Share =
-          static_cast<double>(Each.m_InTime) / (Each.m_Asked - Each.m_Lost);
-      BOOST_TEST(Share >= Aim, Name << ": " << Share);
+      const double Share = static_cast<double>(ClassResult.m_InTime) /
+                           (ClassResult.m_Asked - ClassResult.m_Lost);
+      BOOST_TEST(Share >= MinInTimeShare, Name << ": " << Share);
     }
   }
 }
--- a/tests/unit/standin_test.cpp
+++ b/tests/unit/standin_test.cpp
@@ -19,7 +19,7 @@
 constexpr TimePoint Start{1h};
 
 /// An engine whose steps the test runs.
-struct Bench {
+struct ManualEngine {
   EngineSettings m_Settings;            ///< Set before m_Batch is used.
   std::vector<std::uint64_t> m_Evicted; ///< Prefixes that the cache evicted.
   EngineBatch m_Batch{m_Settings, [this](std::uint64_t Prefix, bool Added) {
@@ -61,13 +61,13 @@
 }
 
 BOOST_AUTO_TEST_CASE(LengthDependsOnThePromptAlone) {
-  const EngineSettings With;
-  BOOST_TEST(naturalLength(With, "x [len=17] y") == 17U);
-  BOOST_TEST(naturalLength(With, "same") == naturalLength(With, "same"));
+  const EngineSettings Config;
+  BOOST_TEST(naturalLength(Config, "x [len=17] y") == 17U);
+  BOOST_TEST(naturalLength(Config, "same") == naturalLength(Config, "same"));
 }
 
 BOOST_AUTO_TEST_CASE(ResumedSequenceGivesTheRestOnly) {
-  Bench Engine;
+  ManualEngine Engine;
   Engine.add(0, 5, 3);
   BOOST_TEST(Engine.step().at(0).m_Index == 3U);
   const Generated Last = Engine.step().at(0);
@@ -76,7 +76,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(UrgentWorkIsAdmittedFirstAndStepsGrowWithTheBatch) {
-  Bench Engine;
+  ManualEngine Engine;
   Engine.m_Settings.m_Slots = 2;
   Engine.m_Settings.m_TokenTime = 10ms;
   Engine.m_Settings.m_BatchPenalty = 0.5;
@@ -93,13 +93,13 @@
 
 BOOST_AUTO_TEST_CASE(CachedPrefixIsNotPrefilledAgainUntilEvicted) {
   PrefixCache Cache(2, [](std::uint64_t, bool) {});
-  const auto One = prefixHashes(std::string(600, 'a'));
-  const auto Two = prefixHashes(std::string(300, 'b'));
-  BOOST_TEST(One.size() == 2U);
-  BOOST_TEST(Cache.use(One) == 0U);
-  BOOST_TEST(Cache.use(One) == 2U);
-  BOOST_TEST(Cache.use(Two) == 0U); // Evicts the second block of the first.
-  BOOST_TEST(Cache.use(One) == 1U);
+  const auto First = prefixHashes(std::string(600, 'a'));
+  const auto Second = prefixHashes(std::string(300, 'b'));
+  BOOST_TEST(First.size() == 2U);
+  BOOST_TEST(Cache.use(First) == 0U);
+  BOOST_TEST(Cache.use(First) == 2U);
+  BOOST_TEST(Cache.use(Second) == 0U); // Evicts the second block of the first.
+  BOOST_TEST(Cache.use(First) == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(WritesStandOnlyAgainstTheExpectedVersion) {
