--- a/tests/standin/fault.cpp
+++ b/tests/standin/fault.cpp
@@ -1,4 +1,4 @@
-/// Reading and counting of faults.
+/// Parses faults and counts the calls they apply to.
 #include "standin/fault.h"
 
 #include <map>
@@ -39,10 +39,10 @@
 }
 
 Fault Fault::take() {
-  const Fault Present = *this;
+  const Fault Current = *this;
   if (m_Left > 0 && --m_Left == 0)
     *this = Fault();
-  return Present;
+  return Current;
 }
 
 } // namespace crowstep::standin
