--- a/src/core/error.h
+++ b/src/core/error.h
@@ -29,8 +29,8 @@
 /// A settings file is missing or no INI file.
 class SettingsFileError : public Error {
 public:
-  SettingsFileError(const std::string &File, const std::string &Why)
-      : Error(File + ": " + Why) {}
+  SettingsFileError(const std::string &File, const std::string &Reason)
+      : Error(File + ": " + Reason) {}
 };
 
 } // namespace crowstep
--- a/src/core/http_server.cpp
+++ b/src/core/http_server.cpp
@@ -9,31 +9,32 @@
 /// are sent again only after a second. The kernel cuts this to its own limit.
 constexpr int ListenBacklog = 1024;
 
-[[noreturn]] void throwListenError(const Address &Where, GError *Failure) {
-  const std::string Why = Failure->message;
+[[noreturn]] void throwListenError(const Address &BindAddress,
+                                   GError *Failure) {
+  const std::string Reason = Failure->message;
   g_error_free(Failure);
-  throw ListenError(Where, Why);
+  throw ListenError(BindAddress, Reason);
 }
 
 } // namespace
 
-GSocket *listeningSocket(const Address &Where) {
+GSocket *listeningSocket(const Address &BindAddress) {
   GError *Failure = nullptr;
   GSocket *Socket = g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM,
                                  G_SOCKET_PROTOCOL_TCP, &Failure);
   if (Socket == nullptr)
-    throwListenError(Where, Failure);
-  const std::string Text = toString(Where);
+    throwListenError(BindAddress, Failure);
+  const std::string Text = toString(BindAddress);
   const std::string Ip = Text.substr(0, Text.rfind(':'));
-  GSocketAddress *Bind =
-      g_inet_socket_address_new_from_string(Ip.c_str(), Where.m_Port);
+  GSocketAddress *SocketAddress =
+      g_inet_socket_address_new_from_string(Ip.c_str(), BindAddress.m_Port);
   g_socket_set_listen_backlog(Socket, ListenBacklog);
-  const bool Bound = g_socket_bind(Socket, Bind, 1, &Failure) != 0 &&
+  const bool Bound = g_socket_bind(Socket, SocketAddress, 1, &Failure) != 0 &&
                      g_socket_listen(Socket, &Failure) != 0;
-  g_object_unref(Bind);
+  g_object_unref(SocketAddress);
   if (!Bound) {
     g_object_unref(Socket);
-    throwListenError(Where, Failure);
+    throwListenError(BindAddress, Failure);
   }
   return Socket;
 }
@@ -47,9 +48,9 @@
   g_object_unref(m_Server);
 }
 
-void HttpServer::listen(const Address &Where, Handler OnRequest) {
+void HttpServer::listen(const Address &BindAddress, Handler OnRequest) {
   m_Handler = std::move(OnRequest);
-  GSocket *Socket = listeningSocket(Where);
+  GSocket *Socket = listeningSocket(BindAddress);
   m_Server = soup_server_new("server-header", "crowstep", nullptr);
   soup_server_add_handler(
       m_Server, nullptr,
@@ -59,13 +60,13 @@
       },
       this, nullptr);
   GError *Failure = nullptr;
-  const bool Listens =
+  const bool Listening =
       soup_server_listen_socket(m_Server, Socket,
                                 static_cast<SoupServerListenOptions>(0),
                                 &Failure) != 0;
   g_object_unref(Socket);
-  if (!Listens)
-    throwListenError(Where, Failure);
+  if (!Listening)
+    throwListenError(BindAddress, Failure);
 }
 
 void HttpServer::onHeaders(std::function<void(SoupServerMessage *)> Hook) {
@@ -110,11 +111,11 @@
 
 std::string requestBody(SoupServerMessage *Message) {
   SoupMessageBody *Body = soup_server_message_get_request_body(Message);
-  GBytes *Flat = soup_message_body_flatten(Body);
+  GBytes *Bytes = soup_message_body_flatten(Body);
   gsize Size = 0;
-  const void *Data = g_bytes_get_data(Flat, &Size);
+  const void *Data = g_bytes_get_data(Bytes, &Size);
   std::string Result(static_cast<const char *>(Data), Size);
-  g_bytes_unref(Flat);
+  g_bytes_unref(Bytes);
   return Result;
 }
 
--- a/src/core/http_server.h
+++ b/src/core/http_server.h
@@ -14,8 +14,8 @@
 /// A server can't listen where its settings say.
 class ListenError : public Error {
 public:
-  ListenError(const Address &Where, const std::string &Why)
-      : Error("can't listen on " + toString(Where) + ": " + Why) {}
+  ListenError(const Address &BindAddress, const std::string &Reason)
+      : Error("can't listen on " + toString(BindAddress) + ": " + Reason) {}
 };
 
 /// Listens on one address and hands every request to one handler.
@@ -29,7 +29,7 @@
   HttpServer &operator=(const HttpServer &) = delete;
 
   /// Serves requests whose bodies have arrived whole. \throws ListenError.
-  void listen(const Address &Where, Handler OnRequest);
+  void listen(const Address &BindAddress, Handler OnRequest);
 
   /// Adds a hook that runs when a request's headers have arrived, before its
   /// body is read; it may set a status to refuse the request.
@@ -62,7 +62,7 @@
 
 /// Binds and listens on \p Where with a backlog that a burst of callers needs.
 /// Returns an owned socket. \throws ListenError.
-GSocket *listeningSocket(const Address &Where);
+GSocket *listeningSocket(const Address &BindAddress);
 
 } // namespace crowstep
 
--- a/src/core/log.cpp
+++ b/src/core/log.cpp
@@ -64,19 +64,19 @@
 /// one thread that serves callers. A line is written only when the pipe has
 /// room for it, which the kernel promises for lines up to PIPE_BUF; others are
 /// dropped and counted, so no memory grows.
-class UnblockedAppender final : public log4cplus::Appender {
+class NonBlockingAppender final : public log4cplus::Appender {
 public:
-  explicit UnblockedAppender(LogTarget Target)
+  explicit NonBlockingAppender(LogTarget Target)
       : m_Fd(Target == LogTarget::StandardOutput ? STDOUT_FILENO
                                                  : STDERR_FILENO) {}
-  ~UnblockedAppender() override { destructorImpl(); }
+  ~NonBlockingAppender() override { destructorImpl(); }
   void close() override { closed = true; }
 
 protected:
   void append(const log4cplus::spi::InternalLoggingEvent &Event) override {
-    pollfd Asked = {m_Fd, POLLOUT, 0};
+    pollfd Descriptor = {m_Fd, POLLOUT, 0};
     const std::string Line = Event.getMessage() + "\n";
-    if (poll(&Asked, 1, 0) <= 0 || (Asked.revents & POLLOUT) == 0 ||
+    if (poll(&Descriptor, 1, 0) <= 0 || (Descriptor.revents & POLLOUT) == 0 ||
         Line.size() > PIPE_BUF || write(m_Fd, Line.data(), Line.size()) < 0) {
       ++m_Dropped;
       return;
@@ -94,24 +94,24 @@
 /// How many lines of one event may be written in a second. A heavy day has ten
 /// requests a second at one process; the rest is for storms, in which the first
 /// lines and the count of the others tell as much as all of them.
-constexpr unsigned LinesPerSecond = 100;
+constexpr unsigned MaxLinesPerSecond = 100;
 
 /// What one event has used of its second.
-struct Budget {
-  std::int64_t m_Second = 0;   ///< Of the monotonic clock.
-  unsigned m_Written = 0;      ///< Lines in that second.
-  std::uint64_t m_LeftOut = 0; ///< Lines over the limit.
+struct EventBudget {
+  std::int64_t m_Second = 0;      ///< Of the monotonic clock.
+  unsigned m_Written = 0;         ///< Lines in that second.
+  std::uint64_t m_Suppressed = 0; ///< Lines over the limit.
 };
 
 std::string processName; // NOLINT(readability-identifier-naming)
 
-void writeLine(LogEvent What, const EventRow &Row,
+void writeLine(LogEvent Event, const EventRow &Row,
                std::initializer_list<LogField> Fields) {
   nlohmann::ordered_json Line;
   Line["at_ms"] = g_get_real_time() / 1000;
   Line["level"] = log4cplus::getLogLevelManager().toString(Row.m_Level);
   Line["process"] = processName;
-  Line["event"] = static_cast<unsigned>(What);
+  Line["event"] = static_cast<unsigned>(Event);
   Line["name"] = Row.m_Name;
   for (const LogField &Field : Fields)
     Line[std::string(Field.first)] = Field.second;
@@ -122,21 +122,21 @@
 }
 
 /// Counts a line; returns whether it is within the event's budget.
-bool withinBudget(LogEvent What) {
-  static std::map<LogEvent, Budget> Budgets;
-  Budget &Used = Budgets[What];
+bool withinBudget(LogEvent Event) {
+  static std::map<LogEvent, EventBudget> Budgets;
+  EventBudget &Used = Budgets[Event];
   const std::int64_t Second = g_get_monotonic_time() / G_USEC_PER_SEC;
   if (Second != Used.m_Second) {
-    const std::uint64_t LeftOut = std::exchange(Used.m_LeftOut, 0);
+    const std::uint64_t Suppressed = std::exchange(Used.m_Suppressed, 0);
     Used = {Second, 0, 0};
-    if (LeftOut > 0)
+    if (Suppressed > 0)
       logEvent(LogEvent::LogLinesLeftOut,
-               {{"of_event", std::to_string(static_cast<unsigned>(What))},
-                {"count", std::to_string(LeftOut)}});
+               {{"of_event", std::to_string(static_cast<unsigned>(Event))},
+                {"count", std::to_string(Suppressed)}});
   }
-  if (++Used.m_Written <= LinesPerSecond)
+  if (++Used.m_Written <= MaxLinesPerSecond)
     return true;
-  ++Used.m_LeftOut;
+  ++Used.m_Suppressed;
   return false;
 }
 
@@ -147,17 +147,17 @@
   const log4cplus::LogLevel Threshold = levelOf(Level);
   processName = Process;
   log4cplus::initialize();
-  log4cplus::SharedAppenderPtr Appender(new UnblockedAppender(Target));
+  log4cplus::SharedAppenderPtr Appender(new NonBlockingAppender(Target));
   logger().removeAllAppenders();
   logger().addAppender(Appender);
   logger().setAdditivity(false);
   logger().setLogLevel(Threshold);
 }
 
-void logEvent(LogEvent What, std::initializer_list<LogField> Fields) {
-  const EventRow &Row = eventRows().at(What);
-  if (logger().isEnabledFor(Row.m_Level) && withinBudget(What))
-    writeLine(What, Row, Fields);
+void logEvent(LogEvent Event, std::initializer_list<LogField> Fields) {
+  const EventRow &Row = eventRows().at(Event);
+  if (logger().isEnabledFor(Row.m_Level) && withinBudget(Event))
+    writeLine(Event, Row, Fields);
 }
 
 } // namespace crowstep
--- a/src/core/log.h
+++ b/src/core/log.h
@@ -31,12 +31,12 @@
 };
 
 /// Sets up logging, one JSON object a line. \p Level is one of "debug",
-/// "info", "warn", "error" and "off". \throws LogLevelError for another.
+/// "info", "warn", "error" and "off". \throws LogLevelError for others.
 void startLogging(const std::string &Level, const std::string &Process,
                   LogTarget Target = LogTarget::StandardOutput);
 
 /// Writes one event; cheap when its level is switched off.
-void logEvent(LogEvent What, std::initializer_list<LogField> Fields = {});
+void logEvent(LogEvent Event, std::initializer_list<LogField> Fields = {});
 
 } // namespace crowstep
 
--- a/src/core/metrics.cpp
+++ b/src/core/metrics.cpp
@@ -15,9 +15,10 @@
 constexpr double LowestSeconds = 1e-4; ///< Lower edge of the first bucket.
 constexpr double HighestSeconds = 1e3; ///< Upper edge of the last bucket.
 
-std::string labelText(const Labels &With, const std::string &Extra = {}) {
+std::string labelText(const Labels &SeriesLabels,
+                      const std::string &Extra = {}) {
   std::string Result;
-  for (const auto &[Name, Value] : With) {
+  for (const auto &[Name, Value] : SeriesLabels) {
     Result += Result.empty() ? "" : ",";
     Result += Name;
     Result += "=\"";
@@ -68,15 +69,15 @@
 
 std::uint64_t LatencyHistogram::count() const { return m_Impl->m_Count; }
 
-Duration LatencyHistogram::quantile(double Share) const {
+Duration LatencyHistogram::quantile(double Fraction) const {
   if (m_Impl->m_Count == 0)
     return Duration::zero();
-  const double Wanted = Share * static_cast<double>(m_Impl->m_Count);
-  double Seen = 0;
+  const double Target = Fraction * static_cast<double>(m_Impl->m_Count);
+  double Cumulative = 0;
   const auto &Axis = m_Impl->m_Buckets.axis();
   for (int Index = -1; Index < BucketCount; ++Index) {
-    Seen += static_cast<double>(m_Impl->m_Buckets.at(Index));
-    if (Seen >= Wanted)
+    Cumulative += static_cast<double>(m_Impl->m_Buckets.at(Index));
+    if (Cumulative >= Target)
       return std::chrono::duration_cast<Duration>(
           std::chrono::duration<double>(Axis.value(Index + 1)));
   }
@@ -84,34 +85,36 @@
       std::chrono::duration<double>(HighestSeconds));
 }
 
-void LatencyHistogram::print(const std::string &Name, const Labels &With,
+void LatencyHistogram::print(const std::string &Name,
+                             const Labels &SeriesLabels,
                              std::string &Out) const {
-  double Seen = static_cast<double>(m_Impl->m_Buckets.at(-1));
+  double Cumulative = static_cast<double>(m_Impl->m_Buckets.at(-1));
   const auto &Axis = m_Impl->m_Buckets.axis();
   for (int Index = 0; Index < BucketCount; ++Index) {
-    Seen += static_cast<double>(m_Impl->m_Buckets.at(Index));
+    Cumulative += static_cast<double>(m_Impl->m_Buckets.at(Index));
     const std::string Edge = "le=\"" + numberText(Axis.value(Index + 1)) + "\"";
-    Out += Name + "_bucket" + labelText(With, Edge) + " " +
-           std::to_string(static_cast<std::uint64_t>(Seen)) + "\n";
+    Out += Name + "_bucket" + labelText(SeriesLabels, Edge) + " " +
+           std::to_string(static_cast<std::uint64_t>(Cumulative)) + "\n";
   }
   const std::string Count = std::to_string(m_Impl->m_Count);
-  Out += Name + "_bucket" + labelText(With, "le=\"+Inf\"") + " " + Count + "\n";
-  Out +=
-      Name + "_sum" + labelText(With) + " " + numberText(m_Impl->m_Sum) + "\n";
-  Out += Name + "_count" + labelText(With) + " " + Count + "\n";
+  Out += Name + "_bucket" + labelText(SeriesLabels, "le=\"+Inf\"") + " " +
+         Count + "\n";
+  Out += Name + "_sum" + labelText(SeriesLabels) + " " +
+         numberText(m_Impl->m_Sum) + "\n";
+  Out += Name + "_count" + labelText(SeriesLabels) + " " + Count + "\n";
 }
 
-Counter &Metrics::counter(const std::string &Name, const Labels &With) {
-  return m_Counters[{Name, With}];
+Counter &Metrics::counter(const std::string &Name, const Labels &SeriesLabels) {
+  return m_Counters[{Name, SeriesLabels}];
 }
 
-Gauge &Metrics::gauge(const std::string &Name, const Labels &With) {
-  return m_Gauges[{Name, With}];
+Gauge &Metrics::gauge(const std::string &Name, const Labels &SeriesLabels) {
+  return m_Gauges[{Name, SeriesLabels}];
 }
 
 LatencyHistogram &Metrics::latency(const std::string &Name,
-                                   const Labels &With) {
-  return m_Latencies[{Name, With}];
+                                   const Labels &SeriesLabels) {
+  return m_Latencies[{Name, SeriesLabels}];
 }
 
 std::string Metrics::text() const {
--- a/src/core/metrics.h
+++ b/src/core/metrics.h
@@ -52,13 +52,13 @@
 
   /// Returns the upper edge of the bucket that holds the quantile \p Share
   /// (0 to 1), or zero while nothing was recorded.
-  [[nodiscard]] Duration quantile(double Share) const;
+  [[nodiscard]] Duration quantile(double Fraction) const;
 
   /// Returns how many latencies were recorded.
   [[nodiscard]] std::uint64_t count() const;
 
   /// Appends the buckets, sum and count in Prometheus text.
-  void print(const std::string &Name, const Labels &With,
+  void print(const std::string &Name, const Labels &SeriesLabels,
              std::string &Out) const;
 
 private:
@@ -69,9 +69,10 @@
 /// Every time series of a process. References stay valid for its lifetime.
 class Metrics {
 public:
-  Counter &counter(const std::string &Name, const Labels &With = {});
-  Gauge &gauge(const std::string &Name, const Labels &With = {});
-  LatencyHistogram &latency(const std::string &Name, const Labels &With = {});
+  Counter &counter(const std::string &Name, const Labels &SeriesLabels = {});
+  Gauge &gauge(const std::string &Name, const Labels &SeriesLabels = {});
+  LatencyHistogram &latency(const std::string &Name,
+                            const Labels &SeriesLabels = {});
 
   /// Returns all series in the Prometheus text format.
   [[nodiscard]] std::string text() const;
--- a/src/core/program.cpp
+++ b/src/core/program.cpp
@@ -22,7 +22,7 @@
 constexpr unsigned FileCheckSeconds = 1;
 
 /// Returns a mark that changes with the file, or an empty text.
-std::string markOf(const std::string &File) {
+std::string readContent(const std::string &File) {
   char *Text = nullptr;
   gsize Size = 0;
   if (g_file_get_contents(File.c_str(), &Text, &Size, nullptr) == 0)
@@ -39,10 +39,11 @@
 
 Options parseCommandLine(int Argc, char **Argv, const std::string &Purpose) {
   TCLAP::CmdLine Line(Purpose, ' ', versionText());
-  const char *Named = std::getenv("CROWSTEP_CONFIG");
+  const char *EnvConfig = std::getenv("CROWSTEP_CONFIG");
   TCLAP::ValueArg<std::string> Config(
       "c", "config", "settings file (INI); default: $CROWSTEP_CONFIG",
-      Named == nullptr, Named == nullptr ? "" : Named, "file", Line);
+      EnvConfig == nullptr, EnvConfig == nullptr ? "" : EnvConfig, "file",
+      Line);
   TCLAP::SwitchArg Check("", "check", "validate the settings and stop", Line);
   Line.parse(Argc, Argv);
   return {Config.getValue(), Check.getValue()};
@@ -51,9 +52,10 @@
 /// The loop of one daemon and what its signals do.
 class Runner {
 public:
-  Runner(Daemon &Served, std::string File, Duration StopLimit)
-      : m_Daemon(Served), m_File(std::move(File)), m_FileMark(markOf(m_File)),
-        m_StopLimit(StopLimit), m_Loop(g_main_loop_new(nullptr, 0)) {}
+  Runner(Daemon &Service, std::string File, Duration StopLimit)
+      : m_Daemon(Service), m_File(std::move(File)),
+        m_LoadedContent(readContent(m_File)), m_StopLimit(StopLimit),
+        m_Loop(g_main_loop_new(nullptr, 0)) {}
   ~Runner() { g_main_loop_unref(m_Loop); }
   Runner(const Runner &) = delete;
   Runner &operator=(const Runner &) = delete;
@@ -72,7 +74,7 @@
 
 private:
   static int onSignal(void *Data) {
-    static_cast<Runner *>(Data)->signalled();
+    static_cast<Runner *>(Data)->handleStopSignal();
     return G_SOURCE_CONTINUE;
   }
 
@@ -83,7 +85,7 @@
 
   static int onFileCheck(void *Data) {
     auto *Owner = static_cast<Runner *>(Data);
-    if (markOf(Owner->m_File) != Owner->m_FileMark)
+    if (readContent(Owner->m_File) != Owner->m_LoadedContent)
       Owner->reload();
     return G_SOURCE_CONTINUE;
   }
@@ -91,7 +93,7 @@
   /// A file that can't be read leaves the old settings in force: a half-written
   /// one must not end a process that serves.
   void reload() {
-    m_FileMark = markOf(m_File);
+    m_LoadedContent = readContent(m_File);
     try {
       Settings File = Settings::load(m_File);
       m_Daemon.reload(File);
@@ -102,13 +104,13 @@
   }
 
   static int onStopLimit(void *Data) {
-    static_cast<Runner *>(Data)->cut();
+    static_cast<Runner *>(Data)->forceStop();
     return G_SOURCE_REMOVE;
   }
 
-  void signalled() {
+  void handleStopSignal() {
     if (m_Stopping) {
-      cut();
+      forceStop();
       return;
     }
     m_Stopping = true;
@@ -119,7 +121,7 @@
     m_Daemon.stop([this] { g_main_loop_quit(m_Loop); });
   }
 
-  void cut() {
+  void forceStop() {
     logEvent(LogEvent::ProgramCut);
     m_Code = ExitCode::Cut;
     g_main_loop_quit(m_Loop);
@@ -127,27 +129,27 @@
 
   Daemon &m_Daemon;                    ///< Outlives the runner.
   std::string m_File;                  ///< Its settings.
-  std::string m_FileMark;              ///< The file's content when it was read.
+  std::string m_LoadedContent;         ///< The file's content when it was read.
   Duration m_StopLimit;                ///< From the first signal.
   GMainLoop *m_Loop;                   ///< Owned.
   bool m_Stopping = false;             ///< After the first signal.
   ExitCode m_Code = ExitCode::Success; ///< What run() returns.
 };
 
-ExitCode runChecked(const Options &Chosen, const std::string &Name,
-                    const DaemonFactory &Make) {
-  Settings File = Settings::load(Chosen.m_Config);
+ExitCode runChecked(const Options &CommandLine, const std::string &Name,
+                    const DaemonFactory &Factory) {
+  Settings File = Settings::load(CommandLine.m_Config);
   startLogging(File.text("log", "level", "info"), Name);
   const Duration StopLimit =
       File.milliseconds("daemon", "stop_limit_ms", Duration::zero(),
                         std::chrono::hours(24), DefaultStopLimit);
-  const std::unique_ptr<Daemon> Served = Make(File);
+  const std::unique_ptr<Daemon> Service = Factory(File);
   File.rejectUnknown();
-  if (Chosen.m_CheckOnly) {
-    std::cout << Chosen.m_Config << ": valid\n";
+  if (CommandLine.m_CheckOnly) {
+    std::cout << CommandLine.m_Config << ": valid\n";
     return ExitCode::Success;
   }
-  Runner Loop(*Served, Chosen.m_Config, StopLimit);
+  Runner Loop(*Service, CommandLine.m_Config, StopLimit);
   logEvent(LogEvent::ProgramStarted, {{"version", versionText()}});
   const ExitCode Code = Loop.run();
   logEvent(LogEvent::ProgramStopped);
@@ -169,11 +171,11 @@
 } // namespace
 
 int runDaemon(int Argc, char **Argv, const std::string &Name,
-              const std::string &Purpose, const DaemonFactory &Make) {
+              const std::string &Purpose, const DaemonFactory &Factory) {
   try {
-    const Options Chosen = parseCommandLine(Argc, Argv, Purpose);
-    const ExitCode Code = runChecked(Chosen, Name, Make);
-    if (!Chosen.m_CheckOnly)
+    const Options CommandLine = parseCommandLine(Argc, Argv, Purpose);
+    const ExitCode Code = runChecked(CommandLine, Name, Factory);
+    if (!CommandLine.m_CheckOnly)
       endProcess(Code);
     return static_cast<int>(Code);
   } catch (const SettingError &Failure) {
--- a/src/core/program.h
+++ b/src/core/program.h
@@ -43,7 +43,7 @@
 /// settings. Without --config the variable CROWSTEP_CONFIG names the file.
 /// Returns the exit code.
 int runDaemon(int Argc, char **Argv, const std::string &Name,
-              const std::string &Purpose, const DaemonFactory &Make);
+              const std::string &Purpose, const DaemonFactory &Factory);
 
 /// Returns the version of this build.
 std::string versionText();
--- a/src/core/scheduler.cpp
+++ b/src/core/scheduler.cpp
@@ -54,10 +54,10 @@
 
 TimerId LoopScheduler::after(Duration Delay, std::function<void()> Job) {
   const TimerId Id(++m_LastId);
-  const TimePoint When = TimePoint(Duration(g_get_monotonic_time())) +
-                         std::max(Delay, Duration::zero());
-  m_Jobs.emplace(Due(When, Id), std::move(Job));
-  m_DueOf.emplace(Id, When);
+  const TimePoint DueTime = TimePoint(Duration(g_get_monotonic_time())) +
+                            std::max(Delay, Duration::zero());
+  m_Jobs.emplace(Due(DueTime, Id), std::move(Job));
+  m_DueOf.emplace(Id, DueTime);
   if (m_Jobs.begin()->first.second == Id)
     arm();
   return Id;
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -74,7 +74,7 @@
 /// A timer that is cancelled when its owner goes, and set anew by start().
 class Timer {
 public:
-  explicit Timer(Scheduler &Source) : m_Scheduler(Source) {}
+  explicit Timer(Scheduler &Timers) : m_Scheduler(Timers) {}
   ~Timer() { stop(); }
   Timer(const Timer &) = delete;
   Timer &operator=(const Timer &) = delete;
--- a/src/core/settings.cpp
+++ b/src/core/settings.cpp
@@ -17,11 +17,11 @@
 }
 
 std::string trimmed(const std::string &Text) {
-  const char *Blank = " \t";
-  const std::size_t Begin = Text.find_first_not_of(Blank);
+  const char *Blanks = " \t";
+  const std::size_t Begin = Text.find_first_not_of(Blanks);
   if (Begin == std::string::npos)
     return {};
-  return Text.substr(Begin, Text.find_last_not_of(Blank) - Begin + 1);
+  return Text.substr(Begin, Text.find_last_not_of(Blanks) - Begin + 1);
 }
 
 } // namespace
@@ -31,9 +31,9 @@
   gsize Length = 0;
   GError *Failure = nullptr;
   if (g_file_get_contents(Path.c_str(), &Content, &Length, &Failure) == 0) {
-    const std::string Why = Failure->message;
+    const std::string Reason = Failure->message;
     g_error_free(Failure);
-    throw SettingsFileError(Path, Why);
+    throw SettingsFileError(Path, Reason);
   }
   const std::string Text(Content, Length);
   g_free(Content);
@@ -47,9 +47,9 @@
   GError *Failure = nullptr;
   if (g_key_file_load_from_data(Result.m_File.get(), Text.data(), Text.size(),
                                 G_KEY_FILE_NONE, &Failure) == 0) {
-    const std::string Why = Failure->message;
+    const std::string Reason = Failure->message;
     g_error_free(Failure);
-    throw SettingsFileError(Name, Why);
+    throw SettingsFileError(Name, Reason);
   }
   return Result;
 }
--- a/src/core/socket_watch.cpp
+++ b/src/core/socket_watch.cpp
@@ -15,13 +15,13 @@
 /// Sockets that are reported in one iteration; others get their turn next.
 constexpr std::size_t MaxReady = 64;
 
-std::uint32_t maskOf(SocketEvents What) {
+std::uint32_t maskOf(SocketEvents Events) {
   std::uint32_t Result = 0;
-  if (What.m_Read)
+  if (Events.m_Read)
     Result |= EPOLLIN;
-  if (What.m_Write)
+  if (Events.m_Write)
     Result |= EPOLLOUT;
-  if (What.m_HungUp)
+  if (Events.m_HungUp)
     Result |= EPOLLRDHUP;
   return Result;
 }
@@ -38,35 +38,35 @@
 class SocketPoller {
 public:
   static SocketPoller &instance() {
-    static SocketPoller Only;
-    return Only;
+    static SocketPoller Instance;
+    return Instance;
   }
   SocketPoller(const SocketPoller &) = delete;
   SocketPoller &operator=(const SocketPoller &) = delete;
 
-  void add(SocketWatch &Which, SocketEvents What) {
-    Which.m_Id = ++m_LastId;
-    epoll_event Event = eventFor(Which, What);
-    m_Watches[Which.m_Id] = &Which;
-    m_IdOf[Which.m_Socket] = Which.m_Id;
+  void add(SocketWatch &Watch, SocketEvents Events) {
+    Watch.m_Id = ++m_LastId;
+    epoll_event Event = eventFor(Watch, Events);
+    m_Watches[Watch.m_Id] = &Watch;
+    m_IdOf[Watch.m_Socket] = Watch.m_Id;
     // Left behind by a watch whose socket was closed and its number used anew.
-    if (epoll_ctl(m_Epoll, EPOLL_CTL_ADD, Which.m_Socket, &Event) != 0)
-      epoll_ctl(m_Epoll, EPOLL_CTL_MOD, Which.m_Socket, &Event);
+    if (epoll_ctl(m_Epoll, EPOLL_CTL_ADD, Watch.m_Socket, &Event) != 0)
+      epoll_ctl(m_Epoll, EPOLL_CTL_MOD, Watch.m_Socket, &Event);
   }
 
-  void change(const SocketWatch &Which, SocketEvents What) {
-    epoll_event Event = eventFor(Which, What);
-    if (owns(Which))
-      epoll_ctl(m_Epoll, EPOLL_CTL_MOD, Which.m_Socket, &Event);
+  void change(const SocketWatch &Watch, SocketEvents Events) {
+    epoll_event Event = eventFor(Watch, Events);
+    if (owns(Watch))
+      epoll_ctl(m_Epoll, EPOLL_CTL_MOD, Watch.m_Socket, &Event);
   }
 
-  void remove(SocketWatch &Which) {
-    if (owns(Which)) {
-      epoll_ctl(m_Epoll, EPOLL_CTL_DEL, Which.m_Socket, nullptr);
-      m_IdOf.erase(Which.m_Socket);
+  void remove(SocketWatch &Watch) {
+    if (owns(Watch)) {
+      epoll_ctl(m_Epoll, EPOLL_CTL_DEL, Watch.m_Socket, nullptr);
+      m_IdOf.erase(Watch.m_Socket);
     }
-    m_Watches.erase(Which.m_Id);
-    Which.m_Id = 0;
+    m_Watches.erase(Watch.m_Id);
+    Watch.m_Id = 0;
   }
 
 private:
@@ -88,17 +88,17 @@
     return G_SOURCE_CONTINUE;
   }
 
-  static epoll_event eventFor(const SocketWatch &Which, SocketEvents What) {
+  static epoll_event eventFor(const SocketWatch &Watch, SocketEvents Events) {
     epoll_event Result{};
-    Result.events = maskOf(What);
-    Result.data.u64 = Which.m_Id;
+    Result.events = maskOf(Events);
+    Result.data.u64 = Watch.m_Id;
     return Result;
   }
 
   /// A closed socket's number may belong to another watch by now.
-  [[nodiscard]] bool owns(const SocketWatch &Which) const {
-    const auto Found = m_IdOf.find(Which.m_Socket);
-    return Found != m_IdOf.end() && Found->second == Which.m_Id;
+  [[nodiscard]] bool owns(const SocketWatch &Watch) const {
+    const auto Found = m_IdOf.find(Watch.m_Socket);
+    return Found != m_IdOf.end() && Found->second == Watch.m_Id;
   }
 
   void report() {
@@ -124,16 +124,16 @@
 
 SocketWatch::~SocketWatch() { watchFor({}); }
 
-void SocketWatch::watchFor(SocketEvents What) {
-  if (What == m_Events)
+void SocketWatch::watchFor(SocketEvents Events) {
+  if (Events == m_Events)
     return;
   if (m_Id == 0)
-    SocketPoller::instance().add(*this, What);
-  else if (What == SocketEvents())
+    SocketPoller::instance().add(*this, Events);
+  else if (Events == SocketEvents())
     SocketPoller::instance().remove(*this);
   else
-    SocketPoller::instance().change(*this, What);
-  m_Events = What;
+    SocketPoller::instance().change(*this, Events);
+  m_Events = Events;
 }
 
 } // namespace crowstep
--- a/src/core/socket_watch.h
+++ b/src/core/socket_watch.h
@@ -26,7 +26,7 @@
 
   /// The conditions hold at present; called again while they do. The watch may
   /// be destroyed from within.
-  virtual void socketReady(SocketEvents What) = 0;
+  virtual void socketReady(SocketEvents Events) = 0;
 };
 
 /// A socket that is watched from the default main context.
@@ -40,7 +40,7 @@
 
   /// Watches for \p What in place of what was watched for before. A watch for
   /// nothing doesn't report failures either.
-  void watchFor(SocketEvents What);
+  void watchFor(SocketEvents Events);
 
   /// Replaces the listener.
   void setListener(SocketListener &Listener) { m_Listener = &Listener; }
--- a/tests/unit/log_test.cpp
+++ b/tests/unit/log_test.cpp
@@ -50,10 +50,10 @@
   int m_Read = -1; ///< The test's end.
 };
 
-std::size_t count(const std::string &Text, const std::string &What) {
+std::size_t count(const std::string &Text, const std::string &Pattern) {
   std::size_t Result = 0;
-  for (std::size_t At = Text.find(What); At != std::string::npos;
-       At = Text.find(What, At + 1))
+  for (std::size_t At = Text.find(Pattern); At != std::string::npos;
+       At = Text.find(Pattern, At + 1))
     ++Result;
   return Result;
 }
@@ -82,9 +82,9 @@
   const gint64 Begin = g_get_monotonic_time();
   // Many events, so that no budget ends the lines before the pipe is full.
   for (int I = 0; I < 60; ++I)
-    for (const LogEvent What :
+    for (const LogEvent Event :
          {LogEvent::GatewayNotAdmitted, LogEvent::GatewayRequestFailed})
-      logEvent(What, {{"request", Long}});
+      logEvent(Event, {{"request", Long}});
   BOOST_TEST(g_get_monotonic_time() - Begin < G_USEC_PER_SEC);
   Reader.read();
   logEvent(LogEvent::GatewayDrained);
