--- a/src/core/base64.h
+++ b/src/core/base64.h
@@ -9,7 +9,7 @@
 /// Returns \p Bytes in Base64.
 std::string base64Encoded(const std::string &Bytes);
 
-/// Returns the bytes of \p Text; what is no Base64 is passed over.
+/// Decodes \p Text; characters that are not Base64 are skipped.
 std::string base64Decoded(const std::string &Text);
 
 } // namespace crowstep
--- a/src/core/clock.cpp
+++ b/src/core/clock.cpp
@@ -1,4 +1,4 @@
-/// The daemons' clock, read from GLib.
+/// The daemons' clock, based on GLib's monotonic clock.
 #include "core/clock.h"
 
 #include <glib.h>
--- a/src/core/clock.h
+++ b/src/core/clock.h
@@ -1,4 +1,4 @@
-/// The runtime's clock, behind an interface that tests pause and advance.
+/// The daemons' clock, behind an interface that tests replace and advance.
 ///
 /// No decision reads the wall clock: two machines' wall clocks are never
 /// compared, and every age is measured on one machine's monotonic clock.
@@ -11,7 +11,8 @@
 
 using Duration = std::chrono::microseconds;
 
-/// Tag of the time points that a Clock hands out; it has no now() on purpose.
+/// Clock type of the time points that a Clock returns. It has no now(), so that
+/// time is read through a Clock only.
 struct RuntimeClock {
   using duration = Duration;
   using rep = duration::rep;
@@ -30,10 +31,9 @@
   /// the same for all decisions of one iteration.
   [[nodiscard]] virtual TimePoint now() const = 0;
 
-  /// Returns the time read just now. A process that was frozen in the middle
-  /// of an iteration sees a stale now(); the last check before a call that may
-  /// not be repeated is sent must therefore use this one, which runs through
-  /// the freeze.
+  /// Reads the clock. now() is stale in a process that was stopped during an
+  /// iteration, so the last check before sending a call that may not be retried
+  /// must use this function, which includes the time of the stop.
   [[nodiscard]] virtual TimePoint fresh() const = 0;
 };
 
@@ -44,17 +44,17 @@
   [[nodiscard]] TimePoint fresh() const override;
 };
 
-/// Clock of a test: stands still until it is advanced.
+/// Clock for tests; changes only when it is advanced.
 class ManualClock final : public Clock {
 public:
   [[nodiscard]] TimePoint now() const override { return m_Now; }
   [[nodiscard]] TimePoint fresh() const override { return m_Now; }
 
-  /// Moves the time on by \p Step, which must not be negative.
+  /// Advances the time by \p Step, which must not be negative.
   void advance(Duration Step) { m_Now += Step; }
 
 private:
-  TimePoint m_Now{std::chrono::seconds(1)}; ///< Never goes back.
+  TimePoint m_Now{std::chrono::seconds(1)}; ///< Never decreases.
 };
 
 } // namespace crowstep
--- a/src/core/digest.cpp
+++ b/src/core/digest.cpp
@@ -1,4 +1,4 @@
-/// Digests by GLib.
+/// SHA-256 digests, computed by GLib.
 #include "core/digest.h"
 
 #include <glib.h>
--- a/src/core/digest.h
+++ b/src/core/digest.h
@@ -1,4 +1,4 @@
-/// Digests of keys.
+/// SHA-256 digests.
 #ifndef CROWSTEP_CORE_DIGEST_H
 #define CROWSTEP_CORE_DIGEST_H
 
--- a/src/core/error.h
+++ b/src/core/error.h
@@ -1,6 +1,6 @@
-/// Base of every failure type.
+/// Base classes of exceptions.
 ///
-/// Each module declares one exception type a failure in its own *_error.h; a
+/// Each module declares one exception type per failure in its own *_error.h. A
 /// refusal to a caller is a value (RefusalReason), not an exception.
 #ifndef CROWSTEP_CORE_ERROR_H
 #define CROWSTEP_CORE_ERROR_H
@@ -10,7 +10,8 @@
 
 namespace crowstep {
 
-/// Root of crowstep's exceptions; what() is for people, the type for code.
+/// Base of crowstep's exceptions. Code tells failures apart by their type;
+/// what() is for people.
 class Error : public std::runtime_error {
 public:
   using std::runtime_error::runtime_error;
@@ -26,7 +27,7 @@
               "': allowed: " + Allowed) {}
 };
 
-/// A settings file is missing or no INI file.
+/// A settings file is missing or not an INI file.
 class SettingsFileError : public Error {
 public:
   SettingsFileError(const std::string &File, const std::string &Reason)
--- a/src/core/http_server.cpp
+++ b/src/core/http_server.cpp
@@ -5,8 +5,9 @@
 
 namespace {
 
-/// libsoup's own listen() uses 10: a burst of callers then loses SYNs, which
-/// are sent again only after a second. The kernel cuts this to its own limit.
+/// libsoup's own listen functions use a backlog of 10. A burst of callers then
+/// loses SYNs, which are retransmitted only after a second. The kernel caps
+/// this value at its own limit.
 constexpr int ListenBacklog = 1024;
 
 [[noreturn]] void throwListenError(const Address &BindAddress,
--- a/src/core/http_server.h
+++ b/src/core/http_server.h
@@ -1,4 +1,4 @@
-/// A small HTTP server over libsoup, with the settings that libsoup needs.
+/// A small HTTP server over libsoup.
 #ifndef CROWSTEP_CORE_HTTP_SERVER_H
 #define CROWSTEP_CORE_HTTP_SERVER_H
 
@@ -11,14 +11,14 @@
 
 namespace crowstep {
 
-/// A server can't listen where its settings say.
+/// A server can't listen on its configured address.
 class ListenError : public Error {
 public:
   ListenError(const Address &BindAddress, const std::string &Reason)
       : Error("can't listen on " + toString(BindAddress) + ": " + Reason) {}
 };
 
-/// Listens on one address and hands every request to one handler.
+/// Listens on one address and passes every request to one handler.
 class HttpServer {
 public:
   using Handler = std::function<void(SoupServerMessage *, const char *Path)>;
@@ -28,17 +28,19 @@
   HttpServer(const HttpServer &) = delete;
   HttpServer &operator=(const HttpServer &) = delete;
 
-  /// Serves requests whose bodies have arrived whole. \throws ListenError.
+  /// Starts to listen; \p OnRequest is called when a request's body is
+  /// complete. \throws ListenError.
   void listen(const Address &BindAddress, Handler OnRequest);
 
-  /// Adds a hook that runs when a request's headers have arrived, before its
-  /// body is read; it may set a status to refuse the request.
+  /// Sets a hook that runs when a request's headers have been received, before
+  /// its body is read; it may set a status to refuse the request. Must be
+  /// called after listen().
   void onHeaders(std::function<void(SoupServerMessage *)> Hook);
 
-  /// Accepts no more connections; the present ones go on.
+  /// Accepts no more connections; existing ones stay open.
   void stopListening();
 
-  /// Returns libsoup's server, for what this class does not wrap.
+  /// Returns libsoup's server, for functions that this class does not wrap.
   [[nodiscard]] SoupServer *native() const { return m_Server; }
 
 private:
@@ -47,21 +49,21 @@
   std::function<void(SoupServerMessage *)> m_Hook; ///< May be empty.
 };
 
-/// Answers \p Message with a body of the type given.
+/// Answers \p Message with \p Body of the media type \p ContentType.
 void respond(SoupServerMessage *Message, unsigned Status,
              const std::string &ContentType, const std::string &Body);
 
-/// Returns a request header, or an empty text.
+/// Returns a request header, or an empty string if it is absent.
 std::string requestHeader(SoupServerMessage *Message, const char *Name);
 
-/// Returns the path as it was sent, with its query, for forwarding.
+/// Returns the request's path and query as sent, for forwarding.
 std::string requestTarget(SoupServerMessage *Message);
 
-/// Returns the request's body, which must have arrived whole.
+/// Returns the request's body, which must be complete.
 std::string requestBody(SoupServerMessage *Message);
 
-/// Binds and listens on \p Where with a backlog that a burst of callers needs.
-/// Returns an owned socket. \throws ListenError.
+/// Binds and listens on \p BindAddress with a backlog that is large enough for
+/// a burst of callers. The caller owns the socket. \throws ListenError.
 GSocket *listeningSocket(const Address &BindAddress);
 
 } // namespace crowstep
--- a/src/core/log.cpp
+++ b/src/core/log.cpp
@@ -20,8 +20,8 @@
 namespace {
 
 struct EventRow {
-  log4cplus::LogLevel m_Level; ///< Level at which it is written.
-  std::string_view m_Name;     ///< Stable name.
+  log4cplus::LogLevel m_Level; ///< Level at which the event is logged.
+  std::string_view m_Name;     ///< Does not change between versions.
 };
 
 constexpr log4cplus::LogLevel Debug = log4cplus::DEBUG_LOG_LEVEL;
@@ -58,12 +58,12 @@
   return Instance;
 }
 
-/// Writes lines without ever waiting for their reader.
+/// Writes lines without ever blocking.
 ///
-/// Failure: the reader of a pipe stops, the pipe fills, and a write blocks the
-/// one thread that serves callers. A line is written only when the pipe has
-/// room for it, which the kernel promises for lines up to PIPE_BUF; others are
-/// dropped and counted, so no memory grows.
+/// If the reader of a pipe stops, the pipe fills and a plain write would block
+/// the one thread that serves callers. A line is written only if poll() reports
+/// room, which for a pipe means room for PIPE_BUF bytes. Other lines are
+/// dropped and counted, not queued, so that memory does not grow.
 class NonBlockingAppender final : public log4cplus::Appender {
 public:
   explicit NonBlockingAppender(LogTarget Target)
@@ -87,20 +87,20 @@
   }
 
 private:
-  int m_Fd;                    ///< Never closed here.
-  std::uint64_t m_Dropped = 0; ///< Since the last line that was written.
+  int m_Fd;                    ///< Not owned.
+  std::uint64_t m_Dropped = 0; ///< Since the last report of dropped lines.
 };
 
-/// How many lines of one event may be written in a second. A heavy day has ten
-/// requests a second at one process; the rest is for storms, in which the first
-/// lines and the count of the others tell as much as all of them.
+/// Maximum number of lines of one event per second. One process serves ten
+/// requests per second on a busy day; the rest is headroom for bursts of
+/// errors, of which the first lines and the number of the others say enough.
 constexpr unsigned MaxLinesPerSecond = 100;
 
-/// What one event has used of its second.
+/// Lines of one event in the current second.
 struct EventBudget {
-  std::int64_t m_Second = 0;      ///< Of the monotonic clock.
-  unsigned m_Written = 0;         ///< Lines in that second.
-  std::uint64_t m_Suppressed = 0; ///< Lines over the limit.
+  std::int64_t m_Second = 0;      ///< Second of the monotonic clock.
+  unsigned m_Written = 0;         ///< Lines written in that second.
+  std::uint64_t m_Suppressed = 0; ///< Lines over the limit, not written.
 };
 
 std::string processName; // NOLINT(readability-identifier-naming)
@@ -115,13 +115,14 @@
   Line["name"] = Row.m_Name;
   for (const LogField &Field : Fields)
     Line[std::string(Field.first)] = Field.second;
-  // Bytes of callers that are no UTF-8 must not end the process.
+  // Fields may hold bytes from callers that are not UTF-8; the default handler
+  // would throw.
   logger().log(
       Row.m_Level,
       Line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
-/// Counts a line; returns whether it is within the event's budget.
+/// Counts a line and returns whether it is within the event's budget.
 bool withinBudget(LogEvent Event) {
   static std::map<LogEvent, EventBudget> Budgets;
   EventBudget &Used = Budgets[Event];
--- a/src/core/log.h
+++ b/src/core/log.h
@@ -1,8 +1,8 @@
 /// Numbered, structured log events over log4cplus.
 ///
 /// Every event has a row in src/table/*_events.inc: number, level, name. The
-/// numbers are stable and docs/EVENTS.md lists them all. No prompt, answer or
-/// key is ever passed as a field.
+/// numbers are stable; docs/EVENTS.md lists them all. Prompts, answers and keys
+/// are never passed as fields.
 #ifndef CROWSTEP_CORE_LOG_H
 #define CROWSTEP_CORE_LOG_H
 
@@ -27,15 +27,17 @@
 /// Where log lines go.
 enum class LogTarget : std::uint8_t {
   StandardOutput, ///< Daemons.
-  StandardError,  ///< Commands, whose output is what they print.
+  StandardError,  ///< Commands, which print their results to
+                  ///< standard output.
 };
 
-/// Sets up logging, one JSON object a line. \p Level is one of "debug",
+/// Sets up logging, with one JSON object per line. \p Level is one of "debug",
 /// "info", "warn", "error" and "off". \throws LogLevelError for others.
 void startLogging(const std::string &Level, const std::string &Process,
                   LogTarget Target = LogTarget::StandardOutput);
 
-/// Writes one event; cheap when its level is switched off.
+/// Writes one event; cheap if its level is disabled. Lines of one event beyond
+/// a budget per second are counted but not written.
 void logEvent(LogEvent Event, std::initializer_list<LogField> Fields = {});
 
 } // namespace crowstep
--- a/src/core/log_error.h
+++ b/src/core/log_error.h
@@ -1,4 +1,4 @@
-/// Failures of setting up logs.
+/// Failures of the logging set-up.
 #ifndef CROWSTEP_CORE_LOG_ERROR_H
 #define CROWSTEP_CORE_LOG_ERROR_H
 
@@ -6,7 +6,7 @@
 
 namespace crowstep {
 
-/// A log level that does not exist.
+/// The configured log level is unknown.
 class LogLevelError : public Error {
 public:
   explicit LogLevelError(const std::string &Name)
--- a/src/core/metrics.cpp
+++ b/src/core/metrics.cpp
@@ -11,7 +11,7 @@
 namespace bh = boost::histogram;
 using LogAxis = bh::axis::regular<double, bh::axis::transform::log>;
 
-constexpr int BucketCount = 56;        ///< 8 a decade.
+constexpr int BucketCount = 56;        ///< 8 per decade.
 constexpr double LowestSeconds = 1e-4; ///< Lower edge of the first bucket.
 constexpr double HighestSeconds = 1e3; ///< Upper edge of the last bucket.
 
@@ -36,7 +36,8 @@
   return Text.str();
 }
 
-/// Prints the type line once for each run of equal names.
+/// Prints the type line once per run of series with the same name; \p Last is
+/// the name printed last.
 void printType(const std::string &Name, const char *Type, std::string &Last,
                std::string &Out) {
   if (Last == Name)
@@ -51,7 +52,7 @@
   bh::histogram<std::tuple<LogAxis>> m_Buckets =
       bh::make_histogram(LogAxis(BucketCount, LowestSeconds, HighestSeconds));
   double m_Sum = 0;          ///< Seconds.
-  std::uint64_t m_Count = 0; ///< Latencies recorded.
+  std::uint64_t m_Count = 0; ///< Recorded latencies.
 };
 
 LatencyHistogram::LatencyHistogram() : m_Impl(std::make_unique<Impl>()) {}
--- a/src/core/metrics.h
+++ b/src/core/metrics.h
@@ -1,7 +1,7 @@
 /// Counters, gauges and latency histograms, exported as Prometheus text.
 ///
-/// A handle is looked up once, at start, so that a counter stands in /metrics
-/// with the value 0 before the first time it grows.
+/// Handles are looked up once, at start-up, so that a counter is exported with
+/// the value 0 before its first increment.
 #ifndef CROWSTEP_CORE_METRICS_H
 #define CROWSTEP_CORE_METRICS_H
 
@@ -19,7 +19,7 @@
 /// Labels of one time series, in the order in which they are printed.
 using Labels = std::vector<std::pair<std::string, std::string>>;
 
-/// A number that only grows.
+/// A monotonically increasing value.
 class Counter {
 public:
   void add(std::uint64_t Step = 1) { m_Value += Step; }
@@ -29,14 +29,14 @@
   std::uint64_t m_Value = 0; ///< Since the start of the process.
 };
 
-/// A number that goes up and down.
+/// A value that can go up and down.
 class Gauge {
 public:
   void set(double Value) { m_Value = Value; }
   [[nodiscard]] double value() const { return m_Value; }
 
 private:
-  double m_Value = 0; ///< As last set.
+  double m_Value = 0; ///< Last value set.
 };
 
 /// Latencies on a logarithmic axis from 0.1 ms to 1,000 s (Boost.Histogram).
@@ -47,14 +47,14 @@
   LatencyHistogram(LatencyHistogram &&) noexcept;
   LatencyHistogram &operator=(LatencyHistogram &&) noexcept;
 
-  /// Counts one latency.
+  /// Adds one latency.
   void record(Duration Latency);
 
-  /// Returns the upper edge of the bucket that holds the quantile \p Share
-  /// (0 to 1), or zero while nothing was recorded.
+  /// Returns the upper edge of the bucket that holds the quantile \p Fraction
+  /// (0 to 1), or zero if nothing was recorded.
   [[nodiscard]] Duration quantile(double Fraction) const;
 
-  /// Returns how many latencies were recorded.
+  /// Returns the number of recorded latencies.
   [[nodiscard]] std::uint64_t count() const;
 
   /// Appends the buckets, sum and count in Prometheus text.
@@ -63,7 +63,7 @@
 
 private:
   struct Impl;
-  std::unique_ptr<Impl> m_Impl; ///< Never null, but after a move.
+  std::unique_ptr<Impl> m_Impl; ///< Null only after a move.
 };
 
 /// Every time series of a process. References stay valid for its lifetime.
--- a/src/core/pair_hash.cpp
+++ b/src/core/pair_hash.cpp
@@ -1,4 +1,4 @@
-/// The hash behind rendezvous choices.
+/// Hash function for rendezvous hashing.
 #include "core/pair_hash.h"
 
 #include <array>
--- a/src/core/pair_hash.h
+++ b/src/core/pair_hash.h
@@ -1,4 +1,4 @@
-/// The hash behind rendezvous choices.
+/// Hash function for rendezvous hashing.
 #ifndef CROWSTEP_CORE_PAIR_HASH_H
 #define CROWSTEP_CORE_PAIR_HASH_H
 
--- a/src/core/program.cpp
+++ b/src/core/program.cpp
@@ -1,4 +1,4 @@
-/// The daemons' common main program.
+/// Main program shared by all daemons.
 #include "core/program.h"
 
 #include "core/error.h"
@@ -17,11 +17,12 @@
 
 constexpr Duration DefaultStopLimit = std::chrono::seconds(600);
 
-/// Some platforms change the settings file without a signal; a look at it each
-/// second costs four system calls.
+/// Some platforms change the settings file without sending a signal. Reading it
+/// every second costs four system calls.
 constexpr unsigned FileCheckSeconds = 1;
 
-/// Returns a mark that changes with the file, or an empty text.
+/// Returns the content of \p File, to detect changes, or an empty string if it
+/// can't be read.
 std::string readContent(const std::string &File) {
   char *Text = nullptr;
   gsize Size = 0;
@@ -34,7 +35,7 @@
 
 struct Options {
   std::string m_Config;     ///< Settings file.
-  bool m_CheckOnly = false; ///< Validate and stop.
+  bool m_CheckOnly = false; ///< Validate the settings and exit.
 };
 
 Options parseCommandLine(int Argc, char **Argv, const std::string &Purpose) {
@@ -49,7 +50,7 @@
   return {Config.getValue(), Check.getValue()};
 }
 
-/// The loop of one daemon and what its signals do.
+/// Main loop and signal handling of one daemon.
 class Runner {
 public:
   Runner(Daemon &Service, std::string File, Duration StopLimit)
@@ -61,7 +62,7 @@
   Runner &operator=(const Runner &) = delete;
 
   ExitCode run() {
-    // A peer that closes must not end the process with SIGPIPE.
+    // A write to a closed connection must not end the process with SIGPIPE.
     std::signal(SIGPIPE, SIG_IGN);
     g_unix_signal_add(SIGTERM, onSignal, this);
     g_unix_signal_add(SIGINT, onSignal, this);
@@ -90,8 +91,8 @@
     return G_SOURCE_CONTINUE;
   }
 
-  /// A file that can't be read leaves the old settings in force: a half-written
-  /// one must not end a process that serves.
+  /// If the file can't be read, the old settings stay in force: a half-written
+  /// file must not end a process that serves.
   void reload() {
     m_LoadedContent = readContent(m_File);
     try {
@@ -127,12 +128,12 @@
     g_main_loop_quit(m_Loop);
   }
 
-  Daemon &m_Daemon;                    ///< Outlives the runner.
-  std::string m_File;                  ///< Its settings.
-  std::string m_LoadedContent;         ///< The file's content when it was read.
-  Duration m_StopLimit;                ///< From the first signal.
-  GMainLoop *m_Loop;                   ///< Owned.
-  bool m_Stopping = false;             ///< After the first signal.
+  Daemon &m_Daemon;            ///< Outlives the runner.
+  std::string m_File;          ///< Settings file.
+  std::string m_LoadedContent; ///< Content of the file when it was last read.
+  Duration m_StopLimit;        ///< Counted from the first signal.
+  GMainLoop *m_Loop;           ///< Owned.
+  bool m_Stopping = false;     ///< After the first signal.
   ExitCode m_Code = ExitCode::Success; ///< What run() returns.
 };
 
@@ -156,13 +157,13 @@
   return Code;
 }
 
-/// Ends a process that has served, past the destructors of static objects:
-/// log4cplus waits for its threads there, and where they don't come the process
-/// stays until it is killed. Nothing is left to flush, as lines are written at
-/// once.
+/// Ends the process without running the destructors of static objects:
+/// log4cplus waits for its threads there, and if they don't end the process
+/// hangs until it is killed. Nothing needs to be flushed, as log lines are
+/// written at once.
 [[noreturn]] void endProcess(ExitCode Code) {
 #ifdef __SANITIZE_ADDRESS__
-  std::exit(static_cast<int>(Code)); // Leaks are looked for by an exit handler.
+  std::exit(static_cast<int>(Code)); // LeakSanitizer runs in an exit handler.
 #else
   std::quick_exit(static_cast<int>(Code));
 #endif
--- a/src/core/scheduler.cpp
+++ b/src/core/scheduler.cpp
@@ -1,4 +1,4 @@
-/// Timers on GLib's loop and on a manual clock.
+/// Timers on GLib's main loop and on a manual clock.
 #include "core/scheduler.h"
 
 #include <algorithm>
@@ -6,10 +6,10 @@
 
 namespace crowstep {
 
-/// A GLib source with a pointer back; allocated by GLib.
+/// A GLib source with a pointer to its scheduler; allocated by GLib.
 struct LoopScheduler::Source {
   GSource m_Base;         ///< Must come first.
-  LoopScheduler *m_Owner; ///< Destroys the source before it goes.
+  LoopScheduler *m_Owner; ///< Destroys the source in its destructor.
 
   static gboolean dispatch(GSource *Base, GSourceFunc, gpointer) {
     reinterpret_cast<Source *>(Base)->m_Owner->runDue();
@@ -40,8 +40,8 @@
 
 void LoopScheduler::runDue() {
   const TimePoint Now{Duration(g_get_monotonic_time())};
-  // Timers that these jobs set, even for now, wait for the next iteration, so
-  // that a job that sets itself again does not starve the loop.
+  // Timers that these jobs start, even without delay, wait for the next
+  // iteration, so that a job that restarts itself does not starve the loop.
   const TimerId Newest(m_LastId);
   while (!m_Jobs.empty() && m_Jobs.begin()->first.first <= Now &&
          m_Jobs.begin()->first.second <= Newest) {
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -1,4 +1,4 @@
-/// One-shot timers on the loop, behind an interface that tests drive by hand.
+/// One-shot timers on the main loop, behind an interface that tests drive.
 #ifndef CROWSTEP_CORE_SCHEDULER_H
 #define CROWSTEP_CORE_SCHEDULER_H
 
@@ -12,7 +12,7 @@
 
 namespace crowstep {
 
-/// Names a timer; 0 names none.
+/// Id of a timer; 0 is no timer.
 using TimerId = StrongId<struct TimerTag, std::uint64_t>;
 
 /// Source of one-shot timers.
@@ -23,13 +23,13 @@
   /// Calls \p Job once after \p Delay; returns the timer's id.
   virtual TimerId after(Duration Delay, std::function<void()> Job) = 0;
 
-  /// Drops a timer; one that has run or never was is ignored.
+  /// Cancels a timer; one that has run or does not exist is ignored.
   virtual void cancel(TimerId Timer) = 0;
 };
 
-/// Timers of the default GMainContext. All of them share one GLib source:
-/// GLib looks at every source in every loop iteration, so a source a timer
-/// makes each iteration cost as much as there are requests.
+/// Timers of the default GMainContext, all of them in one GLib source. GLib
+/// visits every source in each loop iteration, so with one source per timer the
+/// cost of an iteration would grow with the number of requests.
 class LoopScheduler final : public Scheduler {
 public:
   LoopScheduler();
@@ -49,11 +49,11 @@
 
   Source *m_Source;                               ///< Owned.
   std::uint64_t m_LastId = 0;                     ///< Ids start at 1.
-  std::map<Due, std::function<void()>> m_Jobs;    ///< In the order of dueness.
-  std::unordered_map<TimerId, TimePoint> m_DueOf; ///< Of each of m_Jobs.
+  std::map<Due, std::function<void()>> m_Jobs;    ///< Ordered by due time.
+  std::unordered_map<TimerId, TimePoint> m_DueOf; ///< Due time of each job.
 };
 
-/// Timers of a test; they run when the test advances its ManualClock.
+/// Timers for tests; they run within advance().
 class ManualScheduler final : public Scheduler {
 public:
   explicit ManualScheduler(ManualClock &Time) : m_Clock(Time) {}
@@ -61,17 +61,17 @@
   TimerId after(Duration Delay, std::function<void()> Job) override;
   void cancel(TimerId Timer) override;
 
-  /// Advances the clock by \p Step and runs what falls due, in order.
+  /// Advances the clock by \p Step and runs the timers that are due, in order.
   void advance(Duration Step);
 
 private:
   using Due = std::pair<TimePoint, TimerId>;
-  ManualClock &m_Clock;                        ///< Advanced with them.
+  ManualClock &m_Clock;                        ///< Advanced by advance().
   std::uint64_t m_LastId = 0;                  ///< Ids start at 1.
-  std::map<Due, std::function<void()>> m_Jobs; ///< In the order of dueness.
+  std::map<Due, std::function<void()>> m_Jobs; ///< Ordered by due time.
 };
 
-/// A timer that is cancelled when its owner goes, and set anew by start().
+/// A timer that its destructor cancels and that start() sets again.
 class Timer {
 public:
   explicit Timer(Scheduler &Timers) : m_Scheduler(Timers) {}
@@ -79,17 +79,17 @@
   Timer(const Timer &) = delete;
   Timer &operator=(const Timer &) = delete;
 
-  /// Runs \p Job after \p Delay, in place of what was set before.
+  /// Runs \p Job after \p Delay; replaces a job that is set.
   void start(Duration Delay, std::function<void()> Job);
 
-  /// Forgets what was set.
+  /// Cancels the job that is set, if any.
   void stop();
 
   [[nodiscard]] bool running() const { return m_Id != TimerId(); }
 
 private:
   Scheduler &m_Scheduler; ///< Outlives the timer.
-  TimerId m_Id;           ///< None while not running.
+  TimerId m_Id;           ///< 0 while not running.
 };
 
 } // namespace crowstep
--- a/src/core/settings.cpp
+++ b/src/core/settings.cpp
@@ -97,7 +97,7 @@
   Number Result{};
   const char *End = Value->data() + Value->size();
   const auto Parsed = std::from_chars(Value->data(), End, Result);
-  // Written so that "nan", which compares with nothing, is refused.
+  // Comparisons with "nan" are false, so this form rejects it.
   const bool InRange = Result >= Min && Result <= Max;
   if (Parsed.ec != std::errc() || Parsed.ptr != End || !InRange)
     fail(Section, Key, *Value, Allowed);
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -1,7 +1,7 @@
 /// Checked INI settings.
 ///
-/// Every key is read through a typed getter that knows what is allowed; a key
-/// that no getter asked for is an error, so that a misspelt one is not ignored.
+/// Every key is read by a typed getter that checks its value. A key that no
+/// getter has read is an error, so that a misspelt key is not ignored.
 #ifndef CROWSTEP_CORE_SETTINGS_H
 #define CROWSTEP_CORE_SETTINGS_H
 
@@ -19,18 +19,18 @@
 
 namespace crowstep {
 
-/// One settings file. All getters throw SettingError naming file, section,
-/// key, value and what is allowed.
+/// One settings file. All getters throw a SettingError that names the file,
+/// section, key, value and allowed values.
 class Settings {
 public:
-  /// Reads the file at \p Path. \throws SettingsFileError when it can't.
+  /// Reads the file at \p Path. \throws SettingsFileError if it can't.
   static Settings load(const std::string &Path);
 
-  /// Reads \p Text as if it were the file \p Name.
+  /// Parses \p Text; errors call it \p Name. \throws SettingsFileError.
   static Settings parse(const std::string &Text, const std::string &Name);
 
-  /// Returns the value, or \p Default where the key is absent; without a
-  /// default an absent key is an error.
+  /// Returns the value, or \p Default if the key is absent. Without a default
+  /// an absent key is an error.
   std::string text(const std::string &Section, const std::string &Key,
                    std::optional<std::string> Default = std::nullopt);
   std::int64_t integer(const std::string &Section, const std::string &Key,
@@ -43,7 +43,7 @@
   Address address(const std::string &Section, const std::string &Key,
                   std::optional<Address> Default = std::nullopt);
 
-  /// Returns a semicolon-separated list of addresses, empty where absent.
+  /// Reads a semicolon-separated list of addresses; empty if absent.
   std::vector<Address> addresses(const std::string &Section,
                                  const std::string &Key);
 
@@ -56,7 +56,7 @@
   [[nodiscard]] std::vector<std::string>
   sections(const std::string &Prefix) const;
 
-  /// \throws SettingError for the first key that no getter has asked for.
+  /// \throws SettingError for the first key that no getter has read.
   void rejectUnknown() const;
 
 private:
@@ -72,7 +72,8 @@
 
   std::string m_Name;               ///< File name for errors.
   std::shared_ptr<GKeyFile> m_File; ///< Never null after load or parse.
-  std::set<std::pair<std::string, std::string>> m_Asked; ///< Known keys.
+  std::set<std::pair<std::string, std::string>> m_Asked; ///< Keys that
+                                                         ///< getters read.
 };
 
 } // namespace crowstep
--- a/src/core/socket_watch.cpp
+++ b/src/core/socket_watch.cpp
@@ -1,4 +1,4 @@
-/// The poller behind all watched sockets.
+/// The epoll instance that watches all sockets.
 #include "core/socket_watch.h"
 
 #include <array>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Sockets that are reported in one iteration; others get their turn next.
+/// Maximum number of sockets reported per iteration; others follow in the next.
 constexpr std::size_t MaxReady = 64;
 
 std::uint32_t maskOf(SocketEvents Events) {
@@ -34,7 +34,7 @@
 
 } // namespace
 
-/// One epoll instance as one GLib source; lives as long as the process.
+/// One epoll instance in one GLib source; lives as long as the process.
 class SocketPoller {
 public:
   static SocketPoller &instance() {
@@ -49,7 +49,8 @@
     epoll_event Event = eventFor(Watch, Events);
     m_Watches[Watch.m_Id] = &Watch;
     m_IdOf[Watch.m_Socket] = Watch.m_Id;
-    // Left behind by a watch whose socket was closed and its number used anew.
+    // The descriptor may still be registered by a watch whose socket was closed
+    // and its number reused.
     if (epoll_ctl(m_Epoll, EPOLL_CTL_ADD, Watch.m_Socket, &Event) != 0)
       epoll_ctl(m_Epoll, EPOLL_CTL_MOD, Watch.m_Socket, &Event);
   }
@@ -95,7 +96,8 @@
     return Result;
   }
 
-  /// A closed socket's number may belong to another watch by now.
+  /// Returns whether the socket's number is still that of \p Watch: after a
+  /// close another watch may have it.
   [[nodiscard]] bool owns(const SocketWatch &Watch) const {
     const auto Found = m_IdOf.find(Watch.m_Socket);
     return Found != m_IdOf.end() && Found->second == Watch.m_Id;
@@ -105,7 +107,7 @@
     std::array<epoll_event, MaxReady> Ready{};
     const int Count = epoll_wait(m_Epoll, Ready.data(), MaxReady, 0);
     for (int Index = 0; Index < Count; ++Index) {
-      // A listener that ran before may have destroyed this watch.
+      // A listener called earlier in this loop may have destroyed this watch.
       const auto Found = m_Watches.find(Ready[Index].data.u64);
       if (Found != m_Watches.end())
         Found->second->m_Listener->socketReady(eventsOf(Ready[Index].events));
@@ -115,8 +117,9 @@
   int m_Epoll;                ///< Owned.
   GSource *m_Source;          ///< Owned.
   std::uint64_t m_LastId = 0; ///< Ids start at 1.
-  std::unordered_map<std::uint64_t, SocketWatch *> m_Watches; ///< Registered.
-  std::unordered_map<int, std::uint64_t> m_IdOf; ///< Of each socket, the last.
+  std::unordered_map<std::uint64_t, SocketWatch *> m_Watches; ///< By id.
+  std::unordered_map<int, std::uint64_t> m_IdOf; ///< Latest watch of each
+                                                 ///< descriptor.
 };
 
 SocketWatch::SocketWatch(int Socket, SocketListener &Listener)
--- a/src/core/socket_watch.h
+++ b/src/core/socket_watch.h
@@ -1,8 +1,8 @@
-/// Waits for sockets, all of them behind one GLib source.
+/// Watches sockets, all of them through one GLib source.
 ///
-/// GLib visits every source in every iteration of its loop. With a source a
-/// socket an iteration costs as much as there are connections, however few of
-/// them have something to say; epoll costs as much as there are ready ones.
+/// GLib visits every source in each iteration of its loop. With one source per
+/// socket the cost of an iteration grows with the number of connections; with
+/// epoll it grows with the number of those that are ready.
 #ifndef CROWSTEP_CORE_SOCKET_WATCH_H
 #define CROWSTEP_CORE_SOCKET_WATCH_H
 
@@ -10,36 +10,38 @@
 
 namespace crowstep {
 
-/// Conditions of a socket; closed and failed ones are always reported.
+/// Conditions of a socket. An error or a hang-up of both sides is reported as
+/// all of them, whichever are watched.
 struct SocketEvents {
-  bool m_Read = false;   ///< There are bytes to read, or the end of them.
-  bool m_Write = false;  ///< There is room for bytes.
-  bool m_HungUp = false; ///< The peer has closed its sending side, or all.
+  bool m_Read = false;  ///< Readable: bytes or the end of the stream.
+  bool m_Write = false; ///< Writable.
+  bool m_HungUp =
+      false; ///< The peer closed its sending side or the connection.
 
   bool operator==(const SocketEvents &) const = default;
 };
 
-/// Hears of one socket.
+/// Receives the events of one socket.
 class SocketListener {
 public:
   virtual ~SocketListener() = default;
 
-  /// The conditions hold at present; called again while they do. The watch may
-  /// be destroyed from within.
+  /// The conditions in \p Events hold; called again as long as they do. May
+  /// destroy the watch.
   virtual void socketReady(SocketEvents Events) = 0;
 };
 
-/// A socket that is watched from the default main context.
+/// Watches one socket from the default main context.
 class SocketWatch {
 public:
-  /// Watches for nothing yet. \p Listener outlives the watch, or is replaced.
+  /// Watches no events yet. \p Listener must outlive the watch or be replaced.
   SocketWatch(int Socket, SocketListener &Listener);
   ~SocketWatch();
   SocketWatch(const SocketWatch &) = delete;
   SocketWatch &operator=(const SocketWatch &) = delete;
 
-  /// Watches for \p What in place of what was watched for before. A watch for
-  /// nothing doesn't report failures either.
+  /// Replaces the events that are watched. Without any, errors and hang-ups are
+  /// not reported either.
   void watchFor(SocketEvents Events);
 
   /// Replaces the listener.
@@ -48,10 +50,10 @@
 private:
   friend class SocketPoller;
 
-  int m_Socket;               ///< Not owned; may be closed before the watch.
+  int m_Socket; ///< Not owned; may be closed before the watch ends.
   SocketListener *m_Listener; ///< Never null.
-  std::uint64_t m_Id = 0;     ///< At the poller; 0: not registered.
-  SocketEvents m_Events;      ///< As registered.
+  std::uint64_t m_Id = 0;     ///< In the poller; 0 if not registered.
+  SocketEvents m_Events;      ///< Registered with the poller.
 };
 
 } // namespace crowstep
--- a/src/core/strong_id.h
+++ b/src/core/strong_id.h
@@ -12,7 +12,7 @@
 
 namespace crowstep {
 
-/// An integer that names an object of the kind \p Tag.
+/// An integer that identifies an object of the kind \p Tag.
 template <typename Tag, typename Rep> class StrongId {
 public:
   using RepType = Rep;
@@ -23,12 +23,12 @@
   /// Returns the plain number, for codecs and logs.
   [[nodiscard]] constexpr Rep value() const { return m_Value; }
 
-  // The check takes the generated comparison for ours.
+  // These checks report the code that the compiler generates here.
   // NOLINTNEXTLINE(modernize-use-nullptr,readability-identifier-naming)
   constexpr auto operator<=>(const StrongId &) const = default;
 
 private:
-  Rep m_Value = 0; ///< The number; 0 is a valid id unless the kind says no.
+  Rep m_Value = 0; ///< 0 is a valid id unless the kind of object excludes it.
 };
 
 } // namespace crowstep
--- a/tests/unit/log_test.cpp
+++ b/tests/unit/log_test.cpp
@@ -1,4 +1,4 @@
-/// Log lines: their form, their bound, and a reader that has stopped.
+/// Log lines: their format, the limit per event and a reader that stops.
 #define BOOST_TEST_MODULE log
 #include "core/log.h"
 #include "ctl/explain.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Standard error as a pipe that the test reads, or doesn't.
+/// Redirects standard error to a pipe, which the test reads when it wants.
 class Pipe {
 public:
   Pipe() : m_Saved(dup(STDERR_FILENO)) {
@@ -46,8 +46,8 @@
   }
 
 private:
-  int m_Saved;     ///< The real standard error.
-  int m_Read = -1; ///< The test's end.
+  int m_Saved;     ///< The original standard error.
+  int m_Read = -1; ///< Read end of the pipe.
 };
 
 std::size_t count(const std::string &Text, const std::string &Pattern) {
@@ -73,14 +73,15 @@
   BOOST_TEST(Line.at("at_ms").is_number_integer());
 }
 
-/// The reader of the log has stopped and the pipe is full. The one thread that
-/// serves callers must not wait for it; what was dropped is counted and told
-/// when the reader goes on.
+/// Guards against a stopped reader of the log that blocks the one thread that
+/// serves callers: when the pipe is full, lines are dropped, and their number
+/// is logged once there is room again.
 BOOST_AUTO_TEST_CASE(AFullPipeBlocksNothing) {
   const Pipe Reader;
   const std::string Long(3000, 'x');
   const gint64 Begin = g_get_monotonic_time();
-  // Many events, so that no budget ends the lines before the pipe is full.
+  // Two events of 60 lines stay within their budgets, so that only the full
+  // pipe drops lines.
   for (int I = 0; I < 60; ++I)
     for (const LogEvent Event :
          {LogEvent::GatewayNotAdmitted, LogEvent::GatewayRequestFailed})
@@ -93,7 +94,8 @@
   BOOST_TEST(count(Text, "GatewayDrained") == 1U);
 }
 
-/// A storm of one event leaves room for all others and is told as a number.
+/// The lines of one event are limited per second, and the number of those left
+/// out is logged.
 BOOST_AUTO_TEST_CASE(AStormIsBounded) {
   const Pipe Reader;
   for (int I = 0; I < 5000; ++I)
@@ -104,8 +106,9 @@
   BOOST_TEST(count(Reader.read(), "LogLinesLeftOut") == 1U);
 }
 
-/// A story comes in the order of its times, over several logs, with what was
-/// believed of the upstream, past lines of other programs.
+/// explain() lists a request's events from several logs in the order of their
+/// times, with events of its upstream or content before them, and skips lines
+/// of other programs.
 BOOST_AUTO_TEST_CASE(AStoryCrossesLogs) {
   const std::string First =
       "collector says {\"at_ms\":5,\"name\":\"B\",\"request\":\"r\","
