--- a/src/platform/platform_client.cpp
+++ b/src/platform/platform_client.cpp
@@ -16,7 +16,7 @@
 constexpr unsigned NoContent = 204;
 constexpr unsigned NotFound = 404;
 constexpr unsigned Unavailable = 503;
-constexpr unsigned ServerErrors = 500; ///< This status and above.
+constexpr unsigned ServerErrors = 500; ///< Lowest status of server errors.
 
 std::string escaped(const std::string &Text) {
   char *Result = g_uri_escape_string(Text.c_str(), nullptr, 0);
@@ -29,9 +29,10 @@
   return Status == Ok || Status == Created || Status == NoContent;
 }
 
-/// What a write that was not answered with success may have done. An error
-/// status other than 503 may come from a box between us and the service, after
-/// the write took effect: only what certainly did nothing counts as refused.
+/// Returns whether a write without a successful answer may have taken effect. A
+/// server error other than 503 may come from a proxy in between, after the
+/// write took effect: only a write that certainly did nothing counts as
+/// Refused.
 PlatformFailure failureOfWrite(const HttpResult &Result) {
   if (const auto *Failure = std::get_if<HttpFailure>(&Result))
     return *Failure == HttpFailure::NotSent ? PlatformFailure::Refused
@@ -63,7 +64,8 @@
                                                           : nullptr;
 }
 
-/// Hands \p Decode's value to \p Done, or \p Otherwise with a log line.
+/// Passes the decoded answer to \p Done, or else logs the failure and passes
+/// \p Fallback.
 template <typename Outcome, typename Decoder>
 void finish(const HttpResult &Result, PlatformFailure Fallback,
             Counter &Failures, const char *CallName, const Decoder &Decode,
--- a/src/platform/platform_client.h
+++ b/src/platform/platform_client.h
@@ -9,7 +9,7 @@
 ///   "upstreams":[{"name","service","address","zone","leaving",
 ///   "kind":"engine"|"service","slots","models","can_resume",
 ///   "checks_fencing"}]}
-/// A 503 says that nothing took effect. "value" is JSON text in a string.
+/// A 503 means that nothing took effect. "value" is JSON text in a string.
 #ifndef CROWSTEP_PLATFORM_PLATFORM_CLIENT_H
 #define CROWSTEP_PLATFORM_PLATFORM_CLIENT_H
 
@@ -19,12 +19,13 @@
 
 namespace crowstep::platform {
 
-/// All of the platform's services; counts reads, writes and failures.
+/// Client of all of the platform's services; counts reads, writes and failures.
 ///
-/// The HTTP library may send a conditional write a second time on a stale
-/// connection. If the first one took effect, the second reports "not written"
-/// although the row is the caller's: who must know whether its own write took
-/// effect puts a unique id into the value and looks for it in m_Present.
+/// The HTTP library may retry a conditional write if a kept connection turns
+/// out to be stale. If the first attempt took effect, the retry reports "not
+/// written" although the row is the caller's. A caller that must know whether
+/// its own write took effect puts a unique id into the value and looks for it
+/// in m_CurrentRow.
 class PlatformClient final : public TableService,
                              public ObjectStore,
                              public InstanceList {
--- a/src/platform/platform_codec.cpp
+++ b/src/platform/platform_codec.cpp
@@ -13,9 +13,9 @@
 
 using nlohmann::json;
 
-constexpr std::uint32_t MaxSlots = 100000; ///< More is a slip in the list.
+constexpr std::uint32_t MaxSlots = 100000; ///< More is taken for an error.
 
-/// Runs \p Job and turns the library's exceptions into ours.
+/// Runs \p Job and converts the JSON library's exceptions.
 template <typename Function> auto decoded(const Function &Job) {
   try {
     return Job();
--- a/src/platform/platform_codec.h
+++ b/src/platform/platform_codec.h
@@ -9,17 +9,17 @@
 /// Returns the body of a write.
 std::string encodeWrites(const std::vector<RowWrite> &Writes);
 
-/// Reads the outcomes of a write of \p Expected rows.
-/// \throws PlatformAnswerError, also where the number differs.
+/// Parses the outcomes of a write of \p Expected rows.
+/// \throws PlatformAnswerError, also if their number differs.
 std::vector<RowOutcome> decodeOutcomes(const std::string &Body,
                                        std::size_t Expected);
 
-/// Reads rows. \throws PlatformAnswerError.
+/// Parses rows. \throws PlatformAnswerError.
 std::vector<Row> decodeRows(const std::string &Body);
 
-/// Reads the instance list. A single entry that can't be read is left out and
-/// logged: one bad line must not blind the fleet to all the others.
-/// \throws PlatformAnswerError where the whole is no list.
+/// Parses the instance list. An entry that can't be parsed is skipped and
+/// logged, so that it does not hide all others. \throws PlatformAnswerError if
+/// the body is not such a list.
 InstanceListing decodeInstances(const std::string &Body);
 
 } // namespace crowstep::platform
--- a/src/platform/platform_error.h
+++ b/src/platform/platform_error.h
@@ -1,4 +1,4 @@
-/// Failures of the platform's answers.
+/// Errors in the platform's answers.
 #ifndef CROWSTEP_PLATFORM_PLATFORM_ERROR_H
 #define CROWSTEP_PLATFORM_PLATFORM_ERROR_H
 
@@ -6,7 +6,7 @@
 
 namespace crowstep::platform {
 
-/// An answer of the platform is not what its interface promises.
+/// An answer of the platform violates its interface.
 class PlatformAnswerError : public Error {
 public:
   explicit PlatformAnswerError(const std::string &Reason)
--- a/src/platform/platform_type.h
+++ b/src/platform/platform_type.h
@@ -1,4 +1,4 @@
-/// The platform's services as crowstep sees them: plain types and interfaces.
+/// Plain types and interfaces of the platform's services.
 ///
 /// The daemons use the HTTP client in platform_client.h; tests use fakes.
 #ifndef CROWSTEP_PLATFORM_PLATFORM_TYPE_H
@@ -22,25 +22,25 @@
 /// One row of a table in the table service. The value is JSON text.
 struct Row {
   std::string m_Key;    ///< Unique within its table.
-  RowVersion m_Version; ///< Grows with each write.
+  RowVersion m_Version; ///< Increases with each write.
   std::string m_Value;  ///< JSON text.
 };
 
 /// A conditional write: takes effect only if the row's version is the expected
 /// one; version 0 expects that there is no row (an insert).
 struct RowWrite {
-  std::string m_Key;     ///< Row.
+  std::string m_Key;     ///< Of the row.
   RowVersion m_Expected; ///< See above.
   std::string m_Value;   ///< New JSON text; empty deletes the row.
 };
 
-/// What became of one conditional write.
+/// Outcome of one conditional write.
 struct RowOutcome {
-  bool m_Written = false;       ///< False: the version was another.
-  std::optional<Row> m_Present; ///< The row after the call, where one exists.
+  bool m_Written = false;       ///< False: the version differed.
+  std::optional<Row> m_Present; ///< The row after the call, if it exists.
 };
 
-/// Why a call to the platform gave no outcome.
+/// Why a call to the platform has no outcome.
 enum class PlatformFailure : std::uint8_t {
   Refused,   ///< Nothing took effect.
   Uncertain, ///< The write may have taken effect.
@@ -54,8 +54,8 @@
 public:
   virtual ~TableService() = default;
 
-  /// Carries out several conditional writes of one table in one call, which
-  /// counts as one write; each write stands or fails for itself.
+  /// Sends several conditional writes to one table in one call, which counts as
+  /// one write. Each of them succeeds or fails on its own.
   virtual void write(const std::string &Table, std::vector<RowWrite> Writes,
                      std::function<void(WriteResult)> Done) = 0;
 
@@ -68,7 +68,7 @@
                     std::function<void(ReadResult)> Done) = 0;
 };
 
-/// The object store; \p Done gets nothing where the object is absent.
+/// The object store. get() yields nothing if the object is absent.
 class ObjectStore {
 public:
   using GetResult = std::variant<std::optional<std::string>, PlatformFailure>;
@@ -80,17 +80,17 @@
                    std::function<void(GetResult)> Done) = 0;
 };
 
-/// An instance of crowstep as the platform's list shows it.
+/// An instance of crowstep in the platform's list.
 struct ListedInstance {
   std::string m_Name;      ///< Its hash is the InstanceId.
-  Address m_Link;          ///< Where its dispatcher takes links.
-  AvailabilityZone m_Zone; ///< Where it is.
-  bool m_Leaving = false;  ///< The platform is about to take it away.
+  Address m_Link;          ///< Where its dispatcher accepts links.
+  AvailabilityZone m_Zone; ///< Zone of the instance.
+  bool m_Leaving = false;  ///< The platform is about to remove it.
 };
 
-/// The instance list; it lags.
+/// The instance list, which may be out of date.
 struct InstanceListing {
-  std::vector<ListedInstance> m_Instances; ///< crowstep's own.
+  std::vector<ListedInstance> m_Instances; ///< Those of crowstep.
   std::vector<Upstream> m_Upstreams;       ///< Engines and plain services.
 };
 
