--- a/tests/unit/platform_adapter_test.cpp
+++ b/tests/unit/platform_adapter_test.cpp
@@ -1,5 +1,5 @@
 /// The adapter to the users' platform: headers, manifests, entries and the
-/// store, each with what another writer or a sick store could make of it.
+/// store, with input from faulty writers and a failing store.
 #define BOOST_TEST_MODULE platform_adapter
 #include "manifest.h"
 #include "peer_registry.h"
@@ -34,14 +34,14 @@
     R"({"service":"s1","address":"10.0.0.9:8080","zone":"a","version":"v1",)"
     R"("slots":64,"state":"ready","models":[{"name":"m"}],"born":1700})";
 
-/// A store whose calls the test answers.
+/// A store whose calls are answered by the test.
 class FakeStore final : public Store {
 public:
   struct Call {
     std::string m_Kind;   ///< "read" or "follow".
     StoreVersion m_After; ///< Of a follow.
     Duration m_Wait{};    ///< Of a follow.
-    Done m_Done;          ///< To be answered.
+    Done m_Done;          ///< Callback of the answer.
   };
   void read(const std::string &, const std::string &, Done OnDone) override {
     m_Calls.push_back({"read", {}, {}, std::move(OnDone)});
@@ -59,9 +59,9 @@
     m_Calls.pop_back();
     Last.m_Done(std::move(Result));
   }
-  std::deque<Call> m_Calls; ///< Not yet answered.
+  std::deque<Call> m_Calls; ///< Unanswered calls.
   std::vector<std::pair<StoreWrite, std::function<void(StoreWriteResult)>>>
-      m_Writes; ///< All.
+      m_Writes; ///< All writes.
 };
 
 StoreRow row(const std::string &Key, std::uint64_t Version, bool Gone = false) {
@@ -73,8 +73,8 @@
   ManualScheduler m_Timers{m_Clock};
   FakeStore m_Store;
   std::vector<std::string> m_Reported;
-  std::vector<gateway::DirectoryUpdate> m_Read; ///< To be passed on.
-  double m_Draw = 0.5; ///< What the back-off is drawn by.
+  std::vector<gateway::DirectoryUpdate> m_Read; ///< To be forwarded.
+  double m_Draw = 0.5; ///< Random number for the jitter of the back-off.
   TableFollower m_Table{m_Store,
                         m_Clock,
                         m_Timers,
@@ -118,8 +118,8 @@
   BOOST_TEST(!Data.m_Workspaces[1].m_Priority.has_value());
 }
 
-/// A manifest that can't be read must not take the last good one away, so it
-/// is an error as a whole and never half a table.
+/// Guards against an unreadable manifest that replaces the last good one with
+/// part of a table: it is rejected as a whole.
 BOOST_AUTO_TEST_CASE(AnUnreadableManifestIsAnError) {
   for (
       const char *Text :
@@ -130,8 +130,8 @@
     BOOST_CHECK_THROW(readManifest(Text), StoreValueError);
 }
 
-/// Entries of another writer: fields missing or of another type, unknown
-/// states, bytes that are no text. Each names no upstream and ends nothing.
+/// Entries with missing fields, fields of another type, unknown states or bytes
+/// that are not text are rejected by an exception that the callers catch.
 BOOST_AUTO_TEST_CASE(AnUnreadableEntryIsAnError) {
   const auto Without = [](const std::string &Name) {
     std::string Text = GoodEntry;
@@ -153,8 +153,8 @@
     BOOST_CHECK_THROW(readUpstreamEntry("e", Text), StoreValueError);
 }
 
-/// An engine that starts again under its name holds nothing of before: its
-/// time of start makes it another upstream under the same name on the wire.
+/// An engine that restarts under its name has an empty cache: its start time
+/// gives it another id, while its name on the wire stays the same.
 BOOST_AUTO_TEST_CASE(ARestartIsAnotherUpstream) {
   const Upstream First = readUpstreamEntry("e", GoodEntry);
   std::string Later = GoodEntry;
@@ -183,8 +183,8 @@
   BOOST_TEST(*Facts.m_LastEvent == 12U);
 }
 
-/// Values that can't be read, and headers that came twice, could mean one thing
-/// here and another at an engine.
+/// Values that can't be parsed, and headers that occur twice, might be read
+/// differently by the gateway and an engine.
 BOOST_AUTO_TEST_CASE(UnreadableHeadersOfRequestsAreNamed) {
   const PlatformHeaders Codec;
   for (const HeaderField &Bad :
@@ -200,8 +200,8 @@
       Codec.readRequest({{"Host", "h"}})));
 }
 
-/// What only the gateway may say to an engine is never the caller's: a forged
-/// workspace, reservation or memory would be another customer's.
+/// Guards against forged headers of a caller that reach an engine: they could
+/// name the workspace, reservation or cache of another customer.
 BOOST_AUTO_TEST_CASE(TheGatewaysHeadersAreItsOwn) {
   const PlatformHeaders Codec;
   HeaderList FromCaller = {{"X-Attempt-Id", "a"}, {"X-Model", "m"}};
@@ -221,7 +221,7 @@
   BOOST_TEST(findHeader(Sent, "X-Key") == nullptr);
 }
 
-/// Only the upstream's own word says "not run"; a bare 503 does not.
+/// Only a header of the upstream or a 421 means "not run"; a bare 503 does not.
 BOOST_AUTO_TEST_CASE(HeadersOfAnswersAreRead) {
   const PlatformHeaders Codec;
   BOOST_TEST(!Codec.readAnswer(503, {}).m_NotRun);
@@ -259,10 +259,9 @@
   BOOST_TEST(Test.m_Store.m_Calls.back().m_After.value() == 11U);
 }
 
-/// Ninety engines start within a second and each instance is told of each. The
-/// first change comes at once; those that follow it, or the rows that an
-/// instance finds when it starts, come together, with one call, so that the
-/// calls to the store stay few.
+/// Guards against one call of each instance per change, as when 90 engines
+/// start within a second. The first change is read at once; those after it, or
+/// after the rows that an instance reads at its start, are read with one call.
 BOOST_AUTO_TEST_CASE(ManyChangesComeWithOneCall) {
   Fixture Test;
   Test.m_Table.setPause(400ms);
@@ -278,8 +277,8 @@
   BOOST_TEST(Test.m_Store.m_Calls.back().m_After.value() == 10U);
 }
 
-/// The store dropped its history: the table is read anew. A copy that is
-/// seconds old answers first; taken, it would bring back rows that are gone.
+/// The store dropped its history, so the table is read again. Guards against an
+/// answer from a copy that is seconds old: it would bring back removed rows.
 BOOST_AUTO_TEST_CASE(AStaleCopyTakesNothingBack) {
   Fixture Test;
   Test.m_Store.answer(StoreRows{{row("a", 3)}, StoreVersion(9), false});
@@ -296,8 +295,9 @@
   BOOST_TEST(Test.takeReported() == "+b14 -a15 ");
 }
 
-/// The store is away: calls come back with growing waits that differ between
-/// instances, and the first one that gets through does not wait for changes.
+/// While the store is unreachable, calls are retried with a growing back-off,
+/// and none of them waits for changes, so that the first one that gets through
+/// returns at once.
 BOOST_AUTO_TEST_CASE(AnOutageEndsWithAShortCall) {
   Fixture Test;
   Test.m_Store.answer(StoreRows{{row("a", 3)}, StoreVersion(9), false});
@@ -314,10 +314,10 @@
   BOOST_TEST(Test.takeReported() == "+a3 ");
 }
 
-/// The store is silent or turns all calls away. What an instance knows of its
-/// upstreams gets old meanwhile, so it must notice the store's return soon: the
-/// next call begins less than 0.9 s after the one before, whatever it waited
-/// for and however the back-off was drawn.
+/// The store is silent or rejects all calls. What an instance knows of its
+/// upstreams gets stale meanwhile, so it must notice the end of the outage
+/// soon: the next call begins less than 0.9 s after the one before, however
+/// long that one hung and whatever the jitter.
 BOOST_AUTO_TEST_CASE(CallsGoOnThroughAnOutage) {
   for (const double Draw : {0.0, 0.5, 0.999})
     for (const Duration Hangs : {Duration(4ms), StoreClient::Timeout}) {
@@ -338,8 +338,8 @@
     }
 }
 
-/// Many instances start at once; only the first makes the shared secret, under
-/// the condition that there is none, and all take the one that stands.
+/// Many instances start at once. Only the first write creates the shared
+/// secret, as it requires that there is none, and all use the one in the table.
 BOOST_AUTO_TEST_CASE(TheFirstInstanceMakesTheLinkKey) {
   ManualClock Clock;
   ManualScheduler Timers(Clock);
@@ -370,9 +370,9 @@
   BOOST_TEST(Reported[0].m_Instances[0].m_Weight == 0.5);
 }
 
-/// All instances are killed and start again at once. Each finds its row as it
-/// left it and writes nothing, so that none is woken for the others; a row that
-/// the stop before removed late is written again.
+/// All instances are killed and restart at once. Each finds its row unchanged
+/// and writes nothing, so that the others are not woken. A row that is removed
+/// late, by the stop of the process before, is written again.
 BOOST_AUTO_TEST_CASE(ARestartedInstanceFindsItsRow) {
   ManualClock Clock;
   ManualScheduler Timers(Clock);
--- a/tests/unit/platform_client_test.cpp
+++ b/tests/unit/platform_client_test.cpp
@@ -1,4 +1,4 @@
-/// The platform client: what it sends, and what it makes of every answer.
+/// The platform client: its requests, and how it handles each kind of answer.
 #define BOOST_TEST_MODULE platform_client
 #include "platform/platform_client.h"
 
@@ -9,23 +9,23 @@
 
 namespace {
 
-/// Keeps the last call; the test answers it by hand.
+/// Records the last call; the test answers it.
 class FakeCaller final : public HttpCaller {
 public:
   void call(const HttpCall &Request, Done OnDone) override {
     m_Call = Request;
     m_Done = std::move(OnDone);
   }
-  HttpCall m_Call; ///< The last one.
-  Done m_Done;     ///< Of the last one.
+  HttpCall m_Call; ///< The last call.
+  Done m_Done;     ///< Callback of the last call.
 };
 
 struct Fixture {
-  FakeCaller m_Http; ///< Under the client.
+  FakeCaller m_Http; ///< Used by the client.
   Metrics m_Stats;   ///< Of the client.
   PlatformClient m_Client{m_Http, {1, 2}, std::chrono::seconds(1), m_Stats};
 
-  /// Returns what a write of one row makes of \p Result.
+  /// Returns the result of a write of one row that gets \p Result.
   WriteResult writeAnswered(const HttpResult &Result) {
     WriteResult Actual;
     m_Client.write("t", {{"k", RowVersion(3), "{}"}},
@@ -42,9 +42,9 @@
 
 } // namespace
 
-/// A caller that takes "it may have taken effect" for "nothing happened" tells
-/// an operator or a rider the wrong thing. Only a 503, a 4xx and a call that
-/// got no connection certainly did nothing.
+/// Guards against reporting a write that may have taken effect as one that did
+/// nothing. Only a 503, a 4xx and a call without a connection are certain to
+/// have done nothing.
 BOOST_FIXTURE_TEST_CASE(LostAnswersToWritesAreUncertain, Fixture) {
   for (const HttpResult &Result :
        {HttpResult(HttpFailure::NotSent), HttpResult(HttpAnswer{503, "", {}}),
@@ -87,7 +87,8 @@
           .value() == 2U);
 }
 
-/// One bad line of the list must not blind the fleet to all other upstreams.
+/// Guards against an unreadable entry of the list that hides all other
+/// upstreams.
 BOOST_FIXTURE_TEST_CASE(BadEntriesOfTheListAreLeftOut, Fixture) {
   InstanceList::Result Actual;
   m_Client.fetch(
--- a/tests/unit/store_client_test.cpp
+++ b/tests/unit/store_client_test.cpp
@@ -25,7 +25,7 @@
     m_Client.follow("servers", StoreVersion(1), 5s,
                     [this](const StoreResult &Answer) { m_Result = Answer; });
   }
-  /// Returns how long it takes from now until the call has ended.
+  /// Returns the time from now until the call has ended.
   Duration timeUntilResult() {
     const TimePoint Begin = m_Time.fresh();
     BOOST_TEST(pumpUntil([&] { return m_Result.has_value(); }));
@@ -35,12 +35,12 @@
 
 } // namespace
 
-// Callers get answers of an upstream seconds after it left. Its instance is cut
-// off from the store, and the call that is to wait for changes needs a new
-// connection just then. The kernel repeats the opening packet after 1, 3, 7 and
-// 15 s: the way has long been back, and the instance hears nothing yet. Cause:
-// the limit of such a call is its wait, 30 s, and none was set for connecting;
-// the log had the loss of two tables and nothing of the third for 12.4 s.
+// Guards against a long poll without a connect timeout, by which callers were
+// sent to an upstream seconds after it had left. If an instance is cut off from
+// the store when the call needs a new connection, the kernel retransmits the
+// SYN after 1, 3, 7 and 15 s, so the call hangs although the network has
+// recovered. Its own timeout is its wait, 30 s; the log showed two tables lost
+// and nothing of the third for 12.4 s.
 BOOST_AUTO_TEST_CASE(AWaitingCallThatGetsNoConnectionEndsSoon) {
   Fixture Test;
   Test.m_Store.goDeaf();
@@ -50,8 +50,8 @@
       (std::get<StoreFailure>(*Test.m_Result) == StoreFailure::Unreachable));
 }
 
-// The same with a call that had its connection, which is reset just as the way
-// is cut: libsoup sends it again by itself, on a new one.
+// The same with a call whose connection is reset just as the network is cut:
+// libsoup retries it by itself on a new connection.
 BOOST_AUTO_TEST_CASE(AWaitingCallThatIsSentAgainEndsSoon) {
   Fixture Test;
   Test.follow();
@@ -74,8 +74,8 @@
       (std::get<StoreFailure>(*Test.m_Result) == StoreFailure::Unreachable));
 }
 
-/// Guards against a short call whose answer breaks off and counts as whole:
-/// half of a table of rows would pass for all of it.
+/// Guards against a truncated answer that is taken for complete: half of the
+/// rows would pass for the whole table.
 BOOST_AUTO_TEST_CASE(AShortAnswerIsNoAnswer) {
   const std::string Ok = "HTTP/1.1 200 OK\r\n";
   for (const std::string &Text :
@@ -103,8 +103,8 @@
   }
 }
 
-/// Guards against a call that outlasts its limit, and one that is taken for
-/// unsent though its bytes have left.
+/// Guards against a call that exceeds its timeout, and against one that is
+/// reported as unsent although its bytes were sent.
 BOOST_AUTO_TEST_CASE(ACallEndsAtItsLimit) {
   FakeUpstream Server;
   HttpClient Client;
--- a/tests/unit/store_clock_test.cpp
+++ b/tests/unit/store_clock_test.cpp
@@ -1,4 +1,4 @@
-/// The store's clock on an instance's own.
+/// Conversion of the store's times to the local clock.
 #define BOOST_TEST_MODULE store_clock
 #include "store_clock.h"
 
@@ -8,8 +8,8 @@
 using namespace crowstep::adapter;
 using namespace std::chrono_literals;
 
-// Guards against old knowledge that looks fresh because the answer to an
-// instance's own call was slow.
+// Guards against stale updates that look fresh because the answer to a call of
+// this instance was slow.
 BOOST_AUTO_TEST_CASE(SlowAnswersMakeNothingFresher) {
   StoreClock Clock;
   const TimePoint Begin{100s};
@@ -18,13 +18,13 @@
   BOOST_TEST((*Clock.notAfter(7900ms, Begin + 1s) == Begin));
   Clock.answered(Begin + 2s, 9002ms);
   BOOST_TEST((*Clock.notAfter(10002ms, Begin + 4s) == Begin + 3s));
-  // A slow answer after a quick one.
+  // A slow answer after a fast one.
   Clock.answered(Begin + 5s, 14000ms);
   BOOST_TEST((*Clock.notAfter(14002ms, Begin + 8s) == Begin + 7s));
 }
 
-// Guards against old knowledge that looks fresh after the machine was suspended
-// and its clock stood still.
+// Guards against stale updates that look fresh after the machine was suspended
+// and its clock stopped.
 BOOST_AUTO_TEST_CASE(ASuspendedMachineKnowsNoTimes) {
   StoreClock Clock;
   const TimePoint Begin{100s};
--- a/tests/unit/store_directory_test.cpp
+++ b/tests/unit/store_directory_test.cpp
@@ -1,7 +1,7 @@
-/// Which upstreams an instance uses while it and the store lose each other.
+/// Which upstreams an instance uses during and after outages of the store.
 ///
-/// Times are played in steps: a trouble ends at any moment between two calls of
-/// the instance, and its back-off is drawn short, middling and long.
+/// Outages end at each of many moments between two calls of the instance, and
+/// the jitter of its back-off is short, middling and long.
 #define BOOST_TEST_MODULE store_directory
 #include "store_directory.h"
 #include "unit/simulated_store.h"
@@ -17,18 +17,18 @@
 
 namespace {
 
-/// An upstream that leaves gets nothing new this long after the store took its
-/// word.
+/// A draining upstream gets no new requests this long after the store recorded
+/// that it drains.
 constexpr Duration DrainTime = 2s;
 
-/// An instance that has its way to the store back keeps all promises this much
-/// later.
+/// An instance must be up to date this long after it could reach the store
+/// again.
 constexpr Duration SettleTime = 3s;
 
-/// An entry that lapsed while the store was away is back this long after it.
+/// An entry that expired in an outage is renewed this long after its end.
 constexpr Duration RenewalDelay = 2s;
 
-/// Between two looks at the list.
+/// Interval between checks of the list.
 constexpr Duration CheckInterval = 5ms;
 
 constexpr Duration AnySpan = 2s; ///< Longer than any pause between calls.
@@ -84,8 +84,8 @@
     for (const char *Name : {"a", "b", "c"})
       list(Name);
   }
-  /// The store is away for four seconds and \p Span more, and all entries
-  /// lapse.
+  /// Makes the store unreachable for four seconds and \p Span more, and lets
+  /// all entries expire.
   void expireEntries(Mode StoreMode, Duration Span) {
     m_Store.setMode(StoreMode);
     m_Timers.advance(4s);
@@ -117,7 +117,8 @@
       }
 }
 
-/// An upstream leaves without a word in a trouble of ten seconds and more.
+/// Removes an upstream without draining it, in an outage of ten seconds or
+/// more.
 void leaveDuring(Mode StoreMode) {
   atAnyMoment([StoreMode](double Draw, Duration Moment) {
     Fixture Test(Draw);
@@ -133,29 +134,29 @@
 
 } // namespace
 
-// Callers get answers of an upstream that said twelve seconds ago that it
-// leaves, or lose them with its end. The instance is cut off from the store;
-// meanwhile an upstream leaves: its entry goes without another word. The way is
-// back, and the instance hears it with its next call. Cause: it took its own
-// trouble for the store's and kept the upstream for two seconds from the news,
-// as one that could not renew its entry; the log had the news in time and calls
-// to the upstream after it.
+// Guards against an instance that takes its own lost connection for an outage
+// of the store. An upstream's entry is removed while the instance is cut off;
+// with its next call it reads the removal, but kept the upstream for two
+// seconds as one that could not renew its entry. Callers got answers from an
+// upstream that had started to drain twelve seconds before, or lost their calls
+// with its end; the log showed the removal in time, and calls to the upstream
+// after it.
 BOOST_AUTO_TEST_CASE(AnUpstreamThatLeftBehindACutIsDroppedInTime) {
   leaveDuring(Mode::Cut);
 }
 
-// The same where the store turns the instance away instead of being silent.
+// The same where the store rejects the instance's calls instead of being
+// silent.
 BOOST_AUTO_TEST_CASE(AnUpstreamThatLeftWhileRefusedIsDroppedInTime) {
   leaveDuring(Mode::Refusing);
 }
 
-// Callers are sent to upstreams that left or crashed, by an instance that has
-// seen no trouble. A change comes, and amid the pause after it the store falls
-// silent for three seconds: it takes calls and forgets them. The instance's
-// next call is such a call. Seconds after the store's return an upstream
-// leaves. Cause: the forgotten call was to wait for 30 s, and its connection
-// stood; the log of such an instance had a change, and no word on the store
-// after it.
+// Guards against callers sent to upstreams that left or crashed, by an instance
+// that has noticed no outage. In the pause after a change the store falls
+// silent for three seconds: it accepts calls and forgets them, also the
+// instance's next one. Seconds after the store's recovery an upstream leaves.
+// The forgotten call waited for 30 s on an open connection; the log of such an
+// instance showed a change and nothing about the store after it.
 BOOST_AUTO_TEST_CASE(AnUpstreamThatLeavesAfterASilenceIsDropped) {
   atAnyMoment([](double Draw, Duration Moment) {
     Fixture Test(Draw);
@@ -170,9 +171,9 @@
   });
 }
 
-// All callers are refused for want of an upstream although all upstreams live.
-// The store is away for so long that their entries lapse, and they renew them
-// two seconds after its return.
+// Guards against refusing all callers for want of an upstream although all are
+// alive: in a long outage of the store their entries expire, and they renew
+// them two seconds after its end.
 BOOST_AUTO_TEST_CASE(UpstreamsWhoseEntriesLapsedAreKeptUntilRenewed) {
   for (const Mode StoreMode : {Mode::Cut, Mode::Refusing})
     atAnyMoment([StoreMode](double Draw, Duration Moment) {
@@ -184,9 +185,9 @@
     });
 }
 
-// Callers are refused by this instance alone although an upstream has renewed
-// its entry in time: others renewed theirs just before, and the instance joins
-// changes that come soon after each other into one call.
+// Guards against one instance that refuses callers although an upstream has
+// renewed its entry in time: others renewed theirs just before, and the
+// instance reads changes in quick succession with one call.
 BOOST_AUTO_TEST_CASE(UpstreamsThatRenewOneByOneAreKept) {
   for (const Mode StoreMode : {Mode::Cut, Mode::Refusing})
     atAnyMoment([StoreMode](double Draw, Duration Moment) {
@@ -202,8 +203,8 @@
     });
 }
 
-// The same with an upstream that had said that it leaves: its entry has not
-// lapsed, so nothing more may begin there.
+// The same with a draining upstream: its entry was removed, not expired, so it
+// may get no new requests.
 BOOST_AUTO_TEST_CASE(ALeavingUpstreamWhoseEntryGoesIsNotKept) {
   Fixture Test(0.5);
   Test.list("a", "draining");
@@ -215,8 +216,8 @@
   BOOST_TEST((Test.listedFor("a", 10s) < 1s));
 }
 
-// All callers are refused for a while as above, with a store that is back for a
-// second and away again before any upstream could renew its entry.
+// As above, with a store that recovers for a second and is unreachable again
+// before any upstream could renew its entry.
 BOOST_AUTO_TEST_CASE(UpstreamsAreKeptThroughASecondOutage) {
   Fixture Test(0.5);
   Test.expireEntries(Mode::Refusing, 2s);
@@ -229,8 +230,8 @@
   BOOST_TEST((Test.listedFor("a", 3s) == 3s));
 }
 
-// Upstreams that never come back are dropped at one time, whatever their names
-// and the order in which their entries went.
+// Upstreams that never return are dropped at the same time, whatever their
+// names and the order in which their entries were removed.
 BOOST_AUTO_TEST_CASE(UpstreamsThatStayMissingAreDropped) {
   Fixture Test(0.5);
   Test.m_Store.setMode(Mode::Refusing);
@@ -244,9 +245,9 @@
   BOOST_TEST(Test.m_Listener.has("b"));
 }
 
-// An upstream leaves while its instance reads the table anew, as the store has
-// dropped its history. The store was there all the while, so the entry can't
-// have lapsed.
+// An upstream leaves while an instance reads the table again because the store
+// has dropped its history. The store was reachable all the time, so the entry
+// can't have expired.
 BOOST_AUTO_TEST_CASE(LostHistoryKeepsNoUpstream) {
   for (const double Draw : Draws) {
     Fixture Test(Draw);
@@ -257,7 +258,7 @@
 }
 
 // An upstream leaves just after the instance's connections to the store were
-// reset. The next call goes through at once: the store was there all the while.
+// reset. The next call succeeds at once: the store was reachable all the time.
 BOOST_AUTO_TEST_CASE(AResetConnectionKeepsNoUpstream) {
   for (const double Draw : Draws) {
     Fixture Test(Draw);
@@ -268,9 +269,8 @@
   }
 }
 
-// The instances call the store too often and some calls are turned away for
-// this. Upstreams have no part in it: an entry that goes meanwhile is no entry
-// that could not be renewed.
+// The store throttles some calls of the instances. Upstreams are not affected,
+// so an entry that is removed meanwhile has not expired for want of a renewal.
 BOOST_AUTO_TEST_CASE(ThrottledCallsKeepNoUpstream) {
   for (const double Draw : Draws) {
     Fixture Test(Draw);
