--- a/src/core/log.cpp
+++ b/src/core/log.cpp
@@ -20,8 +20,8 @@
 namespace {
 
 struct EventRow {
-  log4cplus::LogLevel m_Level; ///< Level at which it is written.
-  std::string_view m_Name;     ///< Stable name.
+  log4cplus::LogLevel m_Level; ///< Level at which the event is logged.
+  std::string_view m_Name;     ///< Does not change between versions.
 };
 
 constexpr log4cplus::LogLevel Debug = log4cplus::DEBUG_LOG_LEVEL;
@@ -58,25 +58,25 @@
   return Instance;
 }
 
-/// Writes lines without ever waiting for their reader.
+/// Writes lines without ever blocking.
 ///
-/// Failure: the reader of a pipe stops, the pipe fills, and a write blocks the
-/// one thread that serves callers. A line is written only when the pipe has
-/// room for it, which the kernel promises for lines up to PIPE_BUF; others are
-/// dropped and counted, so no memory grows.
-class UnblockedAppender final : public log4cplus::Appender {
+/// If the reader of a pipe stops, the pipe fills and a plain write would block
+/// the one thread that serves callers. A line is written only if poll() reports
+/// room, which for a pipe means room for PIPE_BUF bytes. Other lines are
+/// dropped and counted, not queued, so that memory does not grow.
+class NonBlockingAppender final : public log4cplus::Appender {
 public:
-  explicit UnblockedAppender(LogTarget Target)
+  explicit NonBlockingAppender(LogTarget Target)
       : m_Fd(Target == LogTarget::StandardOutput ? STDOUT_FILENO
                                                  : STDERR_FILENO) {}
-  ~UnblockedAppender() override { destructorImpl(); }
+  ~NonBlockingAppender() override { destructorImpl(); }
   void close() override { closed = true; }
 
 protected:
   void append(const log4cplus::spi::InternalLoggingEvent &Event) override {
-    pollfd Asked = {m_Fd, POLLOUT, 0};
+    pollfd Descriptor = {m_Fd, POLLOUT, 0};
     const std::string Line = Event.getMessage() + "\n";
-    if (poll(&Asked, 1, 0) <= 0 || (Asked.revents & POLLOUT) == 0 ||
+    if (poll(&Descriptor, 1, 0) <= 0 || (Descriptor.revents & POLLOUT) == 0 ||
         Line.size() > PIPE_BUF || write(m_Fd, Line.data(), Line.size()) < 0) {
       ++m_Dropped;
       return;
@@ -87,56 +87,57 @@
   }
 
 private:
-  int m_Fd;                    ///< Never closed here.
-  std::uint64_t m_Dropped = 0; ///< Since the last line that was written.
+  int m_Fd;                    ///< Not owned.
+  std::uint64_t m_Dropped = 0; ///< Since the last report of dropped lines.
 };
 
-/// How many lines of one event may be written in a second. A heavy day has ten
-/// requests a second at one process; the rest is for storms, in which the first
-/// lines and the count of the others tell as much as all of them.
-constexpr unsigned LinesPerSecond = 100;
+/// Maximum number of lines of one event per second. One process serves ten
+/// requests per second on a busy day; the rest is headroom for bursts of
+/// errors, of which the first lines and the number of the others say enough.
+constexpr unsigned MaxLinesPerSecond = 100;
 
-/// What one event has used of its second.
-struct Budget {
-  std::int64_t m_Second = 0;   ///< Of the monotonic clock.
-  unsigned m_Written = 0;      ///< Lines in that second.
-  std::uint64_t m_LeftOut = 0; ///< Lines over the limit.
+/// Lines of one event in the current second.
+struct EventBudget {
+  std::int64_t m_Second = 0;      ///< Second of the monotonic clock.
+  unsigned m_Written = 0;         ///< Lines written in that second.
+  std::uint64_t m_Suppressed = 0; ///< Lines over the limit, not written.
 };
 
 std::string processName; // NOLINT(readability-identifier-naming)
 
-void writeLine(LogEvent What, const EventRow &Row,
+void writeLine(LogEvent Event, const EventRow &Row,
                std::initializer_list<LogField> Fields) {
   nlohmann::ordered_json Line;
   Line["at_ms"] = g_get_real_time() / 1000;
   Line["level"] = log4cplus::getLogLevelManager().toString(Row.m_Level);
   Line["process"] = processName;
-  Line["event"] = static_cast<unsigned>(What);
+  Line["event"] = static_cast<unsigned>(Event);
   Line["name"] = Row.m_Name;
   for (const LogField &Field : Fields)
     Line[std::string(Field.first)] = Field.second;
-  // Bytes of callers that are no UTF-8 must not end the process.
+  // Fields may hold bytes from callers that are not UTF-8; the default handler
+  // would throw.
   logger().log(
       Row.m_Level,
       Line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
-/// Counts a line; returns whether it is within the event's budget.
-bool withinBudget(LogEvent What) {
-  static std::map<LogEvent, Budget> Budgets;
-  Budget &Used = Budgets[What];
+/// Counts a line and returns whether it is within the event's budget.
+bool withinBudget(LogEvent Event) {
+  static std::map<LogEvent, EventBudget> Budgets;
+  EventBudget &Used = Budgets[Event];
   const std::int64_t Second = g_get_monotonic_time() / G_USEC_PER_SEC;
   if (Second != Used.m_Second) {
-    const std::uint64_t LeftOut = std::exchange(Used.m_LeftOut, 0);
+    const std::uint64_t Suppressed = std::exchange(Used.m_Suppressed, 0);
     Used = {Second, 0, 0};
-    if (LeftOut > 0)
+    if (Suppressed > 0)
       logEvent(LogEvent::LogLinesLeftOut,
-               {{"of_event", std::to_string(static_cast<unsigned>(What))},
-                {"count", std::to_string(LeftOut)}});
+               {{"of_event", std::to_string(static_cast<unsigned>(Event))},
+                {"count", std::to_string(Suppressed)}});
   }
-  if (++Used.m_Written <= LinesPerSecond)
+  if (++Used.m_Written <= MaxLinesPerSecond)
     return true;
-  ++Used.m_LeftOut;
+  ++Used.m_Suppressed;
   return false;
 }
 
@@ -147,17 +148,17 @@
   const log4cplus::LogLevel Threshold = levelOf(Level);
   processName = Process;
   log4cplus::initialize();
-  log4cplus::SharedAppenderPtr Appender(new UnblockedAppender(Target));
+  log4cplus::SharedAppenderPtr Appender(new NonBlockingAppender(Target));
   logger().removeAllAppenders();
   logger().addAppender(Appender);
   logger().setAdditivity(false);
   logger().setLogLevel(Threshold);
 }
 
-void logEvent(LogEvent What, std::initializer_list<LogField> Fields) {
-  const EventRow &Row = eventRows().at(What);
-  if (logger().isEnabledFor(Row.m_Level) && withinBudget(What))
-    writeLine(What, Row, Fields);
+void logEvent(LogEvent Event, std::initializer_list<LogField> Fields) {
+  const EventRow &Row = eventRows().at(Event);
+  if (logger().isEnabledFor(Row.m_Level) && withinBudget(Event))
+    writeLine(Event, Row, Fields);
 }
 
 } // namespace crowstep
--- a/tests/unit/platform_adapter_test.cpp
+++ b/tests/unit/platform_adapter_test.cpp
@@ -1,5 +1,5 @@
 /// The adapter to the users' platform: headers, manifests, entries and the
-/// store, each with what another writer or a sick store could make of it.
+/// store, with input from faulty writers and a failing store.
 #define BOOST_TEST_MODULE platform_adapter
 #include "manifest.h"
 #include "peer_registry.h"
@@ -34,14 +34,14 @@
     R"({"service":"s1","address":"10.0.0.9:8080","zone":"a","version":"v1",)"
     R"("slots":64,"state":"ready","models":[{"name":"m"}],"born":1700})";
 
-/// A store whose calls the test answers.
+/// A store whose calls are answered by the test.
 class FakeStore final : public Store {
 public:
   struct Call {
     std::string m_Kind;   ///< "read" or "follow".
     StoreVersion m_After; ///< Of a follow.
     Duration m_Wait{};    ///< Of a follow.
-    Done m_Done;          ///< To be answered.
+    Done m_Done;          ///< Callback of the answer.
   };
   void read(const std::string &, const std::string &, Done OnDone) override {
     m_Calls.push_back({"read", {}, {}, std::move(OnDone)});
@@ -50,38 +50,38 @@
               Done OnDone) override {
     m_Calls.push_back({"follow", After, Wait, std::move(OnDone)});
   }
-  void write(const StoreWrite &What,
+  void write(const StoreWrite &Write,
              std::function<void(StoreWriteResult)> OnDone) override {
-    m_Writes.push_back({What, std::move(OnDone)});
+    m_Writes.push_back({Write, std::move(OnDone)});
   }
   void answer(StoreResult Result) {
     const Call Last = std::move(m_Calls.back());
     m_Calls.pop_back();
     Last.m_Done(std::move(Result));
   }
-  std::deque<Call> m_Calls; ///< Not yet answered.
+  std::deque<Call> m_Calls; ///< Unanswered calls.
   std::vector<std::pair<StoreWrite, std::function<void(StoreWriteResult)>>>
-      m_Writes; ///< All.
+      m_Writes; ///< All writes.
 };
 
 StoreRow row(const std::string &Key, std::uint64_t Version, bool Gone = false) {
   return {Key, "v" + std::to_string(Version), StoreVersion(Version), Gone};
 }
 
-struct Following {
+struct Fixture {
   ManualClock m_Clock;
   ManualScheduler m_Timers{m_Clock};
   FakeStore m_Store;
-  std::vector<std::string> m_Told;
-  std::vector<gateway::DirectoryUpdate> m_Read; ///< To be passed on.
-  double m_Draw = 0.5; ///< What the back-off is drawn by.
+  std::vector<std::string> m_Reported;
+  std::vector<gateway::DirectoryUpdate> m_Read; ///< To be forwarded.
+  double m_Draw = 0.5; ///< Random number for the jitter of the back-off.
   TableFollower m_Table{m_Store,
                         m_Clock,
                         m_Timers,
                         "t",
                         [this] { return m_Draw; },
                         {[this](const StoreRow &Row) {
-                           m_Told.push_back(
+                           m_Reported.push_back(
                                (Row.m_Gone ? "-" : "+") + Row.m_Key +
                                std::to_string(Row.m_Version.value()));
                          },
@@ -90,12 +90,12 @@
                            m_Read.push_back(Update);
                          }}};
 
-  Following() { m_Table.start(); }
-  std::string told() {
+  Fixture() { m_Table.start(); }
+  std::string takeReported() {
     std::string Result;
-    for (const std::string &Each : m_Told)
-      Result += Each + " ";
-    m_Told.clear();
+    for (const std::string &Entry : m_Reported)
+      Result += Entry + " ";
+    m_Reported.clear();
     return Result;
   }
 };
@@ -118,8 +118,8 @@
   BOOST_TEST(!Data.m_Workspaces[1].m_Priority.has_value());
 }
 
-/// A manifest that can't be read must not take the last good one away, so it
-/// is an error as a whole and never half a table.
+/// Guards against an unreadable manifest that replaces the last good one with
+/// part of a table: it is rejected as a whole.
 BOOST_AUTO_TEST_CASE(AnUnreadableManifestIsAnError) {
   for (
       const char *Text :
@@ -130,8 +130,8 @@
     BOOST_CHECK_THROW(readManifest(Text), StoreValueError);
 }
 
-/// Entries of another writer: fields missing or of another type, unknown
-/// states, bytes that are no text. Each names no upstream and ends nothing.
+/// Entries with missing fields, fields of another type, unknown states or bytes
+/// that are not text are rejected by an exception that the callers catch.
 BOOST_AUTO_TEST_CASE(AnUnreadableEntryIsAnError) {
   const auto Without = [](const std::string &Name) {
     std::string Text = GoodEntry;
@@ -153,8 +153,8 @@
     BOOST_CHECK_THROW(readUpstreamEntry("e", Text), StoreValueError);
 }
 
-/// An engine that starts again under its name holds nothing of before: its
-/// time of start makes it another upstream under the same name on the wire.
+/// An engine that restarts under its name has an empty cache: its start time
+/// gives it another id, while its name on the wire stays the same.
 BOOST_AUTO_TEST_CASE(ARestartIsAnotherUpstream) {
   const Upstream First = readUpstreamEntry("e", GoodEntry);
   std::string Later = GoodEntry;
@@ -183,8 +183,8 @@
   BOOST_TEST(*Facts.m_LastEvent == 12U);
 }
 
-/// Values that can't be read, and headers that came twice, could mean one thing
-/// here and another at an engine.
+/// Values that can't be parsed, and headers that occur twice, might be read
+/// differently by the gateway and an engine.
 BOOST_AUTO_TEST_CASE(UnreadableHeadersOfRequestsAreNamed) {
   const PlatformHeaders Codec;
   for (const HeaderField &Bad :
@@ -200,8 +200,8 @@
       Codec.readRequest({{"Host", "h"}})));
 }
 
-/// What only the gateway may say to an engine is never the caller's: a forged
-/// workspace, reservation or memory would be another customer's.
+/// Guards against forged headers of a caller that reach an engine: they could
+/// name the workspace, reservation or cache of another customer.
 BOOST_AUTO_TEST_CASE(TheGatewaysHeadersAreItsOwn) {
   const PlatformHeaders Codec;
   HeaderList FromCaller = {{"X-Attempt-Id", "a"}, {"X-Model", "m"}};
@@ -221,7 +221,7 @@
   BOOST_TEST(findHeader(Sent, "X-Key") == nullptr);
 }
 
-/// Only the upstream's own word says "not run"; a bare 503 does not.
+/// Only a header of the upstream or a 421 means "not run"; a bare 503 does not.
 BOOST_AUTO_TEST_CASE(HeadersOfAnswersAreRead) {
   const PlatformHeaders Codec;
   BOOST_TEST(!Codec.readAnswer(503, {}).m_NotRun);
@@ -247,107 +247,107 @@
 }
 
 BOOST_AUTO_TEST_CASE(ATableIsReadAndFollowed) {
-  Following It;
-  It.m_Store.answer(
+  Fixture Test;
+  Test.m_Store.answer(
       StoreRows{{row("a", 3), row("b", 5)}, StoreVersion(9), false});
-  BOOST_TEST(It.told() == "+a3 +b5 ");
-  BOOST_TEST(It.m_Store.m_Calls.back().m_Kind == "follow");
-  BOOST_TEST(It.m_Store.m_Calls.back().m_After.value() == 9U);
-  It.m_Store.answer(
+  BOOST_TEST(Test.takeReported() == "+a3 +b5 ");
+  BOOST_TEST(Test.m_Store.m_Calls.back().m_Kind == "follow");
+  BOOST_TEST(Test.m_Store.m_Calls.back().m_After.value() == 9U);
+  Test.m_Store.answer(
       StoreRows{{row("a", 10), row("b", 11, true)}, StoreVersion(11), false});
-  BOOST_TEST(It.told() == "+a10 -b11 ");
-  BOOST_TEST(It.m_Store.m_Calls.back().m_After.value() == 11U);
+  BOOST_TEST(Test.takeReported() == "+a10 -b11 ");
+  BOOST_TEST(Test.m_Store.m_Calls.back().m_After.value() == 11U);
 }
 
-/// Ninety engines start within a second and each instance is told of each. The
-/// first change comes at once; those that follow it, or the rows that an
-/// instance finds when it starts, come together, with one call, so that the
-/// calls to the store stay few.
+/// Guards against one call of each instance per change, as when 90 engines
+/// start within a second. The first change is read at once; those after it, or
+/// after the rows that an instance reads at its start, are read with one call.
 BOOST_AUTO_TEST_CASE(ManyChangesComeWithOneCall) {
-  Following It;
-  It.m_Table.setPause(400ms);
-  It.m_Store.answer(StoreRows{{row("a", 3)}, StoreVersion(9), false});
-  BOOST_TEST(It.m_Store.m_Calls.empty());
-  It.m_Timers.advance(400ms);
-  It.m_Store.answer(StoreRows{{}, StoreVersion(9), false});
-  It.m_Store.answer(StoreRows{{row("b", 10)}, StoreVersion(10), false});
-  BOOST_TEST(It.told() == "+a3 +b10 ");
-  BOOST_TEST(It.m_Store.m_Calls.empty());
-  It.m_Timers.advance(400ms);
-  BOOST_REQUIRE(It.m_Store.m_Calls.size() == 1U);
-  BOOST_TEST(It.m_Store.m_Calls.back().m_After.value() == 10U);
+  Fixture Test;
+  Test.m_Table.setPause(400ms);
+  Test.m_Store.answer(StoreRows{{row("a", 3)}, StoreVersion(9), false});
+  BOOST_TEST(Test.m_Store.m_Calls.empty());
+  Test.m_Timers.advance(400ms);
+  Test.m_Store.answer(StoreRows{{}, StoreVersion(9), false});
+  Test.m_Store.answer(StoreRows{{row("b", 10)}, StoreVersion(10), false});
+  BOOST_TEST(Test.takeReported() == "+a3 +b10 ");
+  BOOST_TEST(Test.m_Store.m_Calls.empty());
+  Test.m_Timers.advance(400ms);
+  BOOST_REQUIRE(Test.m_Store.m_Calls.size() == 1U);
+  BOOST_TEST(Test.m_Store.m_Calls.back().m_After.value() == 10U);
 }
 
-/// The store dropped its history: the table is read anew. A copy that is
-/// seconds old answers first; taken, it would bring back rows that are gone.
+/// The store dropped its history, so the table is read again. Guards against an
+/// answer from a copy that is seconds old: it would bring back removed rows.
 BOOST_AUTO_TEST_CASE(AStaleCopyTakesNothingBack) {
-  Following It;
-  It.m_Store.answer(StoreRows{{row("a", 3)}, StoreVersion(9), false});
-  It.m_Store.answer(StoreRows{{row("a", 12)}, StoreVersion(12), false});
-  It.told();
-  It.m_Store.answer(StoreFailure::HistoryGone);
-  It.m_Timers.advance(1s);
-  BOOST_TEST(It.m_Store.m_Calls.back().m_Kind == "read");
-  It.m_Store.answer(
+  Fixture Test;
+  Test.m_Store.answer(StoreRows{{row("a", 3)}, StoreVersion(9), false});
+  Test.m_Store.answer(StoreRows{{row("a", 12)}, StoreVersion(12), false});
+  Test.takeReported();
+  Test.m_Store.answer(StoreFailure::HistoryGone);
+  Test.m_Timers.advance(1s);
+  BOOST_TEST(Test.m_Store.m_Calls.back().m_Kind == "read");
+  Test.m_Store.answer(
       StoreRows{{row("a", 3), row("old", 2)}, StoreVersion(9), false});
-  BOOST_TEST(It.told().empty());
-  It.m_Timers.advance(1s);
-  It.m_Store.answer(StoreRows{{row("b", 14)}, StoreVersion(15), false});
-  BOOST_TEST(It.told() == "+b14 -a15 ");
+  BOOST_TEST(Test.takeReported().empty());
+  Test.m_Timers.advance(1s);
+  Test.m_Store.answer(StoreRows{{row("b", 14)}, StoreVersion(15), false});
+  BOOST_TEST(Test.takeReported() == "+b14 -a15 ");
 }
 
-/// The store is away: calls come back with growing waits that differ between
-/// instances, and the first one that gets through does not wait for changes.
+/// While the store is unreachable, calls are retried with a growing back-off,
+/// and none of them waits for changes, so that the first one that gets through
+/// returns at once.
 BOOST_AUTO_TEST_CASE(AnOutageEndsWithAShortCall) {
-  Following It;
-  It.m_Store.answer(StoreRows{{row("a", 3)}, StoreVersion(9), false});
-  BOOST_TEST((It.m_Store.m_Calls.back().m_Wait > 5s));
+  Fixture Test;
+  Test.m_Store.answer(StoreRows{{row("a", 3)}, StoreVersion(9), false});
+  BOOST_TEST((Test.m_Store.m_Calls.back().m_Wait > 5s));
   for (int I = 0; I < 6; ++I) {
-    It.m_Store.answer(StoreFailure::Unreachable);
-    BOOST_TEST(It.m_Store.m_Calls.empty());
-    It.m_Timers.advance(600ms);
-    BOOST_REQUIRE(It.m_Store.m_Calls.size() == 1U);
-    BOOST_TEST((It.m_Store.m_Calls.back().m_Wait == 0ms));
+    Test.m_Store.answer(StoreFailure::Unreachable);
+    BOOST_TEST(Test.m_Store.m_Calls.empty());
+    Test.m_Timers.advance(600ms);
+    BOOST_REQUIRE(Test.m_Store.m_Calls.size() == 1U);
+    BOOST_TEST((Test.m_Store.m_Calls.back().m_Wait == 0ms));
   }
-  It.m_Store.answer(StoreRows{{}, StoreVersion(9), false});
-  BOOST_TEST((It.m_Store.m_Calls.back().m_Wait > 5s));
-  BOOST_TEST(It.told() == "+a3 ");
+  Test.m_Store.answer(StoreRows{{}, StoreVersion(9), false});
+  BOOST_TEST((Test.m_Store.m_Calls.back().m_Wait > 5s));
+  BOOST_TEST(Test.takeReported() == "+a3 ");
 }
 
-/// The store is silent or turns all calls away. What an instance knows of its
-/// upstreams gets old meanwhile, so it must notice the store's return soon: the
-/// next call begins less than 0.9 s after the one before, whatever it waited
-/// for and however the back-off was drawn.
+/// The store is silent or rejects all calls. What an instance knows of its
+/// upstreams gets stale meanwhile, so it must notice the end of the outage
+/// soon: the next call begins less than 0.9 s after the one before, however
+/// long that one hung and whatever the jitter.
 BOOST_AUTO_TEST_CASE(CallsGoOnThroughAnOutage) {
   for (const double Draw : {0.0, 0.5, 0.999})
     for (const Duration Hangs : {Duration(4ms), StoreClient::Timeout}) {
-      Following It;
-      It.m_Draw = Draw;
-      It.m_Store.answer(StoreRows{{row("a", 3)}, StoreVersion(9), false});
-      It.m_Store.answer(StoreFailure::Unreachable);
-      It.m_Timers.advance(120ms);
+      Fixture Test;
+      Test.m_Draw = Draw;
+      Test.m_Store.answer(StoreRows{{row("a", 3)}, StoreVersion(9), false});
+      Test.m_Store.answer(StoreFailure::Unreachable);
+      Test.m_Timers.advance(120ms);
       for (int I = 0; I < 8; ++I) {
-        BOOST_REQUIRE(It.m_Store.m_Calls.size() == 1U);
-        const TimePoint Begin = It.m_Clock.now();
-        It.m_Timers.advance(Hangs);
-        It.m_Store.answer(StoreFailure::Unreachable);
-        while (It.m_Store.m_Calls.empty())
-          It.m_Timers.advance(1ms);
-        BOOST_TEST((It.m_Clock.now() - Begin < 900ms));
+        BOOST_REQUIRE(Test.m_Store.m_Calls.size() == 1U);
+        const TimePoint Begin = Test.m_Clock.now();
+        Test.m_Timers.advance(Hangs);
+        Test.m_Store.answer(StoreFailure::Unreachable);
+        while (Test.m_Store.m_Calls.empty())
+          Test.m_Timers.advance(1ms);
+        BOOST_TEST((Test.m_Clock.now() - Begin < 900ms));
       }
     }
 }
 
-/// Many instances start at once; only the first makes the shared secret, under
-/// the condition that there is none, and all take the one that stands.
+/// Many instances start at once. Only the first write creates the shared
+/// secret, as it requires that there is none, and all use the one in the table.
 BOOST_AUTO_TEST_CASE(TheFirstInstanceMakesTheLinkKey) {
   ManualClock Clock;
   ManualScheduler Timers(Clock);
   FakeStore Rows;
-  std::vector<gateway::PeerList> Told;
+  std::vector<gateway::PeerList> Reported;
   PeerRegistry Registry(
       Rows, Clock, Timers, [] { return 0.5; },
-      [&](const gateway::PeerList &List) { Told.push_back(List); },
+      [&](const gateway::PeerList &List) { Reported.push_back(List); },
       [](const std::set<ContentHash> &) {},
       [](const gateway::DirectoryUpdate &) {});
   Registry.start({"edge-1", {0x0a000001, 7340}, {"a"}, 0.5});
@@ -356,23 +356,23 @@
   const std::string Own = *Rows.m_Writes.at(0).first.m_Value;
   BOOST_TEST(Own == R"({"address":"10.0.0.1:7340","weight":0.5,"zone":"a"})");
   BOOST_TEST(Rows.m_Writes[1].first.m_Expected->value() == 0U);
-  BOOST_TEST(Told.empty());
+  BOOST_TEST(Reported.empty());
   Rows.answer(StoreRows{{{"#link-key", "secret", StoreVersion(2), false},
                          {"edge-1", Own, StoreVersion(3), false},
                          {"bad", "no address", StoreVersion(4), false},
                          {"odd", R"({"address":7})", StoreVersion(4), false}},
                         StoreVersion(4),
                         false});
-  BOOST_REQUIRE(Told.size() == 1U);
-  BOOST_TEST(Told[0].m_Key == "secret");
-  BOOST_REQUIRE(Told[0].m_Instances.size() == 1U);
-  BOOST_TEST(Told[0].m_Instances[0].m_Zone.m_Name == "a");
-  BOOST_TEST(Told[0].m_Instances[0].m_Weight == 0.5);
+  BOOST_REQUIRE(Reported.size() == 1U);
+  BOOST_TEST(Reported[0].m_Key == "secret");
+  BOOST_REQUIRE(Reported[0].m_Instances.size() == 1U);
+  BOOST_TEST(Reported[0].m_Instances[0].m_Zone.m_Name == "a");
+  BOOST_TEST(Reported[0].m_Instances[0].m_Weight == 0.5);
 }
 
-/// All instances are killed and start again at once. Each finds its row as it
-/// left it and writes nothing, so that none is woken for the others; a row that
-/// the stop before removed late is written again.
+/// All instances are killed and restart at once. Each finds its row unchanged
+/// and writes nothing, so that the others are not woken. A row that is removed
+/// late, by the stop of the process before, is written again.
 BOOST_AUTO_TEST_CASE(ARestartedInstanceFindsItsRow) {
   ManualClock Clock;
   ManualScheduler Timers(Clock);
--- a/tests/unit/store_directory_test.cpp
+++ b/tests/unit/store_directory_test.cpp
@@ -1,7 +1,7 @@
-/// Which upstreams an instance uses while it and the store lose each other.
+/// Which upstreams an instance uses during and after outages of the store.
 ///
-/// Times are played in steps: a trouble ends at any moment between two calls of
-/// the instance, and its back-off is drawn short, middling and long.
+/// Outages end at each of many moments between two calls of the instance, and
+/// the jitter of its back-off is short, middling and long.
 #define BOOST_TEST_MODULE store_directory
 #include "store_directory.h"
 #include "unit/simulated_store.h"
@@ -17,19 +17,19 @@
 
 namespace {
 
-/// An upstream that leaves gets nothing new this long after the store took its
-/// word.
-constexpr Duration Drain = 2s;
+/// A draining upstream gets no new requests this long after the store recorded
+/// that it drains.
+constexpr Duration DrainTime = 2s;
 
-/// An instance that has its way to the store back keeps all promises this much
-/// later.
-constexpr Duration Contact = 3s;
+/// An instance must be up to date this long after it could reach the store
+/// again.
+constexpr Duration SettleTime = 3s;
 
-/// An entry that lapsed while the store was away is back this long after it.
-constexpr Duration RenewedAfter = 2s;
+/// An entry that expired in an outage is renewed this long after its end.
+constexpr Duration RenewalDelay = 2s;
 
-/// Between two looks at the list.
-constexpr Duration Look = 5ms;
+/// Interval between checks of the list.
+constexpr Duration CheckInterval = 5ms;
 
 constexpr Duration AnySpan = 2s; ///< Longer than any pause between calls.
 constexpr Duration AnyStep = 23ms;
@@ -45,8 +45,8 @@
   void directoryRead(const gateway::DirectoryUpdate &) override {}
   void upstreamsChanged(const std::vector<Upstream> &List) override {
     m_Names.clear();
-    for (const Upstream &Each : List)
-      m_Names.push_back(Each.m_Name);
+    for (const Upstream &Item : List)
+      m_Names.push_back(Item.m_Name);
   }
   [[nodiscard]] bool has(const std::string &Name) const {
     return std::find(m_Names.begin(), m_Names.end(), Name) != m_Names.end();
@@ -57,7 +57,7 @@
 };
 
 /// An instance that knows three upstreams.
-struct World {
+struct Fixture {
   ManualClock m_Clock;
   ManualScheduler m_Timers{m_Clock};
   SimulatedStore m_Store{m_Clock, m_Timers};
@@ -65,9 +65,9 @@
   Listener m_Listener;
   StoreDirectory m_Directory;
 
-  explicit World(double Draw)
-      : m_Directory(m_Store.client(), {Drain, Drain, Contact}, m_Clock,
-                    m_Timers, m_Stats, [Draw] { return Draw; }) {
+  explicit Fixture(double Draw)
+      : m_Directory(m_Store.client(), {DrainTime, DrainTime, SettleTime},
+                    m_Clock, m_Timers, m_Stats, [Draw] { return Draw; }) {
     listAll();
     m_Directory.start(m_Listener, {"edge-1", {0x0a000001, 7340}, {"z"}, 1});
     m_Timers.advance(10s);
@@ -84,199 +84,199 @@
     for (const char *Name : {"a", "b", "c"})
       list(Name);
   }
-  /// The store is away for four seconds and \p Span more, and all entries
-  /// lapse.
-  void lapse(Mode How, Duration Span) {
-    m_Store.setMode(How);
+  /// Makes the store unreachable for four seconds and \p Span more, and lets
+  /// all entries expire.
+  void expireEntries(Mode StoreMode, Duration Span) {
+    m_Store.setMode(StoreMode);
     m_Timers.advance(4s);
     for (const char *Name : {"a", "b", "c"})
       unlist(Name);
     m_Timers.advance(Span);
     m_Store.setMode(Mode::Up);
   }
-  void during(Mode What, Duration Span) {
-    m_Store.setMode(What);
+  void during(Mode StoreMode, Duration Span) {
+    m_Store.setMode(StoreMode);
     m_Timers.advance(Span);
     m_Store.setMode(Mode::Up);
   }
   /// Returns how long \p Name is listed from now on, at most \p Limit.
   Duration listedFor(const std::string &Name, Duration Limit) {
     Duration Result{};
-    for (; m_Listener.has(Name) && Result < Limit; Result += Look)
-      m_Timers.advance(Look);
+    for (; m_Listener.has(Name) && Result < Limit; Result += CheckInterval)
+      m_Timers.advance(CheckInterval);
     return Result;
   }
 };
 
-template <typename Job> void atAnyMoment(Job Play) {
+template <typename Job> void atAnyMoment(Job Scenario) {
   for (const double Draw : Draws)
     for (Duration Moment{}; Moment < AnySpan; Moment += AnyStep)
       BOOST_TEST_CONTEXT("back-off drawn " << Draw << ", moment "
                                            << Moment.count() << " us") {
-        Play(Draw, Moment);
+        Scenario(Draw, Moment);
       }
 }
 
-/// An upstream leaves without a word in a trouble of ten seconds and more.
-void leaveDuring(Mode How) {
-  atAnyMoment([How](double Draw, Duration Moment) {
-    World It(Draw);
-    It.m_Store.setMode(How);
-    It.m_Timers.advance(1s);
-    It.unlist("a");
-    It.m_Timers.advance(9s + Moment);
-    It.m_Store.setMode(Mode::Up);
-    BOOST_TEST((It.listedFor("a", 10s) < Contact));
-    BOOST_TEST(It.m_Listener.has("b"));
+/// Removes an upstream without draining it, in an outage of ten seconds or
+/// more.
+void leaveDuring(Mode StoreMode) {
+  atAnyMoment([StoreMode](double Draw, Duration Moment) {
+    Fixture Test(Draw);
+    Test.m_Store.setMode(StoreMode);
+    Test.m_Timers.advance(1s);
+    Test.unlist("a");
+    Test.m_Timers.advance(9s + Moment);
+    Test.m_Store.setMode(Mode::Up);
+    BOOST_TEST((Test.listedFor("a", 10s) < SettleTime));
+    BOOST_TEST(Test.m_Listener.has("b"));
   });
 }
 
 } // namespace
 
-// Callers get answers of an upstream that said twelve seconds ago that it
-// leaves, or lose them with its end. The instance is cut off from the store;
-// meanwhile an upstream leaves: its entry goes without another word. The way is
-// back, and the instance hears it with its next call. Cause: it took its own
-// trouble for the store's and kept the upstream for two seconds from the news,
-// as one that could not renew its entry; the log had the news in time and calls
-// to the upstream after it.
+// Guards against an instance that takes its own lost connection for an outage
+// of the store. An upstream's entry is removed while the instance is cut off;
+// with its next call it reads the removal, but kept the upstream for two
+// seconds as one that could not renew its entry. Callers got answers from an
+// upstream that had started to drain twelve seconds before, or lost their calls
+// with its end; the log showed the removal in time, and calls to the upstream
+// after it.
 BOOST_AUTO_TEST_CASE(AnUpstreamThatLeftBehindACutIsDroppedInTime) {
   leaveDuring(Mode::Cut);
 }
 
-// The same where the store turns the instance away instead of being silent.
+// The same where the store rejects the instance's calls instead of being
+// silent.
 BOOST_AUTO_TEST_CASE(AnUpstreamThatLeftWhileRefusedIsDroppedInTime) {
   leaveDuring(Mode::Refusing);
 }
 
-// Callers are sent to upstreams that left or crashed, by an instance that has
-// seen no trouble. A change comes, and amid the pause after it the store falls
-// silent for three seconds: it takes calls and forgets them. The instance's
-// next call is such a call. Seconds after the store's return an upstream
-// leaves. Cause: the forgotten call was to wait for 30 s, and its connection
-// stood; the log of such an instance had a change, and no word on the store
-// after it.
+// Guards against callers sent to upstreams that left or crashed, by an instance
+// that has noticed no outage. In the pause after a change the store falls
+// silent for three seconds: it accepts calls and forgets them, also the
+// instance's next one. Seconds after the store's recovery an upstream leaves.
+// The forgotten call waited for 30 s on an open connection; the log of such an
+// instance showed a change and nothing about the store after it.
 BOOST_AUTO_TEST_CASE(AnUpstreamThatLeavesAfterASilenceIsDropped) {
   atAnyMoment([](double Draw, Duration Moment) {
-    World It(Draw);
-    It.list("d");
-    It.m_Timers.advance(Moment / 3);
-    It.m_Store.setMode(Mode::Silent);
-    It.m_Timers.advance(3s);
-    It.m_Store.setMode(Mode::Up);
-    It.m_Timers.advance(Contact);
-    It.unlist("a");
-    BOOST_TEST((It.listedFor("a", 10s) < Drain));
+    Fixture Test(Draw);
+    Test.list("d");
+    Test.m_Timers.advance(Moment / 3);
+    Test.m_Store.setMode(Mode::Silent);
+    Test.m_Timers.advance(3s);
+    Test.m_Store.setMode(Mode::Up);
+    Test.m_Timers.advance(SettleTime);
+    Test.unlist("a");
+    BOOST_TEST((Test.listedFor("a", 10s) < DrainTime));
   });
 }
 
-// All callers are refused for want of an upstream although all upstreams live.
-// The store is away for so long that their entries lapse, and they renew them
-// two seconds after its return.
+// Guards against refusing all callers for want of an upstream although all are
+// alive: in a long outage of the store their entries expire, and they renew
+// them two seconds after its end.
 BOOST_AUTO_TEST_CASE(UpstreamsWhoseEntriesLapsedAreKeptUntilRenewed) {
-  for (const Mode How : {Mode::Cut, Mode::Refusing})
-    atAnyMoment([How](double Draw, Duration Moment) {
-      World It(Draw);
-      It.lapse(How, 2s + Moment);
-      BOOST_TEST((It.listedFor("a", RenewedAfter) == RenewedAfter));
-      It.listAll();
-      BOOST_TEST((It.listedFor("a", 3s) == 3s));
+  for (const Mode StoreMode : {Mode::Cut, Mode::Refusing})
+    atAnyMoment([StoreMode](double Draw, Duration Moment) {
+      Fixture Test(Draw);
+      Test.expireEntries(StoreMode, 2s + Moment);
+      BOOST_TEST((Test.listedFor("a", RenewalDelay) == RenewalDelay));
+      Test.listAll();
+      BOOST_TEST((Test.listedFor("a", 3s) == 3s));
     });
 }
 
-// Callers are refused by this instance alone although an upstream has renewed
-// its entry in time: others renewed theirs just before, and the instance joins
-// changes that come soon after each other into one call.
+// Guards against one instance that refuses callers although an upstream has
+// renewed its entry in time: others renewed theirs just before, and the
+// instance reads changes in quick succession with one call.
 BOOST_AUTO_TEST_CASE(UpstreamsThatRenewOneByOneAreKept) {
-  for (const Mode How : {Mode::Cut, Mode::Refusing})
-    atAnyMoment([How](double Draw, Duration Moment) {
-      World It(Draw);
-      It.lapse(How, 2s + Moment);
-      It.m_Timers.advance(RenewedAfter - 300ms);
-      It.list("a");
-      It.m_Timers.advance(100ms);
-      It.list("b");
-      It.m_Timers.advance(200ms);
-      It.list("c");
-      BOOST_TEST((It.listedFor("c", 3s) == 3s));
+  for (const Mode StoreMode : {Mode::Cut, Mode::Refusing})
+    atAnyMoment([StoreMode](double Draw, Duration Moment) {
+      Fixture Test(Draw);
+      Test.expireEntries(StoreMode, 2s + Moment);
+      Test.m_Timers.advance(RenewalDelay - 300ms);
+      Test.list("a");
+      Test.m_Timers.advance(100ms);
+      Test.list("b");
+      Test.m_Timers.advance(200ms);
+      Test.list("c");
+      BOOST_TEST((Test.listedFor("c", 3s) == 3s));
     });
 }
 
-// The same with an upstream that had said that it leaves: its entry has not
-// lapsed, so nothing more may begin there.
+// The same with a draining upstream: its entry was removed, not expired, so it
+// may get no new requests.
 BOOST_AUTO_TEST_CASE(ALeavingUpstreamWhoseEntryGoesIsNotKept) {
-  World It(0.5);
-  It.list("a", "draining");
-  It.m_Timers.advance(1s);
-  It.m_Store.setMode(Mode::Refusing);
-  It.m_Timers.advance(4s);
-  It.unlist("a");
-  It.m_Store.setMode(Mode::Up);
-  BOOST_TEST((It.listedFor("a", 10s) < 1s));
+  Fixture Test(0.5);
+  Test.list("a", "draining");
+  Test.m_Timers.advance(1s);
+  Test.m_Store.setMode(Mode::Refusing);
+  Test.m_Timers.advance(4s);
+  Test.unlist("a");
+  Test.m_Store.setMode(Mode::Up);
+  BOOST_TEST((Test.listedFor("a", 10s) < 1s));
 }
 
-// All callers are refused for a while as above, with a store that is back for a
-// second and away again before any upstream could renew its entry.
+// As above, with a store that recovers for a second and is unreachable again
+// before any upstream could renew its entry.
 BOOST_AUTO_TEST_CASE(UpstreamsAreKeptThroughASecondOutage) {
-  World It(0.5);
-  It.lapse(Mode::Refusing, 2s);
-  It.m_Timers.advance(1s);
-  It.m_Store.setMode(Mode::Refusing);
-  BOOST_TEST((It.listedFor("a", 5s) == 5s));
-  It.m_Store.setMode(Mode::Up);
-  BOOST_TEST((It.listedFor("a", RenewedAfter) == RenewedAfter));
-  It.listAll();
-  BOOST_TEST((It.listedFor("a", 3s) == 3s));
+  Fixture Test(0.5);
+  Test.expireEntries(Mode::Refusing, 2s);
+  Test.m_Timers.advance(1s);
+  Test.m_Store.setMode(Mode::Refusing);
+  BOOST_TEST((Test.listedFor("a", 5s) == 5s));
+  Test.m_Store.setMode(Mode::Up);
+  BOOST_TEST((Test.listedFor("a", RenewalDelay) == RenewalDelay));
+  Test.listAll();
+  BOOST_TEST((Test.listedFor("a", 3s) == 3s));
 }
 
-// Upstreams that never come back are dropped at one time, whatever their names
-// and the order in which their entries went.
+// Upstreams that never return are dropped at the same time, whatever their
+// names and the order in which their entries were removed.
 BOOST_AUTO_TEST_CASE(UpstreamsThatStayMissingAreDropped) {
-  World It(0.5);
-  It.m_Store.setMode(Mode::Refusing);
-  It.m_Timers.advance(4s);
-  It.unlist("c");
-  It.m_Store.setMode(Mode::Up);
-  It.m_Timers.advance(1500ms);
-  It.unlist("a");
-  BOOST_TEST((It.listedFor("c", 10s) < Contact - 1500ms));
-  BOOST_TEST((It.listedFor("a", 10s) < Contact - 1500ms));
-  BOOST_TEST(It.m_Listener.has("b"));
+  Fixture Test(0.5);
+  Test.m_Store.setMode(Mode::Refusing);
+  Test.m_Timers.advance(4s);
+  Test.unlist("c");
+  Test.m_Store.setMode(Mode::Up);
+  Test.m_Timers.advance(1500ms);
+  Test.unlist("a");
+  BOOST_TEST((Test.listedFor("c", 10s) < SettleTime - 1500ms));
+  BOOST_TEST((Test.listedFor("a", 10s) < SettleTime - 1500ms));
+  BOOST_TEST(Test.m_Listener.has("b"));
 }
 
-// An upstream leaves while its instance reads the table anew, as the store has
-// dropped its history. The store was there all the while, so the entry can't
-// have lapsed.
+// An upstream leaves while an instance reads the table again because the store
+// has dropped its history. The store was reachable all the time, so the entry
+// can't have expired.
 BOOST_AUTO_TEST_CASE(LostHistoryKeepsNoUpstream) {
   for (const double Draw : Draws) {
-    World It(Draw);
-    It.m_Store.dropHistory();
-    It.unlist("a");
-    BOOST_TEST((It.listedFor("a", 10s) < Drain));
+    Fixture Test(Draw);
+    Test.m_Store.dropHistory();
+    Test.unlist("a");
+    BOOST_TEST((Test.listedFor("a", 10s) < DrainTime));
   }
 }
 
 // An upstream leaves just after the instance's connections to the store were
-// reset. The next call goes through at once: the store was there all the while.
+// reset. The next call succeeds at once: the store was reachable all the time.
 BOOST_AUTO_TEST_CASE(AResetConnectionKeepsNoUpstream) {
   for (const double Draw : Draws) {
-    World It(Draw);
-    It.m_Store.reset();
-    It.m_Timers.advance(1s);
-    It.unlist("a");
-    BOOST_TEST((It.listedFor("a", 10s) < Drain));
+    Fixture Test(Draw);
+    Test.m_Store.reset();
+    Test.m_Timers.advance(1s);
+    Test.unlist("a");
+    BOOST_TEST((Test.listedFor("a", 10s) < DrainTime));
   }
 }
 
-// The instances call the store too often and some calls are turned away for
-// this. Upstreams have no part in it: an entry that goes meanwhile is no entry
-// that could not be renewed.
+// The store throttles some calls of the instances. Upstreams are not affected,
+// so an entry that is removed meanwhile has not expired for want of a renewal.
 BOOST_AUTO_TEST_CASE(ThrottledCallsKeepNoUpstream) {
   for (const double Draw : Draws) {
-    World It(Draw);
-    It.during(Mode::Throttling, 500ms);
-    It.m_Timers.advance(500ms);
-    It.unlist("a");
-    BOOST_TEST((It.listedFor("a", 10s) < Drain));
+    Fixture Test(Draw);
+    Test.during(Mode::Throttling, 500ms);
+    Test.m_Timers.advance(500ms);
+    Test.unlist("a");
+    BOOST_TEST((Test.listedFor("a", 10s) < DrainTime));
   }
 }
