--- a/tests/soak/ledger.cpp
+++ b/tests/soak/ledger.cpp
@@ -19,17 +19,18 @@
 constexpr unsigned HttpOk = 200;
 constexpr unsigned HttpNotFound = 404;
 
-bool saysNotRun(unsigned Status) {
+bool isNotExecutedStatus(unsigned Status) {
   return Status == 408 || Status == 421 || Status == 429 || Status == 503;
 }
 
-std::string describe(const std::string &Id, const Asked &Call) {
+std::string describe(const std::string &Id, const Asked &Request) {
   std::ostringstream Text;
-  Text << Id << " at gateway " << Call.m_Gateway << ", status "
-       << Call.m_Told->m_Status << (Call.m_Told->m_Broken ? ", broken" : "")
-       << ", runs:";
-  for (const Run &Each : Call.m_Runs)
-    Text << ' ' << Each.m_Upstream << (Each.m_Continues ? "(continues)" : "");
+  Text << Id << " at gateway " << Request.m_Gateway << ", status "
+       << Request.m_Told->m_Status
+       << (Request.m_Told->m_Broken ? ", broken" : "") << ", runs:";
+  for (const Run &Started : Request.m_Runs)
+    Text << ' ' << Started.m_Upstream
+         << (Started.m_Continues ? "(continues)" : "");
   return Text.str();
 }
 
@@ -40,16 +41,16 @@
   std::string m_Run;     ///< The upstream's start.
 };
 
-std::vector<Event> eventsOf(const std::string &Body) {
+std::vector<Event> parseEvents(const std::string &Body) {
   std::vector<Event> Result;
   std::istringstream Lines(Body);
-  Event Now;
+  Event Current;
   for (std::string Line; std::getline(Lines, Line);) {
     if (Line.starts_with("id: "))
-      Now.m_Id = std::atoi(Line.c_str() + 4);
+      Current.m_Id = std::atoi(Line.c_str() + 4);
     if (Line.starts_with("data: ")) {
-      std::istringstream(Line.substr(6)) >> Now.m_Attempt >> Now.m_Run;
-      Result.push_back(Now);
+      std::istringstream(Line.substr(6)) >> Current.m_Attempt >> Current.m_Run;
+      Result.push_back(Current);
     }
   }
   return Result;
@@ -62,112 +63,116 @@
     m_Again.push_back(Now);
 }
 
-void Ledger::ran(const std::string &Id, Run What) {
+void Ledger::ran(const std::string &Id, Run Started) {
   const auto Found = m_Calls.find(Id);
   if (Found == m_Calls.end()) {
     violated("own_answer", "a run of an unknown call " + Id);
     return;
   }
-  Found->second.m_Runs.push_back(std::move(What));
+  Found->second.m_Runs.push_back(std::move(Started));
 }
 
 void Ledger::judge() {
-  for (auto &[Id, Call] : m_Calls)
-    if (!Call.m_Judged && Call.m_Told->m_Ended) {
-      Call.m_Judged = true;
-      judgeAnswer(Id, Call);
-      judgeStream(Id, Call);
-      judgeVersion(Id, Call);
-      judgeStops(Id, Call);
+  for (auto &[Id, Request] : m_Calls)
+    if (!Request.m_Judged && Request.m_Told->m_Ended) {
+      Request.m_Judged = true;
+      judgeAnswer(Id, Request);
+      judgeStream(Id, Request);
+      judgeVersion(Id, Request);
+      judgeStops(Id, Request);
     }
 }
 
 /// A good answer is one that a run of just this call has made, and whole.
-void Ledger::judgeAnswer(const std::string &Id, const Asked &Call) {
-  if (Call.m_Told->m_Status != HttpOk || Call.m_Told->m_Broken ||
-      Call.m_Kind == Kind::Stream || Call.m_Kind == Kind::Resumable)
+void Ledger::judgeAnswer(const std::string &Id, const Asked &Request) {
+  if (Request.m_Told->m_Status != HttpOk || Request.m_Told->m_Broken ||
+      Request.m_Kind == Kind::Stream || Request.m_Kind == Kind::Resumable)
     return;
   ++m_Checked["own_answer"];
-  if (Call.m_Told->m_Body != Id + " whole")
-    violated("own_answer", describe(Id, Call) + ": " + Call.m_Told->m_Body);
+  if (Request.m_Told->m_Body != Id + " whole")
+    violated("own_answer",
+             describe(Id, Request) + ": " + Request.m_Told->m_Body);
 }
 
-void Ledger::judgeStream(const std::string &Id, const Asked &Call) {
-  const bool Resumable = Call.m_Kind == Kind::Resumable;
-  if (Call.m_Told->m_Status != HttpOk ||
-      (Call.m_Kind != Kind::Stream && !Resumable))
+void Ledger::judgeStream(const std::string &Id, const Asked &Request) {
+  const bool Resumable = Request.m_Kind == Kind::Resumable;
+  if (Request.m_Told->m_Status != HttpOk ||
+      (Request.m_Kind != Kind::Stream && !Resumable))
     return;
   ++m_Checked["stream_order"];
-  const std::vector<Event> Events = eventsOf(Call.m_Told->m_Body);
+  const std::vector<Event> Events = parseEvents(Request.m_Told->m_Body);
   std::set<std::string> Runs;
   for (std::size_t I = 0; I < Events.size(); ++I) {
     Runs.insert(Events[I].m_Run);
     if (Events[I].m_Id != static_cast<int>(I) + 1 || Events[I].m_Attempt != Id)
       violated("stream_order",
-               describe(Id, Call) + ": event " + std::to_string(I + 1));
+               describe(Id, Request) + ": event " + std::to_string(I + 1));
   }
   if (!Resumable && Runs.size() > 1)
-    violated("stream_order", describe(Id, Call) + ": joined from several runs");
-  if (!Call.m_Told->m_Broken && Events.size() != EventsOfStream)
-    violated("stream_order", describe(Id, Call) + ": ends as whole after " +
+    violated("stream_order",
+             describe(Id, Request) + ": joined from several runs");
+  if (!Request.m_Told->m_Broken && Events.size() != EventsOfStream)
+    violated("stream_order", describe(Id, Request) + ": ends as whole after " +
                                  std::to_string(Events.size()));
 }
 
 /// A gateway that has served by a table never again answers by an older one.
-void Ledger::judgeVersion(const std::string &Id, const Asked &Call) {
-  if (Call.m_TableVersion == 0)
+void Ledger::judgeVersion(const std::string &Id, const Asked &Request) {
+  if (Request.m_TableVersion == 0)
     return;
   ++m_Checked["version_never_back"];
-  auto &Newest = m_Newest[{Call.m_Gateway, Call.m_Lifetime}];
+  auto &Newest = m_Newest[{Request.m_Gateway, Request.m_Lifetime}];
   const auto &[Version, Since] = Newest;
-  const bool After = Call.m_At > Since + DowngradeSlack;
-  const bool Served = Call.m_Told->m_Status == HttpOk;
-  if (After && Served && Call.m_TableVersion < Version)
-    violated("version_never_back", describe(Id, Call) + ": served by table " +
-                                       std::to_string(Call.m_TableVersion) +
+  const bool After = Request.m_At > Since + DowngradeSlack;
+  const bool Served = Request.m_Told->m_Status == HttpOk;
+  if (After && Served && Request.m_TableVersion < Version)
+    violated("version_never_back", describe(Id, Request) +
+                                       ": served by table " +
+                                       std::to_string(Request.m_TableVersion) +
                                        " after " + std::to_string(Version));
   // The table after it may be in force, though no call has shown that yet.
-  const auto Next = m_Tables.find(Call.m_TableVersion + 1);
-  const bool Replaced = Next != m_Tables.end() &&
-                        Next->second <= Call.m_At + Call.m_Told->m_Elapsed;
-  if (After && Call.m_Told->m_Status == HttpNotFound &&
-      Call.m_TableVersion == Version && !Replaced)
+  const auto Next = m_Tables.find(Request.m_TableVersion + 1);
+  const bool Replaced =
+      Next != m_Tables.end() &&
+      Next->second <= Request.m_At + Request.m_Told->m_Elapsed;
+  if (After && Request.m_Told->m_Status == HttpNotFound &&
+      Request.m_TableVersion == Version && !Replaced)
     violated("version_never_back",
-             describe(Id, Call) + ": the route is gone again");
-  if (Served && Call.m_TableVersion > Version)
-    Newest = {Call.m_TableVersion, Call.m_At + Call.m_Told->m_Elapsed};
+             describe(Id, Request) + ": the route is gone again");
+  if (Served && Request.m_TableVersion > Version)
+    Newest = {Request.m_TableVersion, Request.m_At + Request.m_Told->m_Elapsed};
 }
 
 /// Around a stop without other troubles each call that an upstream has begun
 /// gets its answer.
-void Ledger::judgeStops(const std::string &Id, const Asked &Call) {
-  const TimePoint End = Call.m_At + Call.m_Told->m_Elapsed;
-  for (const CalmStop &Each : m_CalmStops) {
-    if (Each.m_Gateway != Call.m_Gateway || End < Each.m_From ||
-        Call.m_At > Each.m_To)
+void Ledger::judgeStops(const std::string &Id, const Asked &Request) {
+  const TimePoint End = Request.m_At + Request.m_Told->m_Elapsed;
+  for (const CalmStop &Stop : m_CalmStops) {
+    if (Stop.m_Gateway != Request.m_Gateway || End < Stop.m_From ||
+        Request.m_At > Stop.m_To)
       continue;
     ++m_Checked["stop_cuts_nothing"];
-    if (!Call.m_Runs.empty() &&
-        (Call.m_Told->m_Status == 0 || Call.m_Told->m_Broken))
-      violated("stop_cuts_nothing", describe(Id, Call));
+    if (!Request.m_Runs.empty() &&
+        (Request.m_Told->m_Status == 0 || Request.m_Told->m_Broken))
+      violated("stop_cuts_nothing", describe(Id, Request));
   }
 }
 
 void Ledger::judgeAll() {
   judge();
-  for (const auto &[Id, Call] : m_Calls) {
-    judgeRuns(Id, Call);
-    judgeLeaving(Id, Call);
+  for (const auto &[Id, Request] : m_Calls) {
+    judgeRuns(Id, Request);
+    judgeLeaving(Id, Request);
   }
   judgeBudget();
   judgeCrashing();
 }
 
 /// Returns whether the gateway had no trouble of its own or with the store.
-bool Ledger::inTouch(const Asked &Call, TimePoint At) const {
-  return At > Call.m_GatewayStart + SettleBound &&
-         std::none_of(m_Blind.begin(), m_Blind.end(), [&](const auto &Each) {
-           return Each.first <= At && At <= Each.second + SettleBound;
+bool Ledger::inTouch(const Asked &Request, TimePoint At) const {
+  return At > Request.m_GatewayStart + SettleBound &&
+         std::none_of(m_Blind.begin(), m_Blind.end(), [&](const auto &Excused) {
+           return Excused.first <= At && At <= Excused.second + SettleBound;
          });
 }
 
@@ -176,63 +181,66 @@
   if (m_CrashesKnown.size() < Crashes)
     return;
   ++m_Checked["crashing_request"];
-  const TimePoint Known = knownBy(m_CrashesKnown[Crashes - 1]);
+  const TimePoint KnownBy = knownBy(m_CrashesKnown[Crashes - 1]);
   std::string Late;
   std::size_t Count = 0;
-  for (const auto &[Id, Call] : m_Calls)
-    for (const Run &Each : Call.m_Runs)
-      if (Call.m_Crashing && Each.m_At > Known && inTouch(Call, Each.m_At)) {
+  for (const auto &[Id, Request] : m_Calls)
+    for (const Run &Started : Request.m_Runs)
+      if (Request.m_Crashing && Started.m_At > KnownBy &&
+          inTouch(Request, Started.m_At)) {
         ++Count;
-        Late += " " + Id + "@" + Each.m_Upstream;
+        Late += " " + Id + "@" + Started.m_Upstream;
       }
   if (Count > RunsAfterCrashes)
     violated("crashing_request", "runs after three crashes:" + Late);
 }
 
-void Ledger::judgeRuns(const std::string &Id, const Asked &Call) {
+void Ledger::judgeRuns(const std::string &Id, const Asked &Request) {
   const auto Fresh = static_cast<std::size_t>(
-      std::count_if(Call.m_Runs.begin(), Call.m_Runs.end(),
-                    [](const Run &Each) { return !Each.m_Continues; }));
-  if (Call.m_Kind == Kind::Once || Call.m_Kind == Kind::Stream) {
+      std::count_if(Request.m_Runs.begin(), Request.m_Runs.end(),
+                    [](const Run &Started) { return !Started.m_Continues; }));
+  if (Request.m_Kind == Kind::Once || Request.m_Kind == Kind::Stream) {
     ++m_Checked["at_most_once"];
-    if (Call.m_Runs.size() > 1)
-      violated("at_most_once", describe(Id, Call));
+    if (Request.m_Runs.size() > 1)
+      violated("at_most_once", describe(Id, Request));
   }
-  if (Call.m_Told->m_Ended && saysNotRun(Call.m_Told->m_Status)) {
+  if (Request.m_Told->m_Ended &&
+      isNotExecutedStatus(Request.m_Told->m_Status)) {
     ++m_Checked["not_run_is_true"];
     if (Fresh > 0)
-      violated("not_run_is_true", describe(Id, Call));
+      violated("not_run_is_true", describe(Id, Request));
   }
 }
 
-void Ledger::judgeLeaving(const std::string &Id, const Asked &Call) {
-  for (const Run &Each : Call.m_Runs) {
-    const auto Since = m_Leaving.find(Each.m_Upstream);
-    if (Since == m_Leaving.end() || Each.m_At < Since->second)
+void Ledger::judgeLeaving(const std::string &Id, const Asked &Request) {
+  for (const Run &Started : Request.m_Runs) {
+    const auto Since = m_Leaving.find(Started.m_Upstream);
+    if (Since == m_Leaving.end() || Started.m_At < Since->second)
       continue;
     ++m_Checked["nothing_new_to_leaving"];
-    if (Each.m_At > knownBy(Since->second))
-      violated("nothing_new_to_leaving", describe(Id, Call));
+    if (Started.m_At > knownBy(Since->second))
+      violated("nothing_new_to_leaving", describe(Id, Request));
   }
 }
 
 void Ledger::judgeBudget() {
-  std::vector<TimePoint> Calls;
-  for (const auto &[Id, Call] : m_Calls)
-    Calls.push_back(Call.m_At);
-  std::sort(Calls.begin(), Calls.end());
-  const auto In = [](const std::vector<TimePoint> &All, TimePoint From,
-                     Duration Span) {
+  std::vector<TimePoint> Requests;
+  for (const auto &[Id, Request] : m_Calls)
+    Requests.push_back(Request.m_At);
+  std::sort(Requests.begin(), Requests.end());
+  const auto CountIn = [](const std::vector<TimePoint> &Times, TimePoint From,
+                          Duration Span) {
     return static_cast<double>(
-        std::lower_bound(All.begin(), All.end(), From + Span) -
-        std::lower_bound(All.begin(), All.end(), From));
+        std::lower_bound(Times.begin(), Times.end(), From + Span) -
+        std::lower_bound(Times.begin(), Times.end(), From));
   };
   for (const TimePoint From : m_Again) {
     ++m_Checked["retry_budget"];
     // Calls of the window or of the one before, whichever had more.
-    const double Earned = std::max(In(Calls, From, RetryWindow),
-                                   In(Calls, From - RetryWindow, RetryWindow));
-    const double Used = In(m_Again, From, RetryWindow);
+    const double Earned =
+        std::max(CountIn(Requests, From, RetryWindow),
+                 CountIn(Requests, From - RetryWindow, RetryWindow));
+    const double Used = CountIn(m_Again, From, RetryWindow);
     if (Used > RetryRatio * Earned + RetrySlack) {
       violated("retry_budget", std::to_string(Used) + " repeats beside " +
                                    std::to_string(Earned) + " calls");
@@ -243,10 +251,10 @@
 
 /// Returns by when every gateway must know what the store was told at \p Told.
 /// A trouble that begins only after this excuses nothing.
-TimePoint Ledger::knownBy(TimePoint Told) const {
+TimePoint Ledger::knownBy(TimePoint Written) const {
   Spans InOrder = m_Blind;
   std::sort(InOrder.begin(), InOrder.end());
-  TimePoint Result = Told + DrainBound;
+  TimePoint Result = Written + DrainBound;
   for (const auto &[From, To] : InOrder)
     if (From <= Result)
       Result = std::max(Result, To + SettleBound);
@@ -256,12 +264,12 @@
 double Ledger::servedShare(TimePoint From, TimePoint To) const {
   int Sent = 0;
   int Served = 0;
-  for (const auto &[Id, Call] : m_Calls) {
-    if (Call.m_At < From || Call.m_At >= To || !Call.m_Told->m_Ended ||
-        Call.m_TableVersion != 0 || Call.m_Crashing)
+  for (const auto &[Id, Request] : m_Calls) {
+    if (Request.m_At < From || Request.m_At >= To || !Request.m_Told->m_Ended ||
+        Request.m_TableVersion != 0 || Request.m_Crashing)
       continue;
     ++Sent;
-    if (Call.m_Told->m_Status == HttpOk && !Call.m_Told->m_Broken)
+    if (Request.m_Told->m_Status == HttpOk && !Request.m_Told->m_Broken)
       ++Served;
   }
   return Sent == 0 ? 0 : static_cast<double>(Served) / Sent;
@@ -269,12 +277,12 @@
 
 void Ledger::report() const {
   std::map<std::string, int> Outcomes;
-  for (const auto &[Id, Call] : m_Calls) {
-    const test::Told &Told = *Call.m_Told;
-    ++Outcomes[!Told.m_Ended        ? "open"
-               : Told.m_Status == 0 ? "no answer"
-               : Told.m_Broken      ? "broken"
-                                    : std::to_string(Told.m_Status)];
+  for (const auto &[Id, Request] : m_Calls) {
+    const test::Told &Answer = *Request.m_Told;
+    ++Outcomes[!Answer.m_Ended        ? "open"
+               : Answer.m_Status == 0 ? "no answer"
+               : Answer.m_Broken      ? "broken"
+                                      : std::to_string(Answer.m_Status)];
   }
   std::cout << "calls by outcome:";
   for (const auto &[Outcome, Count] : Outcomes)
@@ -289,8 +297,9 @@
     std::cout << "the driver stood still " << m_Stalled.size() << " times, "
               << Sum.count() << " s in all\n";
   }
-  for (const Violation &Each : m_Violations)
-    std::cout << "VIOLATION " << Each.m_Check << ": " << Each.m_What << '\n';
+  for (const Violation &Broken : m_Violations)
+    std::cout << "VIOLATION " << Broken.m_Check << ": " << Broken.m_What
+              << '\n';
 }
 
 } // namespace crowstep::soak
--- a/tests/soak/ledger.h
+++ b/tests/soak/ledger.h
@@ -52,10 +52,10 @@
 
 class Ledger {
 public:
-  void asked(const std::string &Id, Asked Call) {
-    m_Calls[Id] = std::move(Call);
+  void asked(const std::string &Id, Asked Request) {
+    m_Calls[Id] = std::move(Request);
   }
-  void ran(const std::string &Id, Run What);
+  void ran(const std::string &Id, Run Started);
 
   /// A request reached \p Upstream, whether it ran or not.
   void arrived(const std::string &Id, TimePoint Now);
@@ -66,7 +66,7 @@
   }
 
   /// An upstream crashed under the crashing request; its row goes at \p Gone.
-  void crashed(TimePoint Gone) { m_CrashesKnown.push_back(Gone); }
+  void crashed(TimePoint RowRemoved) { m_CrashesKnown.push_back(RowRemoved); }
 
   /// The store holds a newer table.
   void tableChanged(unsigned Version, TimePoint Now) {
@@ -118,19 +118,19 @@
     TimePoint m_To;   ///< Its end.
   };
 
-  void violated(const std::string &Check, const std::string &What) {
-    m_Violations.push_back({Check, What});
+  void violated(const std::string &Check, const std::string &Details) {
+    m_Violations.push_back({Check, Details});
   }
-  void judgeAnswer(const std::string &Id, const Asked &Call);
-  void judgeStream(const std::string &Id, const Asked &Call);
-  void judgeVersion(const std::string &Id, const Asked &Call);
-  void judgeStops(const std::string &Id, const Asked &Call);
-  void judgeRuns(const std::string &Id, const Asked &Call);
-  void judgeLeaving(const std::string &Id, const Asked &Call);
+  void judgeAnswer(const std::string &Id, const Asked &Request);
+  void judgeStream(const std::string &Id, const Asked &Request);
+  void judgeVersion(const std::string &Id, const Asked &Request);
+  void judgeStops(const std::string &Id, const Asked &Request);
+  void judgeRuns(const std::string &Id, const Asked &Request);
+  void judgeLeaving(const std::string &Id, const Asked &Request);
   void judgeBudget();
   void judgeCrashing();
-  [[nodiscard]] bool inTouch(const Asked &Call, TimePoint At) const;
-  [[nodiscard]] TimePoint knownBy(TimePoint Told) const;
+  [[nodiscard]] bool inTouch(const Asked &Request, TimePoint At) const;
+  [[nodiscard]] TimePoint knownBy(TimePoint Written) const;
 
   std::map<std::string, Asked> m_Calls;       ///< By attempt's id.
   std::map<std::string, int> m_Arrivals;      ///< By attempt's id.
--- a/tests/soak/raw_caller.cpp
+++ b/tests/soak/raw_caller.cpp
@@ -13,29 +13,29 @@
 
 std::string lower(std::string Text) {
   std::transform(Text.begin(), Text.end(), Text.begin(),
-                 [](unsigned char Each) { return std::tolower(Each); });
+                 [](unsigned char Letter) { return std::tolower(Letter); });
   return Text;
 }
 
 /// Takes an answer apart as its bytes come.
-class AnswerReader {
+class AnswerParser {
 public:
   /// Takes bytes; the body goes to \p Into.
-  void take(std::string_view Bytes, test::Told &Into) {
+  void parse(std::string_view Bytes, test::Told &Into) {
     m_Pending.append(Bytes);
-    if (!m_HasHead && !takeHead(Into))
+    if (!m_HasHead && !parseHead(Into))
       return;
     if (m_Chunked)
-      takeChunks(Into);
+      parseChunks(Into);
     else
-      takeSized(Into);
+      parseSizedBody(Into);
   }
 
-  [[nodiscard]] bool whole() const { return m_Whole; }
-  [[nodiscard]] bool keepsOpen() const { return m_Whole && !m_Close; }
+  [[nodiscard]] bool isComplete() const { return m_IsComplete; }
+  [[nodiscard]] bool allowsReuse() const { return m_IsComplete && !m_Close; }
 
 private:
-  bool takeHead(test::Told &Into) {
+  bool parseHead(test::Told &Into) {
     const auto End = m_Pending.find("\r\n\r\n");
     if (End == std::string::npos)
       return false;
@@ -47,21 +47,21 @@
     m_Close = Head.find("\r\nconnection: close") != std::string::npos;
     if (const auto Length = Head.find("\r\ncontent-length: ");
         Length != std::string::npos)
-      m_Left = std::strtoull(Head.c_str() + Length + 18, nullptr, 10);
+      m_RemainingBytes = std::strtoull(Head.c_str() + Length + 18, nullptr, 10);
     m_HasHead = true;
     return true;
   }
 
-  void takeSized(test::Told &Into) {
-    const std::size_t Size = std::min(m_Left, m_Pending.size());
+  void parseSizedBody(test::Told &Into) {
+    const std::size_t Size = std::min(m_RemainingBytes, m_Pending.size());
     Into.m_Body.append(m_Pending, 0, Size);
     m_Pending.erase(0, Size);
-    m_Left -= Size;
-    m_Whole = m_Left == 0;
+    m_RemainingBytes -= Size;
+    m_IsComplete = m_RemainingBytes == 0;
   }
 
-  void takeChunks(test::Told &Into) {
-    while (!m_Whole) {
+  void parseChunks(test::Told &Into) {
+    while (!m_IsComplete) {
       const auto Line = m_Pending.find("\r\n");
       if (Line == std::string::npos)
         return;
@@ -70,16 +70,16 @@
         return;
       Into.m_Body.append(m_Pending, Line + 2, Size);
       m_Pending.erase(0, Line + 2 + Size + 2);
-      m_Whole = Size == 0;
+      m_IsComplete = Size == 0;
     }
   }
 
-  std::string m_Pending;  ///< Not yet understood.
-  bool m_HasHead = false; ///< The head came.
-  bool m_Chunked = false; ///< By the head.
-  bool m_Close = false;   ///< By the head.
-  bool m_Whole = false;   ///< The end came.
-  std::size_t m_Left = 0; ///< Of a body with a length.
+  std::string m_Pending;            ///< Not yet understood.
+  bool m_HasHead = false;           ///< The head came.
+  bool m_Chunked = false;           ///< By the head.
+  bool m_Close = false;             ///< By the head.
+  bool m_IsComplete = false;        ///< The end came.
+  std::size_t m_RemainingBytes = 0; ///< Of a body with a length.
 };
 
 } // namespace
@@ -101,7 +101,7 @@
   std::string m_Text;           ///< As it is sent.
   std::shared_ptr<test::Told> m_Told = std::make_shared<test::Told>();
   std::shared_ptr<Connection> m_Connection;     ///< Its own meanwhile.
-  AnswerReader m_Reader;                        ///< Of its answer.
+  AnswerParser m_Reader;                        ///< Of its answer.
   std::array<char, 16384> m_Piece{};            ///< Being read.
   gint64 m_Start = g_get_monotonic_time();      ///< Of the call.
   guint m_Timer = 0;                            ///< For the limit.
@@ -114,138 +114,144 @@
 
 void RawCaller::hangUp() {
   m_Kept.clear();
-  const std::set<std::shared_ptr<Flight>> All = m_Flights;
-  for (const std::shared_ptr<Flight> &Each : All)
-    finish(Each, false);
+  const std::set<std::shared_ptr<Flight>> Open = m_Flights;
+  for (const std::shared_ptr<Flight> &Exchange : Open)
+    finish(Exchange, false);
 }
 
-std::shared_ptr<const test::Told> RawCaller::start(const test::Call &What) {
-  auto Call = std::make_shared<Flight>();
-  Call->m_Owner = this;
-  Call->m_What = What;
-  Call->m_Text = What.m_Method + " " + What.m_Path + " HTTP/1.1\r\n";
-  for (const auto &[Name, Value] : What.m_Headers)
-    Call->m_Text.append(Name).append(": ").append(Value).append("\r\n");
-  Call->m_Text +=
-      "Content-Length: " + std::to_string(What.m_Body.size()) + "\r\n";
-  if (!What.m_KeepsOpen)
-    Call->m_Text += "Connection: close\r\n";
-  Call->m_Text += "\r\n" + What.m_Body;
-  m_Flights.insert(Call);
-  arm(Call, What.m_Limit);
-  begin(Call);
-  return Call->m_Told;
+std::shared_ptr<const test::Told> RawCaller::start(const test::Call &Request) {
+  auto Exchange = std::make_shared<Flight>();
+  Exchange->m_Owner = this;
+  Exchange->m_What = Request;
+  Exchange->m_Text = Request.m_Method + " " + Request.m_Path + " HTTP/1.1\r\n";
+  for (const auto &[Name, Value] : Request.m_Headers)
+    Exchange->m_Text.append(Name).append(": ").append(Value).append("\r\n");
+  Exchange->m_Text +=
+      "Content-Length: " + std::to_string(Request.m_Body.size()) + "\r\n";
+  if (!Request.m_KeepsOpen)
+    Exchange->m_Text += "Connection: close\r\n";
+  Exchange->m_Text += "\r\n" + Request.m_Body;
+  m_Flights.insert(Exchange);
+  arm(Exchange, Request.m_Limit);
+  begin(Exchange);
+  return Exchange->m_Told;
 }
 
-void RawCaller::arm(const std::shared_ptr<Flight> &Call, Duration Limit) {
-  const auto Over = +[](gpointer Data) -> gboolean {
-    auto &Late = *static_cast<std::shared_ptr<Flight> *>(Data);
-    Late->m_Timer = 0;
-    Late->m_Owner->finish(Late, false);
+void RawCaller::arm(const std::shared_ptr<Flight> &Exchange, Duration Limit) {
+  const auto OnTimeout = +[](gpointer Data) -> gboolean {
+    auto &Expired = *static_cast<std::shared_ptr<Flight> *>(Data);
+    Expired->m_Timer = 0;
+    Expired->m_Owner->finish(Expired, false);
     return G_SOURCE_REMOVE;
   };
-  const auto Forget = +[](gpointer Data) {
+  const auto Free = +[](gpointer Data) {
     delete static_cast<std::shared_ptr<Flight> *>(Data);
   };
   const auto Milliseconds =
       std::chrono::ceil<std::chrono::milliseconds>(Limit).count();
-  Call->m_Timer =
-      g_timeout_add_full(G_PRIORITY_DEFAULT, static_cast<guint>(Milliseconds),
-                         Over, new std::shared_ptr<Flight>(Call), Forget);
+  Exchange->m_Timer = g_timeout_add_full(
+      G_PRIORITY_DEFAULT, static_cast<guint>(Milliseconds), OnTimeout,
+      new std::shared_ptr<Flight>(Exchange), Free);
 }
 
-void RawCaller::begin(const std::shared_ptr<Flight> &Call) {
-  auto &Idle = m_Kept[Call->m_What.m_Where];
-  if (Call->m_What.m_KeepsOpen && !Idle.empty()) {
-    Call->m_Connection = Idle.front();
+void RawCaller::begin(const std::shared_ptr<Flight> &Exchange) {
+  auto &Idle = m_Kept[Exchange->m_What.m_Where];
+  if (Exchange->m_What.m_KeepsOpen && !Idle.empty()) {
+    Exchange->m_Connection = Idle.front();
     Idle.pop_front();
-    write(Call);
+    write(Exchange);
     return;
   }
-  const auto Connected =
-      +[](GObject *Client, GAsyncResult *Outcome, gpointer Data) {
-        const std::unique_ptr<std::shared_ptr<Flight>> Mine(
+  const auto OnConnected =
+      +[](GObject *Client, GAsyncResult *Result, gpointer Data) {
+        const std::unique_ptr<std::shared_ptr<Flight>> Pending(
             static_cast<std::shared_ptr<Flight> *>(Data));
-        Flight &Now = **Mine;
+        Flight &Current = **Pending;
         GSocketConnection *Stream = g_socket_client_connect_to_host_finish(
-            G_SOCKET_CLIENT(Client), Outcome, nullptr);
+            G_SOCKET_CLIENT(Client), Result, nullptr);
         if (Stream != nullptr) {
-          Now.m_Connection = std::make_shared<Connection>();
-          Now.m_Connection->m_Stream = Stream;
+          Current.m_Connection = std::make_shared<Connection>();
+          Current.m_Connection->m_Stream = Stream;
         }
-        if (Now.m_Owner == nullptr)
+        if (Current.m_Owner == nullptr)
           return;
         if (Stream == nullptr)
-          Now.m_Owner->finish(*Mine, false);
+          Current.m_Owner->finish(*Pending, false);
         else
-          Now.m_Owner->write(*Mine);
+          Current.m_Owner->write(*Pending);
       };
   GSocketClient *Client = g_socket_client_new();
-  const std::string Where = toString(Call->m_What.m_Where);
+  const std::string Host = toString(Exchange->m_What.m_Where);
   g_socket_client_connect_to_host_async(
-      Client, Where.c_str(), Call->m_What.m_Where.m_Port, Call->m_Cancel,
-      Connected, new std::shared_ptr<Flight>(Call));
+      Client, Host.c_str(), Exchange->m_What.m_Where.m_Port, Exchange->m_Cancel,
+      OnConnected, new std::shared_ptr<Flight>(Exchange));
   g_object_unref(Client);
 }
 
-void RawCaller::write(const std::shared_ptr<Flight> &Call) {
-  const auto Written =
-      +[](GObject *Stream, GAsyncResult *Outcome, gpointer Data) {
-        const std::unique_ptr<std::shared_ptr<Flight>> Mine(
+void RawCaller::write(const std::shared_ptr<Flight> &Exchange) {
+  const auto OnWritten =
+      +[](GObject *Stream, GAsyncResult *Result, gpointer Data) {
+        const std::unique_ptr<std::shared_ptr<Flight>> Pending(
             static_cast<std::shared_ptr<Flight> *>(Data));
-        const bool Good =
-            g_output_stream_write_all_finish(G_OUTPUT_STREAM(Stream), Outcome,
+        const bool Succeeded =
+            g_output_stream_write_all_finish(G_OUTPUT_STREAM(Stream), Result,
                                              nullptr, nullptr) != 0;
-        RawCaller *Owner = (*Mine)->m_Owner;
+        RawCaller *Owner = (*Pending)->m_Owner;
         if (Owner == nullptr)
           return;
-        if (Good)
-          Owner->read(*Mine);
+        if (Succeeded)
+          Owner->read(*Pending);
         else
-          Owner->finish(*Mine, false);
+          Owner->finish(*Pending, false);
       };
   g_output_stream_write_all_async(
-      g_io_stream_get_output_stream(G_IO_STREAM(Call->m_Connection->m_Stream)),
-      Call->m_Text.data(), Call->m_Text.size(), G_PRIORITY_DEFAULT,
-      Call->m_Cancel, Written, new std::shared_ptr<Flight>(Call));
+      g_io_stream_get_output_stream(
+          G_IO_STREAM(Exchange->m_Connection->m_Stream)),
+      Exchange->m_Text.data(), Exchange->m_Text.size(), G_PRIORITY_DEFAULT,
+      Exchange->m_Cancel, OnWritten, new std::shared_ptr<Flight>(Exchange));
 }
 
-void RawCaller::read(const std::shared_ptr<Flight> &Call) {
-  const auto Came = +[](GObject *Stream, GAsyncResult *Outcome, gpointer Data) {
-    const std::unique_ptr<std::shared_ptr<Flight>> Mine(
-        static_cast<std::shared_ptr<Flight> *>(Data));
-    Flight &Now = **Mine;
-    const gssize Size =
-        g_input_stream_read_finish(G_INPUT_STREAM(Stream), Outcome, nullptr);
-    if (Now.m_Owner == nullptr)
-      return;
-    if (Size > 0)
-      Now.m_Reader.take({Now.m_Piece.data(), static_cast<std::size_t>(Size)},
-                        *Now.m_Told);
-    if (Size <= 0 || Now.m_Reader.whole())
-      Now.m_Owner->finish(*Mine, Now.m_Reader.whole());
-    else
-      Now.m_Owner->read(*Mine);
-  };
-  g_input_stream_read_async(
-      g_io_stream_get_input_stream(G_IO_STREAM(Call->m_Connection->m_Stream)),
-      Call->m_Piece.data(), Call->m_Piece.size(), G_PRIORITY_DEFAULT,
-      Call->m_Cancel, Came, new std::shared_ptr<Flight>(Call));
+void RawCaller::read(const std::shared_ptr<Flight> &Exchange) {
+  const auto OnRead =
+      +[](GObject *Stream, GAsyncResult *Result, gpointer Data) {
+        const std::unique_ptr<std::shared_ptr<Flight>> Pending(
+            static_cast<std::shared_ptr<Flight> *>(Data));
+        Flight &Current = **Pending;
+        const gssize Size =
+            g_input_stream_read_finish(G_INPUT_STREAM(Stream), Result, nullptr);
+        if (Current.m_Owner == nullptr)
+          return;
+        if (Size > 0)
+          Current.m_Reader.parse(
+              {Current.m_Piece.data(), static_cast<std::size_t>(Size)},
+              *Current.m_Told);
+        if (Size <= 0 || Current.m_Reader.isComplete())
+          Current.m_Owner->finish(*Pending, Current.m_Reader.isComplete());
+        else
+          Current.m_Owner->read(*Pending);
+      };
+  g_input_stream_read_async(g_io_stream_get_input_stream(
+                                G_IO_STREAM(Exchange->m_Connection->m_Stream)),
+                            Exchange->m_Piece.data(), Exchange->m_Piece.size(),
+                            G_PRIORITY_DEFAULT, Exchange->m_Cancel, OnRead,
+                            new std::shared_ptr<Flight>(Exchange));
 }
 
-void RawCaller::finish(const std::shared_ptr<Flight> &Call, bool Whole) {
-  Call->m_Told->m_Ended = true;
-  Call->m_Told->m_Broken = !Whole;
-  Call->m_Told->m_Elapsed = Duration(g_get_monotonic_time() - Call->m_Start);
-  if (Whole && Call->m_What.m_KeepsOpen && Call->m_Reader.keepsOpen())
-    m_Kept[Call->m_What.m_Where].push_back(Call->m_Connection);
-  if (Call->m_Timer != 0)
-    g_source_remove(Call->m_Timer);
-  Call->m_Timer = 0;
-  Call->m_Owner = nullptr;
-  g_cancellable_cancel(Call->m_Cancel);
-  Call->m_Connection = nullptr;
-  m_Flights.erase(Call);
+void RawCaller::finish(const std::shared_ptr<Flight> &Exchange, bool Complete) {
+  Exchange->m_Told->m_Ended = true;
+  Exchange->m_Told->m_Broken = !Complete;
+  Exchange->m_Told->m_Elapsed =
+      Duration(g_get_monotonic_time() - Exchange->m_Start);
+  if (Complete && Exchange->m_What.m_KeepsOpen &&
+      Exchange->m_Reader.allowsReuse())
+    m_Kept[Exchange->m_What.m_Where].push_back(Exchange->m_Connection);
+  if (Exchange->m_Timer != 0)
+    g_source_remove(Exchange->m_Timer);
+  Exchange->m_Timer = 0;
+  Exchange->m_Owner = nullptr;
+  g_cancellable_cancel(Exchange->m_Cancel);
+  Exchange->m_Connection = nullptr;
+  m_Flights.erase(Exchange);
 }
 
 } // namespace crowstep::soak
--- a/tests/soak/raw_caller.h
+++ b/tests/soak/raw_caller.h
@@ -19,7 +19,7 @@
 
   /// Starts a call, on a kept connection if there is one and the call allows
   /// it; the result fills while the loop runs.
-  std::shared_ptr<const test::Told> start(const test::Call &What);
+  std::shared_ptr<const test::Told> start(const test::Call &Request);
 
   /// Closes all connections, those of calls under way too.
   void hangUp();
@@ -28,11 +28,11 @@
   struct Flight;
   struct Connection;
 
-  void begin(const std::shared_ptr<Flight> &Call);
-  void write(const std::shared_ptr<Flight> &Call);
-  void read(const std::shared_ptr<Flight> &Call);
-  void finish(const std::shared_ptr<Flight> &Call, bool Whole);
-  void arm(const std::shared_ptr<Flight> &Call, Duration Limit);
+  void begin(const std::shared_ptr<Flight> &Exchange);
+  void write(const std::shared_ptr<Flight> &Exchange);
+  void read(const std::shared_ptr<Flight> &Exchange);
+  void finish(const std::shared_ptr<Flight> &Exchange, bool Complete);
+  void arm(const std::shared_ptr<Flight> &Exchange, Duration Limit);
 
   std::map<Address, std::list<std::shared_ptr<Connection>>> m_Kept; ///< Idle.
   std::set<std::shared_ptr<Flight>> m_Flights; ///< Calls under way.
--- a/tests/soak/schedule.cpp
+++ b/tests/soak/schedule.cpp
@@ -13,53 +13,53 @@
 
 constexpr std::array<std::string_view,
                      static_cast<std::size_t>(FaultKind::Count)>
-    Names = {"gateway-term",
-             "gateway-kill",
-             "gateway-freeze",
-             "gateway-hang-up",
-             "all-gateways-kill",
-             "upstream-busy",
-             "upstream-errors",
-             "upstream-cuts",
-             "upstream-answer-lost",
-             "upstream-mute",
-             "all-upstreams-errors",
-             "upstream-crash",
-             "upstream-release",
-             "path-reset",
-             "path-silent",
-             "path-one-way",
-             "path-slow",
-             "store-busy",
-             "store-silent",
-             "store-cut",
-             "store-slow",
-             "store-old-copy",
-             "store-forgets",
-             "table-change",
-             "callers-leave"};
-
-constexpr std::array Planned = {
+    FaultNames = {"gateway-term",
+                  "gateway-kill",
+                  "gateway-freeze",
+                  "gateway-hang-up",
+                  "all-gateways-kill",
+                  "upstream-busy",
+                  "upstream-errors",
+                  "upstream-cuts",
+                  "upstream-answer-lost",
+                  "upstream-mute",
+                  "all-upstreams-errors",
+                  "upstream-crash",
+                  "upstream-release",
+                  "path-reset",
+                  "path-silent",
+                  "path-one-way",
+                  "path-slow",
+                  "store-busy",
+                  "store-silent",
+                  "store-cut",
+                  "store-slow",
+                  "store-old-copy",
+                  "store-forgets",
+                  "table-change",
+                  "callers-leave"};
+
+constexpr std::array PlannedKinds = {
     FaultKind::GatewayTerm, FaultKind::GatewayHangUp, FaultKind::TableChange,
     FaultKind::UpstreamRelease};
 
-constexpr std::uint64_t CalmEvery = 4;
+constexpr std::uint64_t PlannedOnlyEvery = 4;
 
 /// Of a trouble that lasts.
-constexpr std::int64_t ShortestMs = 300;
-constexpr std::int64_t LongestMs = 3000;
+constexpr std::int64_t MinDurationMs = 300;
+constexpr std::int64_t MaxDurationMs = 3000;
 
 /// Between the troubles of a series, and between series.
-constexpr std::int64_t WithinMs = 150;
-constexpr std::int64_t BetweenMs = 1800;
+constexpr std::int64_t MaxGapInSeriesMs = 150;
+constexpr std::int64_t MaxGapBetweenSeriesMs = 1800;
 
 } // namespace
 
 std::string_view nameOf(FaultKind Kind) {
-  return Names.at(static_cast<std::size_t>(Kind));
+  return FaultNames.at(static_cast<std::size_t>(Kind));
 }
 
-bool isCalm(std::uint64_t Seed) { return Seed % CalmEvery == 0; }
+bool isCalm(std::uint64_t Seed) { return Seed % PlannedOnlyEvery == 0; }
 
 bool hasCrashingRequest(std::uint64_t Seed) {
   constexpr std::uint64_t Every = 5;
@@ -67,37 +67,37 @@
 }
 
 std::optional<FaultKind> faultKindOf(const std::string &Name) {
-  const auto Found = std::find(Names.begin(), Names.end(), Name);
-  if (Found == Names.end())
+  const auto Found = std::find(FaultNames.begin(), FaultNames.end(), Name);
+  if (Found == FaultNames.end())
     return std::nullopt;
-  return static_cast<FaultKind>(Found - Names.begin());
+  return static_cast<FaultKind>(Found - FaultNames.begin());
 }
 
-std::vector<Fault> makeSchedule(std::uint64_t Seed, Duration Span,
-                                std::optional<FaultKind> Only) {
+std::vector<Fault> makeSchedule(std::uint64_t Seed, Duration Length,
+                                std::optional<FaultKind> OnlyKind) {
   std::mt19937_64 Random(Seed);
   // Standard distributions differ between libraries; a remainder doesn't.
-  const auto Below = [&](std::uint64_t Limit) {
+  const auto DrawBelow = [&](std::uint64_t Limit) {
     return static_cast<std::int64_t>(Random() % Limit);
   };
   std::vector<Fault> Result;
-  std::chrono::milliseconds At(500);
-  while (At < Span) {
-    const auto Series = 1 + Below(3);
+  std::chrono::milliseconds Start(500);
+  while (Start < Length) {
+    const auto SeriesSize = 1 + DrawBelow(3);
     const std::uint64_t Draw = Random();
     const FaultKind Kind =
-        Only ? *Only
+        OnlyKind ? *OnlyKind
         : isCalm(Seed)
-            ? Planned.at(Draw % Planned.size())
+            ? PlannedKinds.at(Draw % PlannedKinds.size())
             : static_cast<FaultKind>(
                   Draw % static_cast<std::uint64_t>(FaultKind::Count));
-    for (std::int64_t I = 0; I < Series && At < Span; ++I) {
-      const std::chrono::milliseconds Lasts(ShortestMs +
-                                            Below(LongestMs - ShortestMs));
-      Result.push_back({At, Kind, static_cast<unsigned>(Random()), Lasts});
-      At += std::chrono::milliseconds(Below(WithinMs));
+    for (std::int64_t I = 0; I < SeriesSize && Start < Length; ++I) {
+      const std::chrono::milliseconds Lasting(
+          MinDurationMs + DrawBelow(MaxDurationMs - MinDurationMs));
+      Result.push_back({Start, Kind, static_cast<unsigned>(Random()), Lasting});
+      Start += std::chrono::milliseconds(DrawBelow(MaxGapInSeriesMs));
     }
-    At += std::chrono::milliseconds(Below(BetweenMs));
+    Start += std::chrono::milliseconds(DrawBelow(MaxGapBetweenSeriesMs));
   }
   return Result;
 }
--- a/tests/soak/schedule.h
+++ b/tests/soak/schedule.h
@@ -55,8 +55,8 @@
 /// Returns the troubles of \p Seed within \p Span, in order. They come in
 /// series and overlap; every fourth seed plays only planned work, in which
 /// nothing may be cut. With \p Only all are of that kind.
-std::vector<Fault> makeSchedule(std::uint64_t Seed, Duration Span,
-                                std::optional<FaultKind> Only = {});
+std::vector<Fault> makeSchedule(std::uint64_t Seed, Duration Length,
+                                std::optional<FaultKind> OnlyKind = {});
 
 /// Returns the kind of that name, or nothing.
 std::optional<FaultKind> faultKindOf(const std::string &Name);
--- a/tests/soak/soak_faults.cpp
+++ b/tests/soak/soak_faults.cpp
@@ -10,31 +10,31 @@
 namespace {
 
 /// A leaving upstream serves on for this long after its row said so.
-constexpr Duration DrainSpan = 2500ms;
+constexpr Duration DrainTime = 2500ms;
 
-constexpr Duration SlowPath = 120ms;
-constexpr Duration SlowStore = 250ms;
+constexpr Duration PathDelay = 120ms;
+constexpr Duration StoreDelay = 250ms;
 
 } // namespace
 
-void SoakFleet::apply(const Fault &What) {
-  Place &Gateway = m_Places.at(What.m_Which % m_Places.size());
-  Seat &Upstream = m_Seats.at(What.m_Which % m_Seats.size());
-  switch (What.m_Kind) {
+void SoakFleet::apply(const Fault &Played) {
+  Place &Gateway = m_Places.at(Played.m_Which % m_Places.size());
+  Seat &Upstream = m_Seats.at(Played.m_Which % m_Seats.size());
+  switch (Played.m_Kind) {
   case FaultKind::GatewayTerm:
   case FaultKind::GatewayKill:
   case FaultKind::GatewayFreeze:
   case FaultKind::GatewayHangUp:
-    applyToGateway(What, Gateway);
+    applyToGateway(Played, Gateway);
     return;
   case FaultKind::AllGatewaysKill:
-    for (Place &Each : m_Places)
-      if (Each.m_Process != nullptr)
-        Each.m_Process->signal(SIGKILL);
+    for (Place &Target : m_Places)
+      if (Target.m_Process != nullptr)
+        Target.m_Process->signal(SIGKILL);
     return;
   case FaultKind::AllUpstreamsErrors:
-    for (Seat &Each : m_Seats)
-      applyToUpstream(What, Each);
+    for (Seat &Target : m_Seats)
+      applyToUpstream(Played, Target);
     return;
   case FaultKind::UpstreamBusy:
   case FaultKind::UpstreamErrors:
@@ -43,13 +43,13 @@
   case FaultKind::UpstreamMute:
   case FaultKind::UpstreamCrash:
   case FaultKind::UpstreamRelease:
-    applyToUpstream(What, Upstream);
+    applyToUpstream(Played, Upstream);
     return;
   case FaultKind::PathReset:
   case FaultKind::PathSilent:
   case FaultKind::PathOneWay:
   case FaultKind::PathSlow:
-    applyToPath(What, Upstream);
+    applyToPath(Played, Upstream);
     return;
   case FaultKind::TableChange:
     putTable();
@@ -58,62 +58,62 @@
     m_Callers.hangUp();
     return;
   default:
-    applyToStore(What, Gateway);
+    applyToStore(Played, Gateway);
   }
 }
 
-void SoakFleet::applyToGateway(const Fault &What, Place &Which) {
-  if (Which.m_Process == nullptr)
-    return;
-  if (What.m_Kind == FaultKind::GatewayTerm) {
-    stopGateway(Which);
-  } else if (What.m_Kind == FaultKind::GatewayKill) {
-    Which.m_Process->signal(SIGKILL);
-  } else if (What.m_Kind == FaultKind::GatewayHangUp) {
-    m_Folder.write(Which.m_At.m_Name + ".ini",
-                   settingsOf(Which.m_At) + "# written anew\n");
-    Which.m_Process->signal(SIGHUP);
-  } else if (!Which.m_Frozen) {
-    Which.m_Frozen = true;
-    Which.m_Process->signal(SIGSTOP);
-    m_Ledger.blind(m_Clock.now(), m_Clock.now() + What.m_Span);
-    later(What.m_Span, [&Which] {
-      Which.m_Frozen = false;
-      if (Which.m_Process != nullptr)
-        Which.m_Process->signal(SIGCONT);
+void SoakFleet::applyToGateway(const Fault &Played, Place &Gateway) {
+  if (Gateway.m_Process == nullptr)
+    return;
+  if (Played.m_Kind == FaultKind::GatewayTerm) {
+    stopGateway(Gateway);
+  } else if (Played.m_Kind == FaultKind::GatewayKill) {
+    Gateway.m_Process->signal(SIGKILL);
+  } else if (Played.m_Kind == FaultKind::GatewayHangUp) {
+    m_Folder.write(Gateway.m_At.m_Name + ".ini",
+                   settingsOf(Gateway.m_At) + "# written anew\n");
+    Gateway.m_Process->signal(SIGHUP);
+  } else if (!Gateway.m_Frozen) {
+    Gateway.m_Frozen = true;
+    Gateway.m_Process->signal(SIGSTOP);
+    m_Ledger.blind(m_Clock.now(), m_Clock.now() + Played.m_Span);
+    later(Played.m_Span, [&Gateway] {
+      Gateway.m_Frozen = false;
+      if (Gateway.m_Process != nullptr)
+        Gateway.m_Process->signal(SIGCONT);
     });
   }
 }
 
 /// Callers go on using their connections; new ones come until the probes have
 /// seen the stop.
-void SoakFleet::stopGateway(Place &Which) {
-  if (Which.m_Stopping)
+void SoakFleet::stopGateway(Place &Gateway) {
+  if (Gateway.m_Stopping)
     return;
-  Which.m_Stopping = true;
-  Which.m_Process->signal(SIGTERM);
+  Gateway.m_Stopping = true;
+  Gateway.m_Process->signal(SIGTERM);
   if (m_Calm)
-    m_Ledger.calmStop(Which.m_Number, m_Clock.now(), m_Clock.now() + 8s);
+    m_Ledger.calmStop(Gateway.m_Number, m_Clock.now(), m_Clock.now() + 8s);
 }
 
-void SoakFleet::applyToUpstream(const Fault &What, Seat &Which) {
-  if (Which.m_Upstream == nullptr)
+void SoakFleet::applyToUpstream(const Fault &Played, Seat &Upstream) {
+  if (Upstream.m_Upstream == nullptr)
     return;
-  if (What.m_Kind == FaultKind::UpstreamCrash) {
-    takeDown(Which, What.m_Span / 2, What.m_Span);
+  if (Played.m_Kind == FaultKind::UpstreamCrash) {
+    takeDown(Upstream, Played.m_Span / 2, Played.m_Span);
     return;
   }
-  if (What.m_Kind == FaultKind::UpstreamRelease) {
+  if (Played.m_Kind == FaultKind::UpstreamRelease) {
     // Some never say that they leave: their row just goes.
-    const bool Says = What.m_Which / m_Seats.size() % 2 == 0;
-    list(Which, Says ? "draining" : "");
-    Which.m_Upstream->leave();
-    m_Ledger.leaves(Which.m_Upstream->name(), m_Clock.now());
-    replace(Which, DrainSpan);
+    const bool IsAnnounced = Played.m_Which / m_Seats.size() % 2 == 0;
+    list(Upstream, IsAnnounced ? "draining" : "");
+    Upstream.m_Upstream->leave();
+    m_Ledger.leaves(Upstream.m_Upstream->name(), m_Clock.now());
+    replace(Upstream, DrainTime);
     return;
   }
-  const auto Trouble = [&] {
-    switch (What.m_Kind) {
+  const auto Selected = [&] {
+    switch (Played.m_Kind) {
     case FaultKind::UpstreamBusy:
       return Trouble::Busy;
     case FaultKind::UpstreamErrors:
@@ -127,74 +127,75 @@
       return Trouble::Mute;
     }
   }();
-  Which.m_Upstream->setTrouble(Trouble);
-  later(What.m_Span, [&Which] {
-    if (Which.m_Upstream != nullptr)
-      Which.m_Upstream->setTrouble(Trouble::None);
+  Upstream.m_Upstream->setTrouble(Selected);
+  later(Played.m_Span, [&Upstream] {
+    if (Upstream.m_Upstream != nullptr)
+      Upstream.m_Upstream->setTrouble(Trouble::None);
   });
 }
 
 /// Takes a leaving upstream away, and brings a new start of it.
-void SoakFleet::replace(Seat &Which, Duration After) {
-  const std::string Leaving = Which.m_Upstream->name();
-  const auto IsIt = [&Which, Leaving] {
-    return Which.m_Upstream != nullptr && Which.m_Upstream->name() == Leaving;
+void SoakFleet::replace(Seat &Upstream, Duration After) {
+  const std::string Name = Upstream.m_Upstream->name();
+  const auto IsSameIncarnation = [&Upstream, Name] {
+    return Upstream.m_Upstream != nullptr &&
+           Upstream.m_Upstream->name() == Name;
   };
-  later(After, [this, &Which, IsIt] {
-    if (IsIt())
-      list(Which, "");
+  later(After, [this, &Upstream, IsSameIncarnation] {
+    if (IsSameIncarnation())
+      list(Upstream, "");
   });
   // A little longer than any answer takes.
-  later(After + 1500ms, [this, &Which, IsIt] {
-    if (!IsIt())
+  later(After + 1500ms, [this, &Upstream, IsSameIncarnation] {
+    if (!IsSameIncarnation())
       return;
-    Which.m_Upstream = nullptr;
-    later(500ms, [this, &Which] {
-      if (Which.m_Upstream == nullptr)
-        startUpstream(Which);
+    Upstream.m_Upstream = nullptr;
+    later(500ms, [this, &Upstream] {
+      if (Upstream.m_Upstream == nullptr)
+        startUpstream(Upstream);
     });
   });
 }
 
-void SoakFleet::applyToPath(const Fault &What, Seat &Which) {
-  test::Relay &Way = *Which.m_Way;
-  if (What.m_Kind == FaultKind::PathReset) {
-    Way.reset();
-  } else if (What.m_Kind == FaultKind::PathSlow) {
-    Way.setDelay(SlowPath);
-    later(What.m_Span, [&Way] { Way.setDelay(Duration::zero()); });
+void SoakFleet::applyToPath(const Fault &Played, Seat &Upstream) {
+  test::Relay &Path = *Upstream.m_Way;
+  if (Played.m_Kind == FaultKind::PathReset) {
+    Path.reset();
+  } else if (Played.m_Kind == FaultKind::PathSlow) {
+    Path.setDelay(PathDelay);
+    later(Played.m_Span, [&Path] { Path.setDelay(Duration::zero()); });
   } else {
-    Way.setSilence(What.m_Kind == FaultKind::PathSilent
-                       ? test::Silence::Both
-                       : test::Silence::Outward);
-    later(What.m_Span, [&Way] { Way.setSilence(test::Silence::None); });
+    Path.setSilence(Played.m_Kind == FaultKind::PathSilent
+                        ? test::Silence::Both
+                        : test::Silence::Outward);
+    later(Played.m_Span, [&Path] { Path.setSilence(test::Silence::None); });
   }
 }
 
-void SoakFleet::applyToStore(const Fault &What, Place &Which) {
+void SoakFleet::applyToStore(const Fault &Played, Place &Gateway) {
   using Mode = standin::StoreServer::Mode;
-  test::Relay &Way = *Which.m_ToStore;
-  m_Ledger.blind(m_Clock.now(), m_Clock.now() + What.m_Span);
-  switch (What.m_Kind) {
+  test::Relay &Path = *Gateway.m_ToStore;
+  m_Ledger.blind(m_Clock.now(), m_Clock.now() + Played.m_Span);
+  switch (Played.m_Kind) {
   case FaultKind::StoreBusy:
   case FaultKind::StoreSilent:
-    m_Store.setMode(What.m_Kind == FaultKind::StoreBusy ? Mode::Busy
-                                                        : Mode::Silent);
-    later(What.m_Span, [this] { m_Store.setMode(Mode::Up); });
+    m_Store.setMode(Played.m_Kind == FaultKind::StoreBusy ? Mode::Busy
+                                                          : Mode::Silent);
+    later(Played.m_Span, [this] { m_Store.setMode(Mode::Up); });
     return;
   case FaultKind::StoreCut:
-    Way.cut();
-    later(What.m_Span, [&Way] { Way.mend(); });
+    Path.cut();
+    later(Played.m_Span, [&Path] { Path.mend(); });
     return;
   case FaultKind::StoreSlow:
-    Way.setDelay(SlowStore);
-    later(What.m_Span, [&Way] { Way.setDelay(Duration::zero()); });
+    Path.setDelay(StoreDelay);
+    later(Played.m_Span, [&Path] { Path.setDelay(Duration::zero()); });
     return;
   case FaultKind::StoreOldCopy:
     m_Store.serveOldCopy(true);
     putTable();
-    later(What.m_Span / 2, [this] { m_Store.dropHistory(); });
-    later(What.m_Span, [this] { m_Store.serveOldCopy(false); });
+    later(Played.m_Span / 2, [this] { m_Store.dropHistory(); });
+    later(Played.m_Span, [this] { m_Store.serveOldCopy(false); });
     return;
   default:
     m_Store.dropHistory();
--- a/tests/soak/soak_fleet.h
+++ b/tests/soak/soak_fleet.h
@@ -33,7 +33,7 @@
   bool start();
 
   /// Plays \p Faults under load, then lets the fleet recover.
-  void play(const std::vector<Fault> &Faults, Duration Span);
+  void play(const std::vector<Fault> &Faults, Duration Length);
 
   [[nodiscard]] Ledger &ledger() { return m_Ledger; }
 
@@ -63,24 +63,24 @@
     unsigned m_Lifetime = 0;                  ///< Starts so far.
   };
 
-  void startGateway(Place &Which);
-  void startUpstream(Seat &Which);
-  void list(const Seat &Which, const std::string &State);
+  void startGateway(Place &Gateway);
+  void startUpstream(Seat &Upstream);
+  void list(const Seat &Upstream, const std::string &State);
   void putTable();
   void callOnce();
   void sendCrashing();
-  void crash(Seat &Which);
-  void takeDown(Seat &Which, Duration RowStays, Duration BackAfter);
+  void crash(Seat &Upstream);
+  void takeDown(Seat &Upstream, Duration RowTime, Duration RestartTime);
   void noteStall(TimePoint LastStep);
-  bool poll(Place &Which);
+  bool poll(Place &Gateway);
 
-  void apply(const Fault &What);
-  void applyToGateway(const Fault &What, Place &Which);
-  void applyToUpstream(const Fault &What, Seat &Which);
-  void applyToPath(const Fault &What, Seat &Which);
-  void applyToStore(const Fault &What, Place &Which);
-  void stopGateway(Place &Which);
-  void replace(Seat &Which, Duration After);
+  void apply(const Fault &Played);
+  void applyToGateway(const Fault &Played, Place &Gateway);
+  void applyToUpstream(const Fault &Played, Seat &Upstream);
+  void applyToPath(const Fault &Played, Seat &Upstream);
+  void applyToStore(const Fault &Played, Place &Gateway);
+  void stopGateway(Place &Gateway);
+  void replace(Seat &Upstream, Duration After);
   void later(Duration After, std::function<void()> Job);
   void reapAll();
 
--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 struct Options {
-  std::uint64_t m_Seed = 0;        ///< Of the first round.
-  Duration m_Total{};              ///< Rounds are begun for this long.
-  std::optional<FaultKind> m_Only; ///< One kind of faults.
-  Duration m_Round{};              ///< Faults of a round.
-  FleetPlan m_Fleet;               ///< Its size.
+  std::uint64_t m_Seed = 0;            ///< Of the first round.
+  Duration m_TotalTime{};              ///< Rounds are begun for this long.
+  std::optional<FaultKind> m_OnlyKind; ///< One kind of faults.
+  Duration m_RoundLength{};            ///< Faults of a round.
+  FleetPlan m_Fleet;                   ///< Its size.
 };
 
 Options parse(int Argc, char **Argv) {
@@ -42,14 +42,14 @@
                                     "name", Line);
   Line.parse(Argc, Argv);
   Options Result;
-  Result.m_Only = faultKindOf(Only.getValue());
-  if (!Only.getValue().empty() && !Result.m_Only)
+  Result.m_OnlyKind = faultKindOf(Only.getValue());
+  if (!Only.getValue().empty() && !Result.m_OnlyKind)
     throw Error("no kind of faults is called " + Only.getValue());
   Result.m_Seed = Seed.getValue();
   if (Result.m_Seed == 0)
     Result.m_Seed = std::random_device{}();
-  Result.m_Total = std::chrono::seconds(Total.getValue());
-  Result.m_Round = std::chrono::seconds(Round.getValue());
+  Result.m_TotalTime = std::chrono::seconds(Total.getValue());
+  Result.m_RoundLength = std::chrono::seconds(Round.getValue());
   Result.m_Fleet.m_Gateways = Gateways.getValue();
   Result.m_Fleet.m_Upstreams = Upstreams.getValue();
   Result.m_Fleet.m_CallsPerSecond = Calls.getValue();
@@ -64,12 +64,12 @@
   if (!Plan.m_Keep.empty())
     Plan.m_Keep += "/" + std::to_string(Seed);
   const std::vector<Fault> Faults =
-      makeSchedule(Seed, Chosen.m_Round, Chosen.m_Only);
+      makeSchedule(Seed, Chosen.m_RoundLength, Chosen.m_OnlyKind);
   std::cout << "seed " << Seed << (isCalm(Seed) ? " (planned work)" : "")
             << "\nfaults:";
-  for (const Fault &Each : Faults)
-    std::cout << "  " << std::chrono::duration<double>(Each.m_At).count()
-              << " s " << nameOf(Each.m_Kind);
+  for (const Fault &Scheduled : Faults)
+    std::cout << "  " << std::chrono::duration<double>(Scheduled.m_At).count()
+              << " s " << nameOf(Scheduled.m_Kind);
   std::cout << std::endl;
   SoakFleet Fleet(Plan);
   if (!Fleet.start()) {
@@ -77,13 +77,13 @@
     Fleet.keepLogs();
     return false;
   }
-  Fleet.play(Faults, Chosen.m_Round);
+  Fleet.play(Faults, Chosen.m_RoundLength);
   Fleet.ledger().judgeAll();
   Fleet.ledger().report();
-  const bool Good = Fleet.ledger().violations().empty();
-  if (!Good)
+  const bool Passed = Fleet.ledger().violations().empty();
+  if (!Passed)
     Fleet.keepLogs();
-  return Good;
+  return Passed;
 }
 
 } // namespace
@@ -93,19 +93,20 @@
   const LoopClock Time;
   const TimePoint Begin = Time.fresh();
   int Rounds = 0;
-  int Broken = 0;
+  int FailedRounds = 0;
   for (std::uint64_t Seed = Chosen.m_Seed;; ++Seed) {
     ++Rounds;
     if (!playRound(Chosen, Seed)) {
-      ++Broken;
+      ++FailedRounds;
       std::cout << "soak: seed " << Seed << " broke a promise\n";
     }
-    if (Time.fresh() - Begin >= Chosen.m_Total)
+    if (Time.fresh() - Begin >= Chosen.m_TotalTime)
       break;
   }
-  std::cout << "soak: " << Rounds << " rounds, " << Broken << " broken\n";
-  return static_cast<int>(Broken == 0 ? ExitCode::Success : ExitCode::Failure);
-} catch (const Error &Why) {
-  std::cerr << "crowstep-soak: " << Why.what() << '\n';
+  std::cout << "soak: " << Rounds << " rounds, " << FailedRounds << " broken\n";
+  return static_cast<int>(FailedRounds == 0 ? ExitCode::Success
+                                            : ExitCode::Failure);
+} catch (const Error &Err) {
+  std::cerr << "crowstep-soak: " << Err.what() << '\n';
   return static_cast<int>(ExitCode::BadInput);
 }
--- a/tests/soak/soak_upstream.cpp
+++ b/tests/soak/soak_upstream.cpp
@@ -13,10 +13,10 @@
 constexpr unsigned HttpUnavailable = 503;
 
 /// Between events, and before a plain answer.
-constexpr unsigned StepMilliseconds = 15;
+constexpr unsigned StepIntervalMs = 15;
 
 /// A trouble takes every so many calls.
-constexpr unsigned TroubleEvery = 3;
+constexpr unsigned FaultEvery = 3;
 
 } // namespace
 
@@ -33,24 +33,24 @@
   Trouble m_Trouble = Trouble::None; ///< That takes it.
 };
 
-SoakUpstream::SoakUpstream(std::string Name, Address Where, Ledger &Runs,
+SoakUpstream::SoakUpstream(std::string Name, Address Listen, Ledger &Runs,
                            const Clock &Time, std::uint64_t Seed,
                            std::function<void()> OnCrash)
     : m_Name(std::move(Name)), m_Ledger(Runs), m_Clock(Time), m_Random(Seed),
       m_OnCrash(std::move(OnCrash)) {
-  m_Server.listen(Where, [this](SoupServerMessage *Message, const char *Path) {
+  m_Server.listen(Listen, [this](SoupServerMessage *Message, const char *Path) {
     handle(Message, Path);
   });
 }
 
 SoakUpstream::~SoakUpstream() {
-  for (const auto &[Each, Timer] : m_Open) {
+  for (const auto &[Open, Timer] : m_Open) {
     g_source_remove(Timer);
-    delete Each;
+    delete Open;
   }
 }
 
-bool SoakUpstream::happens() { return m_Random() % TroubleEvery == 0; }
+bool SoakUpstream::happens() { return m_Random() % FaultEvery == 0; }
 
 void SoakUpstream::handle(SoupServerMessage *Message, const std::string &Path) {
   const std::string Id = requestHeader(Message, "X-Attempt-Id");
@@ -63,20 +63,20 @@
     refuse(Message, HttpUnavailable);
     return;
   }
-  const std::string Last = requestHeader(Message, "Last-Event-Id");
-  m_Ledger.ran(Id, {m_Name, m_Clock.now(), !Last.empty()});
-  auto *What = new Answer(Message);
-  What->m_Owner = this;
-  What->m_Id = Id;
-  What->m_Stream = Path.find("stream") != std::string::npos;
-  What->m_Next = std::atoi(Last.c_str()) + 1;
+  const std::string LastEventId = requestHeader(Message, "Last-Event-Id");
+  m_Ledger.ran(Id, {m_Name, m_Clock.now(), !LastEventId.empty()});
+  auto *Open = new Answer(Message);
+  Open->m_Owner = this;
+  Open->m_Id = Id;
+  Open->m_Stream = Path.find("stream") != std::string::npos;
+  Open->m_Next = std::atoi(LastEventId.c_str()) + 1;
   if (m_Trouble != Trouble::None && m_Trouble != Trouble::Busy && happens())
-    What->m_Trouble = m_Trouble;
+    Open->m_Trouble = m_Trouble;
   if (requestBody(Message) == CrashingBody) {
-    What->m_Trouble = Trouble::Mute;
+    Open->m_Trouble = Trouble::Mute;
     m_OnCrash();
   }
-  m_Open[What] = g_timeout_add(StepMilliseconds, onTick, What);
+  m_Open[Open] = g_timeout_add(StepIntervalMs, onTick, Open);
 }
 
 void SoakUpstream::refuse(SoupServerMessage *Message, unsigned Status) const {
@@ -89,61 +89,61 @@
 }
 
 int SoakUpstream::onTick(void *Data) {
-  auto *What = static_cast<Answer *>(Data);
-  SoakUpstream &Owner = *What->m_Owner;
-  if (What->m_Held.open() && !Owner.step(*What))
+  auto *Open = static_cast<Answer *>(Data);
+  SoakUpstream &Owner = *Open->m_Owner;
+  if (Open->m_Held.open() && !Owner.step(*Open))
     return G_SOURCE_CONTINUE;
-  Owner.m_Open.erase(What);
-  delete What;
+  Owner.m_Open.erase(Open);
+  delete Open;
   return G_SOURCE_REMOVE;
 }
 
 /// Does the next part of an answer; returns whether it was the last.
-bool SoakUpstream::step(Answer &What) {
-  if (What.m_Trouble == Trouble::Mute)
+bool SoakUpstream::step(Answer &Open) {
+  if (Open.m_Trouble == Trouble::Mute)
     return false; // Until the caller has had enough.
-  if (What.m_Trouble == Trouble::AnswerLost) {
-    What.m_Held.cut();
+  if (Open.m_Trouble == Trouble::AnswerLost) {
+    Open.m_Held.cut();
     return true;
   }
-  if (What.m_Steps++ == 0) {
-    fillHeaders(What);
-    if (What.m_Trouble == Trouble::Errors) {
-      What.m_Held.answer(HttpError, "text/plain", "error");
+  if (Open.m_Steps++ == 0) {
+    fillHeaders(Open);
+    if (Open.m_Trouble == Trouble::Errors) {
+      Open.m_Held.answer(HttpError, "text/plain", "error");
       return true;
     }
-    What.m_Held.beginStream(HttpOk,
-                            What.m_Stream ? "text/event-stream" : "text/plain");
+    Open.m_Held.beginStream(HttpOk,
+                            Open.m_Stream ? "text/event-stream" : "text/plain");
   }
-  return sendNext(What);
+  return sendNext(Open);
 }
 
 /// Sends an event or a body, or cuts; returns whether that was the last.
-bool SoakUpstream::sendNext(Answer &What) {
+bool SoakUpstream::sendNext(Answer &Open) {
   // What was sent must have left before the cut.
-  constexpr int PiecesBeforeCut = 2;
-  const bool Cuts = What.m_Trouble == Trouble::Cuts;
-  if (Cuts && What.m_Steps > PiecesBeforeCut) {
-    What.m_Held.cut();
+  constexpr int StepsBeforeClose = 2;
+  const bool Cuts = Open.m_Trouble == Trouble::Cuts;
+  if (Cuts && Open.m_Steps > StepsBeforeClose) {
+    Open.m_Held.cut();
     return true;
   }
-  if (What.m_Stream && What.m_Next <= EventsOfStream) {
-    const std::string Id = std::to_string(What.m_Next++);
-    What.m_Held.append("id: " + Id + "\ndata: " + What.m_Id + " " + m_Name +
+  if (Open.m_Stream && Open.m_Next <= EventsOfStream) {
+    const std::string Id = std::to_string(Open.m_Next++);
+    Open.m_Held.append("id: " + Id + "\ndata: " + Open.m_Id + " " + m_Name +
                        "\n\n");
-  } else if (!What.m_Stream && What.m_Steps == 1) {
-    What.m_Held.append(What.m_Id + (Cuts ? " wh" : " whole"));
+  } else if (!Open.m_Stream && Open.m_Steps == 1) {
+    Open.m_Held.append(Open.m_Id + (Cuts ? " wh" : " whole"));
   }
-  if (Cuts || (What.m_Stream && What.m_Next <= EventsOfStream))
+  if (Cuts || (Open.m_Stream && Open.m_Next <= EventsOfStream))
     return false;
-  What.m_Held.endStream();
+  Open.m_Held.endStream();
   return true;
 }
 
-void SoakUpstream::fillHeaders(const Answer &What) const {
+void SoakUpstream::fillHeaders(const Answer &Open) const {
   SoupMessageHeaders *Headers =
-      soup_server_message_get_response_headers(What.m_Held.message());
-  soup_message_headers_replace(Headers, "X-Attempt-Id", What.m_Id.c_str());
+      soup_server_message_get_response_headers(Open.m_Held.message());
+  soup_message_headers_replace(Headers, "X-Attempt-Id", Open.m_Id.c_str());
   soup_message_headers_replace(Headers, "X-Server-Signature", m_Name.c_str());
   if (m_Leaving)
     soup_message_headers_replace(Headers, "Connection", "close");
--- a/tests/soak/soak_upstream.h
+++ b/tests/soak/soak_upstream.h
@@ -28,8 +28,9 @@
 class SoakUpstream {
 public:
   /// \p OnCrash is called as a crashing request begins to run.
-  SoakUpstream(std::string Name, Address Where, Ledger &Runs, const Clock &Time,
-               std::uint64_t Seed, std::function<void()> OnCrash);
+  SoakUpstream(std::string Name, Address Listen, Ledger &Runs,
+               const Clock &Time, std::uint64_t Seed,
+               std::function<void()> OnCrash);
   ~SoakUpstream();
   SoakUpstream(const SoakUpstream &) = delete;
   SoakUpstream &operator=(const SoakUpstream &) = delete;
@@ -47,9 +48,9 @@
   void handle(SoupServerMessage *Message, const std::string &Path);
   void refuse(SoupServerMessage *Message, unsigned Status) const;
   static int onTick(void *Data);
-  bool step(Answer &What);
-  bool sendNext(Answer &What);
-  void fillHeaders(const Answer &What) const;
+  bool step(Answer &Open);
+  bool sendNext(Answer &Open);
+  void fillHeaders(const Answer &Open) const;
   bool happens();
 
   std::string m_Name;                  ///< Of this start.
