--- a/tests/soak/ledger.cpp
+++ b/tests/soak/ledger.cpp
@@ -30,7 +30,7 @@
        << (Request.m_Told->m_Broken ? ", broken" : "") << ", runs:";
   for (const Run &Started : Request.m_Runs)
     Text << ' ' << Started.m_Upstream
-         << (Started.m_Continues ? "(continues)" : "");
+         << (Started.m_Continues ? "(resumed)" : "");
   return Text.str();
 }
 
@@ -66,7 +66,7 @@
 void Ledger::ran(const std::string &Id, Run Started) {
   const auto Found = m_Calls.find(Id);
   if (Found == m_Calls.end()) {
-    violated("own_answer", "a run of an unknown call " + Id);
+    violated("own_answer", "run of an unknown request " + Id);
     return;
   }
   Found->second.m_Runs.push_back(std::move(Started));
@@ -110,9 +110,10 @@
   }
   if (!Resumable && Runs.size() > 1)
     violated("stream_order",
-             describe(Id, Request) + ": joined from several runs");
+             describe(Id, Request) + ": joined from several upstreams");
   if (!Request.m_Told->m_Broken && Events.size() != EventsOfStream)
-    violated("stream_order", describe(Id, Request) + ": ends as whole after " +
+    violated("stream_order", describe(Id, Request) +
+                                 ": ends without an error after event " +
                                  std::to_string(Events.size()));
 }
 
@@ -138,7 +139,7 @@
   if (After && Request.m_Told->m_Status == HttpNotFound &&
       Request.m_TableVersion == Version && !Replaced)
     violated("version_never_back",
-             describe(Id, Request) + ": the route is gone again");
+             describe(Id, Request) + ": its route is no longer found");
   if (Served && Request.m_TableVersion > Version)
     Newest = {Request.m_TableVersion, Request.m_At + Request.m_Told->m_Elapsed};
 }
@@ -242,8 +243,8 @@
                  CountIn(Requests, From - RetryWindow, RetryWindow));
     const double Used = CountIn(m_Again, From, RetryWindow);
     if (Used > RetryRatio * Earned + RetrySlack) {
-      violated("retry_budget", std::to_string(Used) + " repeats beside " +
-                                   std::to_string(Earned) + " calls");
+      violated("retry_budget", std::to_string(Used) + " retries for " +
+                                   std::to_string(Earned) + " requests");
       return;
     }
   }
@@ -287,14 +288,14 @@
   std::cout << "calls by outcome:";
   for (const auto &[Outcome, Count] : Outcomes)
     std::cout << "  " << Outcome << ": " << Count;
-  std::cout << "\nrepeats at upstreams: " << m_Again.size() << "\nchecked:";
+  std::cout << "\nretries at upstreams: " << m_Again.size() << "\nchecked:";
   for (const auto &[Check, Count] : m_Checked)
     std::cout << "  " << Check << ": " << Count;
   std::cout << '\n';
   if (!m_Stalled.empty()) {
     const std::chrono::duration<double> Sum =
         std::accumulate(m_Stalled.begin(), m_Stalled.end(), Duration::zero());
-    std::cout << "the driver stood still " << m_Stalled.size() << " times, "
+    std::cout << "driver stalled " << m_Stalled.size() << " times, "
               << Sum.count() << " s in all\n";
   }
   for (const Violation &Broken : m_Violations)
--- a/tests/soak/ledger.h
+++ b/tests/soak/ledger.h
@@ -94,7 +94,7 @@
   void judgeRecovery(bool Recovered) {
     ++m_Checked["recovery"];
     if (!Recovered)
-      violated("recovery", "service did not come back in time");
+      violated("recovery", "service did not recover in time");
   }
 
   /// Judges what only the end shows.
--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -44,7 +44,7 @@
   Options Result;
   Result.m_OnlyKind = faultKindOf(Only.getValue());
   if (!Only.getValue().empty() && !Result.m_OnlyKind)
-    throw Error("no kind of faults is called " + Only.getValue());
+    throw Error("unknown kind of fault: " + Only.getValue());
   Result.m_Seed = Seed.getValue();
   if (Result.m_Seed == 0)
     Result.m_Seed = std::random_device{}();
