--- a/tests/soak/ledger.cpp
+++ b/tests/soak/ledger.cpp
@@ -1,4 +1,4 @@
-/// The checks.
+/// Recording and checks.
 #include "soak/ledger.h"
 
 #include <algorithm>
@@ -13,7 +13,8 @@
 
 namespace {
 
-/// Within this time of a first answer by a newer table an older one may speak.
+/// Answers by an older table are tolerated for this long after the first by a
+/// newer one.
 constexpr Duration DowngradeSlack = 250ms;
 
 constexpr unsigned HttpOk = 200;
@@ -34,11 +35,11 @@
   return Text.str();
 }
 
-/// An event as the stand-in upstreams make them: "id: 3\ndata: ATTEMPT RUN\n".
+/// An event as SoakUpstream sends it: "id: 3\ndata: ATTEMPT UPSTREAM\n\n".
 struct Event {
-  int m_Id = 0;          ///< Its number.
-  std::string m_Attempt; ///< The call.
-  std::string m_Run;     ///< The upstream's start.
+  int m_Id = 0;          ///< From 1.
+  std::string m_Attempt; ///< X-Attempt-Id of the request.
+  std::string m_Run;     ///< Name of the upstream's incarnation.
 };
 
 std::vector<Event> parseEvents(const std::string &Body) {
@@ -83,7 +84,8 @@
     }
 }
 
-/// A good answer is one that a run of just this call has made, and whole.
+/// An answer with status 200 that did not break off must be the whole body made
+/// by a run of this very request.
 void Ledger::judgeAnswer(const std::string &Id, const Asked &Request) {
   if (Request.m_Told->m_Status != HttpOk || Request.m_Told->m_Broken ||
       Request.m_Kind == Kind::Stream || Request.m_Kind == Kind::Resumable)
@@ -117,7 +119,7 @@
                                  std::to_string(Events.size()));
 }
 
-/// A gateway that has served by a table never again answers by an older one.
+/// A gateway that has served by a table must not answer by an older one again.
 void Ledger::judgeVersion(const std::string &Id, const Asked &Request) {
   if (Request.m_TableVersion == 0)
     return;
@@ -131,7 +133,7 @@
                                        ": served by table " +
                                        std::to_string(Request.m_TableVersion) +
                                        " after " + std::to_string(Version));
-  // The table after it may be in force, though no call has shown that yet.
+  // The next table may be in force though no answer has shown it yet.
   const auto Next = m_Tables.find(Request.m_TableVersion + 1);
   const bool Replaced =
       Next != m_Tables.end() &&
@@ -144,8 +146,8 @@
     Newest = {Request.m_TableVersion, Request.m_At + Request.m_Told->m_Elapsed};
 }
 
-/// Around a stop without other troubles each call that an upstream has begun
-/// gets its answer.
+/// Around a stop without other faults every request that an upstream has
+/// started to run must get a complete answer.
 void Ledger::judgeStops(const std::string &Id, const Asked &Request) {
   const TimePoint End = Request.m_At + Request.m_Told->m_Elapsed;
   for (const CalmStop &Stop : m_CalmStops) {
@@ -169,7 +171,9 @@
   judgeCrashing();
 }
 
-/// Returns whether the gateway had no trouble of its own or with the store.
+/// Returns whether the gateway must know at \p At what the store holds: it has
+/// run for SettleBound, and no freeze, store fault or driver stall was under
+/// way within that time.
 bool Ledger::inTouch(const Asked &Request, TimePoint At) const {
   return At > Request.m_GatewayStart + SettleBound &&
          std::none_of(m_Blind.begin(), m_Blind.end(), [&](const auto &Excused) {
@@ -237,7 +241,7 @@
   };
   for (const TimePoint From : m_Again) {
     ++m_Checked["retry_budget"];
-    // Calls of the window or of the one before, whichever had more.
+    // Requests of this window or of the one before, whichever had more.
     const double Earned =
         std::max(CountIn(Requests, From, RetryWindow),
                  CountIn(Requests, From - RetryWindow, RetryWindow));
@@ -250,8 +254,8 @@
   }
 }
 
-/// Returns by when every gateway must know what the store was told at \p Told.
-/// A trouble that begins only after this excuses nothing.
+/// Returns by when every gateway must know what was written to the store at
+/// \p Written. A fault that begins only after that time extends nothing.
 TimePoint Ledger::knownBy(TimePoint Written) const {
   Spans InOrder = m_Blind;
   std::sort(InOrder.begin(), InOrder.end());
--- a/tests/soak/ledger.h
+++ b/tests/soak/ledger.h
@@ -1,4 +1,5 @@
-/// What callers asked and were told, what upstreams ran, and what must hold.
+/// Record of the requests of callers, the runs at upstreams and the results of
+/// the checks on them.
 #ifndef CROWSTEP_TESTS_SOAK_LEDGER_H
 #define CROWSTEP_TESTS_SOAK_LEDGER_H
 
@@ -12,42 +13,42 @@
 
 namespace crowstep::soak {
 
-/// Kinds of routes.
+/// Kinds of routes, by what callers may expect of a request.
 enum class Kind : std::uint8_t {
-  Once,      ///< At most once.
-  Again,     ///< May run again.
-  Stream,    ///< Not resumable.
-  Resumable, ///< Resumable.
+  Once,      ///< Runs at most once.
+  Again,     ///< May be retried after it ran.
+  Stream,    ///< Event stream; not resumable.
+  Resumable, ///< Event stream that another upstream may resume.
 };
 
-/// A run at an upstream.
+/// One execution of a request at an upstream.
 struct Run {
-  std::string m_Upstream; ///< Name of that start of it.
-  TimePoint m_At;         ///< When it began.
-  bool m_Continues;       ///< It began after an event that was given.
+  std::string m_Upstream; ///< Names its incarnation too.
+  TimePoint m_At;         ///< Its start.
+  bool m_Continues;       ///< Sent with a Last-Event-Id.
 };
 
-/// One call of a caller.
+/// One request of a caller.
 struct Asked {
-  Kind m_Kind = Kind::Once;                 ///< Of its route.
-  int m_Gateway = 0;                        ///< Who was asked.
-  unsigned m_Lifetime = 0;                  ///< Which start of it.
-  unsigned m_TableVersion = 0;              ///< Its route's; 0: in all.
-  TimePoint m_At;                           ///< When it was sent.
+  Kind m_Kind = Kind::Once;    ///< Its route's kind.
+  int m_Gateway = 0;           ///< Number of the gateway it was sent to.
+  unsigned m_Lifetime = 0;     ///< The gateway's incarnation.
+  unsigned m_TableVersion = 0; ///< Of its route; 0: in every table.
+  TimePoint m_At;              ///< Time of sending.
   std::shared_ptr<const test::Told> m_Told; ///< Fills while the loop runs.
-  std::vector<Run> m_Runs;                  ///< So far.
-  bool m_Crashing = false;                  ///< Crashes what runs it.
-  TimePoint m_GatewayStart;                 ///< Of that start of it.
-  bool m_Judged = false;                    ///< After its end.
+  std::vector<Run> m_Runs;                  ///< Recorded so far.
+  bool m_Crashing = false;                  ///< Crashes upstreams that run it.
+  TimePoint m_GatewayStart;                 ///< Of that incarnation.
+  bool m_Judged = false;                    ///< Checked after its end.
 };
 
-/// A promise that was broken.
+/// A check that failed.
 struct Violation {
-  std::string m_Check; ///< Name of the promise.
-  std::string m_What;  ///< The call and what was seen.
+  std::string m_Check; ///< Name of the check.
+  std::string m_What;  ///< The request and what was observed.
 };
 
-/// Spans of time in which something is excused.
+/// Time ranges in which a check is suspended.
 using Spans = std::vector<std::pair<TimePoint, TimePoint>>;
 
 class Ledger {
@@ -57,54 +58,57 @@
   }
   void ran(const std::string &Id, Run Started);
 
-  /// A request reached \p Upstream, whether it ran or not.
+  /// Counts an arrival of a request at an upstream, whether it runs or not.
   void arrived(const std::string &Id, TimePoint Now);
 
-  /// The store has acknowledged that \p Upstream leaves.
+  /// Records that the store has acknowledged that \p Upstream drains or is
+  /// removed.
   void leaves(const std::string &Upstream, TimePoint Now) {
     m_Leaving.emplace(Upstream, Now);
   }
 
-  /// An upstream crashed under the crashing request; its row goes at \p Gone.
+  /// Records that the crashing request has crashed an upstream, whose row is
+  /// removed at \p RowRemoved.
   void crashed(TimePoint RowRemoved) { m_CrashesKnown.push_back(RowRemoved); }
 
-  /// The store holds a newer table.
+  /// Records that the store holds a newer table.
   void tableChanged(unsigned Version, TimePoint Now) {
     m_Tables.emplace(Version, Now);
   }
 
-  /// A gateway can't know what the store holds.
+  /// Excuses gateways from knowing what the store holds.
   void blind(TimePoint From, TimePoint To) { m_Blind.emplace_back(From, To); }
 
-  /// The driver, and the store with it, did not run.
+  /// Records that the driver, and the store that it hosts, did not run.
   void stalled(TimePoint From, TimePoint To) {
     blind(From, To);
     m_Stalled.push_back(To - From);
   }
 
-  /// A gateway was told to stop in a time without other troubles.
+  /// Records that a gateway was told to stop while no other fault is played.
   void calmStop(int Gateway, TimePoint From, TimePoint To) {
     m_CalmStops.push_back({Gateway, From, To});
   }
 
-  /// Judges the calls that have ended since the last time.
+  /// Checks the requests that have ended since the previous call.
   void judge();
 
-  /// Whether service came back in time after the last trouble.
+  /// Checks that service recovered in time after the last fault.
   void judgeRecovery(bool Recovered) {
     ++m_Checked["recovery"];
     if (!Recovered)
       violated("recovery", "service did not recover in time");
   }
 
-  /// Judges what only the end shows.
+  /// Runs the checks that need the records of the whole round.
   void judgeAll();
 
-  /// Returns the share of calls served among those sent and ended in a span,
-  /// or 0 where there are none.
+  /// Returns the share served of the ended requests sent from \p From until
+  /// \p To, or 0 if there are none. Those of the crashing request and of routes
+  /// that tables add and remove don't count.
   [[nodiscard]] double servedShare(TimePoint From, TimePoint To) const;
 
-  /// Prints calls by outcome, checks and violations.
+  /// Prints requests by outcome, counts of checks, and violations.
   void report() const;
 
   [[nodiscard]] const std::vector<Violation> &violations() const {
@@ -113,9 +117,9 @@
 
 private:
   struct CalmStop {
-    int m_Gateway;    ///< Which.
-    TimePoint m_From; ///< The signal.
-    TimePoint m_To;   ///< Its end.
+    int m_Gateway;    ///< Its number.
+    TimePoint m_From; ///< Time of SIGTERM.
+    TimePoint m_To;   ///< Requests sent later aren't checked.
   };
 
   void violated(const std::string &Check, const std::string &Details) {
@@ -132,40 +136,41 @@
   [[nodiscard]] bool inTouch(const Asked &Request, TimePoint At) const;
   [[nodiscard]] TimePoint knownBy(TimePoint Written) const;
 
-  std::map<std::string, Asked> m_Calls;       ///< By attempt's id.
-  std::map<std::string, int> m_Arrivals;      ///< By attempt's id.
+  std::map<std::string, Asked> m_Calls;       ///< By X-Attempt-Id.
+  std::map<std::string, int> m_Arrivals;      ///< By X-Attempt-Id.
   std::vector<TimePoint> m_Again;             ///< Arrivals after the first.
   std::vector<TimePoint> m_CrashesKnown;      ///< See crashed().
-  std::map<std::string, TimePoint> m_Leaving; ///< By upstream.
-  std::map<unsigned, TimePoint> m_Tables;     ///< When each was written.
+  std::map<std::string, TimePoint> m_Leaving; ///< By upstream's name.
+  std::map<unsigned, TimePoint> m_Tables;     ///< By version.
   Spans m_Blind;                              ///< See blind().
   std::vector<Duration> m_Stalled;            ///< See stalled().
   std::vector<CalmStop> m_CalmStops;          ///< See calmStop().
-  /// The newest table seen in force, by gateway and its start.
+  /// The newest table observed in force and since when, by gateway and its
+  /// incarnation.
   std::map<std::pair<int, unsigned>, std::pair<unsigned, TimePoint>> m_Newest;
-  std::map<std::string, int> m_Checked; ///< By promise.
-  std::vector<Violation> m_Violations;  ///< All.
+  std::map<std::string, int> m_Checked; ///< By check.
+  std::vector<Violation> m_Violations;
 };
 
-/// Bound on repeats that the fleet under test is given: so small that some
-/// seconds of errors everywhere would go beyond it.
+/// Retry budget of the fleet under test, so small that some seconds of errors
+/// at all upstreams would exceed it.
 inline constexpr double RetryRatio = 0.05;
 inline constexpr double RetrySlack = 20;
 inline constexpr Duration RetryWindow = std::chrono::seconds(10);
 
-/// Nothing may begin at a leaving upstream this long after the store has
-/// acknowledged its leave.
+/// No run may start at a draining upstream this long after the store has
+/// acknowledged the change.
 inline constexpr std::chrono::milliseconds DrainBound{2000};
 
-/// A gateway must know what the store holds this long after a trouble between
-/// them.
+/// A gateway must know what the store holds this long after a fault between
+/// them has ended.
 inline constexpr std::chrono::milliseconds SettleBound{3000};
 
-/// Runs of a request that has crashed three upstreams, by gateways that can
-/// know of it.
+/// Limit on runs of a request that has crashed three upstreams, by gateways
+/// that can know of the crashes.
 inline constexpr std::size_t RunsAfterCrashes = 3;
 
-/// Events of a stream.
+/// Events in a complete stream.
 inline constexpr int EventsOfStream = 8;
 
 } // namespace crowstep::soak
--- a/tests/soak/raw_caller.cpp
+++ b/tests/soak/raw_caller.cpp
@@ -1,4 +1,4 @@
-/// HTTP/1.1 by hand.
+/// Requests over plain sockets, with a minimal parser of answers.
 #include "soak/raw_caller.h"
 
 #include <algorithm>
@@ -17,10 +17,10 @@
   return Text;
 }
 
-/// Takes an answer apart as its bytes come.
+/// Parses an HTTP/1.1 answer incrementally.
 class AnswerParser {
 public:
-  /// Takes bytes; the body goes to \p Into.
+  /// Parses further bytes; status and body go to \p Into.
   void parse(std::string_view Bytes, test::Told &Into) {
     m_Pending.append(Bytes);
     if (!m_HasHead && !parseHead(Into))
@@ -74,12 +74,12 @@
     }
   }
 
-  std::string m_Pending;            ///< Not yet understood.
-  bool m_HasHead = false;           ///< The head came.
-  bool m_Chunked = false;           ///< By the head.
-  bool m_Close = false;             ///< By the head.
-  bool m_IsComplete = false;        ///< The end came.
-  std::size_t m_RemainingBytes = 0; ///< Of a body with a length.
+  std::string m_Pending;            ///< Not parsed yet.
+  bool m_HasHead = false;           ///< The head is complete.
+  bool m_Chunked = false;           ///< Transfer-Encoding.
+  bool m_Close = false;             ///< Connection: close.
+  bool m_IsComplete = false;        ///< The answer is complete.
+  std::size_t m_RemainingBytes = 0; ///< By Content-Length.
 };
 
 } // namespace
@@ -96,15 +96,15 @@
 };
 
 struct RawCaller::Flight {
-  RawCaller *m_Owner = nullptr; ///< Null once it is over.
-  test::Call m_What;            ///< As asked.
-  std::string m_Text;           ///< As it is sent.
+  RawCaller *m_Owner = nullptr; ///< Null once it has ended.
+  test::Call m_What;            ///< As given.
+  std::string m_Text;           ///< Head and body.
   std::shared_ptr<test::Told> m_Told = std::make_shared<test::Told>();
-  std::shared_ptr<Connection> m_Connection;     ///< Its own meanwhile.
-  AnswerParser m_Reader;                        ///< Of its answer.
-  std::array<char, 16384> m_Piece{};            ///< Being read.
-  gint64 m_Start = g_get_monotonic_time();      ///< Of the call.
-  guint m_Timer = 0;                            ///< For the limit.
+  std::shared_ptr<Connection> m_Connection; ///< Null while not connected.
+  AnswerParser m_Reader;                    ///< Parses the answer.
+  std::array<char, 16384> m_Piece{};        ///< Buffer for reads.
+  gint64 m_Start = g_get_monotonic_time();  ///< In µs.
+  guint m_Timer = 0;                        ///< Source of the timeout; 0: none.
   GCancellable *m_Cancel = g_cancellable_new(); ///< Owned.
 
   ~Flight() { g_object_unref(m_Cancel); }
--- a/tests/soak/raw_caller.h
+++ b/tests/soak/raw_caller.h
@@ -1,5 +1,6 @@
-/// Callers that see each byte: whether an answer came whole, and whether a
-/// connection may serve on. libsoup takes a close amid chunks for an end.
+/// An HTTP/1.1 client that tells complete answers from truncated ones and
+/// whether a connection may be reused. libsoup takes a close between chunks for
+/// the end of the body.
 #ifndef CROWSTEP_TESTS_SOAK_RAW_CALLER_H
 #define CROWSTEP_TESTS_SOAK_RAW_CALLER_H
 
@@ -17,11 +18,11 @@
   RawCaller(const RawCaller &) = delete;
   RawCaller &operator=(const RawCaller &) = delete;
 
-  /// Starts a call, on a kept connection if there is one and the call allows
-  /// it; the result fills while the loop runs.
+  /// Starts a call, on an idle connection if there is one and the call allows
+  /// reuse; the result is filled while the main loop runs.
   std::shared_ptr<const test::Told> start(const test::Call &Request);
 
-  /// Closes all connections, those of calls under way too.
+  /// Closes all connections, idle or in use; open calls end as broken.
   void hangUp();
 
 private:
@@ -34,8 +35,9 @@
   void finish(const std::shared_ptr<Flight> &Exchange, bool Complete);
   void arm(const std::shared_ptr<Flight> &Exchange, Duration Limit);
 
-  std::map<Address, std::list<std::shared_ptr<Connection>>> m_Kept; ///< Idle.
-  std::set<std::shared_ptr<Flight>> m_Flights; ///< Calls under way.
+  std::map<Address, std::list<std::shared_ptr<Connection>>>
+      m_Kept;                                  ///< By peer.
+  std::set<std::shared_ptr<Flight>> m_Flights; ///< Not ended.
 };
 
 } // namespace crowstep::soak
--- a/tests/soak/schedule.cpp
+++ b/tests/soak/schedule.cpp
@@ -45,11 +45,11 @@
 
 constexpr std::uint64_t PlannedOnlyEvery = 4;
 
-/// Of a trouble that lasts.
+/// Range of a fault's duration.
 constexpr std::int64_t MinDurationMs = 300;
 constexpr std::int64_t MaxDurationMs = 3000;
 
-/// Between the troubles of a series, and between series.
+/// Longest gaps between the faults of a series, and between series.
 constexpr std::int64_t MaxGapInSeriesMs = 150;
 constexpr std::int64_t MaxGapBetweenSeriesMs = 1800;
 
@@ -76,7 +76,8 @@
 std::vector<Fault> makeSchedule(std::uint64_t Seed, Duration Length,
                                 std::optional<FaultKind> OnlyKind) {
   std::mt19937_64 Random(Seed);
-  // Standard distributions differ between libraries; a remainder doesn't.
+  // Standard distributions differ between libraries; a remainder doesn't, so
+  // that a seed gives the same schedule everywhere.
   const auto DrawBelow = [&](std::uint64_t Limit) {
     return static_cast<std::int64_t>(Random() % Limit);
   };
--- a/tests/soak/schedule.h
+++ b/tests/soak/schedule.h
@@ -1,4 +1,4 @@
-/// Which troubles come when: made from a seed alone.
+/// The schedule of faults, made from a seed alone.
 #ifndef CROWSTEP_TESTS_SOAK_SCHEDULE_H
 #define CROWSTEP_TESTS_SOAK_SCHEDULE_H
 
@@ -12,60 +12,62 @@
 
 namespace crowstep::soak {
 
-/// Kinds of troubles.
+/// Kinds of faults.
 enum class FaultKind : std::uint8_t {
-  GatewayTerm,        ///< SIGTERM; started again after its end.
-  GatewayKill,        ///< SIGKILL; started again.
+  GatewayTerm,        ///< SIGTERM; restarted once it has exited.
+  GatewayKill,        ///< SIGKILL; restarted.
   GatewayFreeze,      ///< SIGSTOP, later SIGCONT.
-  GatewayHangUp,      ///< Settings are written anew, SIGHUP.
+  GatewayHangUp,      ///< SIGHUP after its settings are rewritten.
   AllGatewaysKill,    ///< SIGKILL of all at once.
   UpstreamBusy,       ///< See Trouble.
   UpstreamErrors,     ///< See Trouble.
   UpstreamCuts,       ///< See Trouble.
   UpstreamLost,       ///< See Trouble.
   UpstreamMute,       ///< See Trouble.
-  AllUpstreamsErrors, ///< The same, all of them.
-  UpstreamCrash,      ///< Gone without a word, later back as a new start.
-  UpstreamRelease,    ///< Leaves as announced, later back as a new start.
+  AllUpstreamsErrors, ///< UpstreamErrors at every upstream.
+  UpstreamCrash,      ///< Stops without draining; restarted later.
+  UpstreamRelease,    ///< Drains or is removed; restarted later.
   PathReset,          ///< Connections to one upstream are reset.
-  PathSilent,         ///< One upstream's connections go silent.
-  PathOneWay,         ///< Nothing reaches one upstream; its answers come.
-  PathSlow,           ///< Bytes to and from one upstream are late.
+  PathSilent,         ///< One upstream's connections fall silent.
+  PathOneWay,         ///< One upstream receives nothing; its answers pass.
+  PathSlow,           ///< Bytes to and from one upstream are delayed.
   StoreBusy,          ///< The store answers 503.
-  StoreSilent,        ///< The store takes calls and says nothing.
+  StoreSilent,        ///< The store accepts calls and doesn't answer.
   StoreCut,           ///< One gateway can't reach the store.
-  StoreSlow,          ///< The store's answers to one gateway are late.
-  StoreOldCopy,       ///< A change, lost history, and reads from before it.
+  StoreSlow,          ///< One gateway's path to the store is delayed.
+  StoreOldCopy,       ///< Reads from before a change; history is lost.
   StoreForgets,       ///< The store drops its history.
-  TableChange,        ///< A new table: one route goes, one comes.
-  CallersLeave,       ///< All callers hang up.
+  TableChange,        ///< A new table: one route removed, one added.
+  CallersLeave,       ///< All callers close their connections.
   Count,              ///< Number of kinds; not a kind.
 };
 
-/// Returns the stable name, such as "gateway-kill".
+/// Returns the name that options and output use, such as "gateway-kill".
 std::string_view nameOf(FaultKind Kind);
 
+/// One scheduled fault.
 struct Fault {
-  Duration m_At{};                           ///< From the start of the load.
-  FaultKind m_Kind = FaultKind::GatewayTerm; ///< What.
-  unsigned m_Which = 0; ///< Gateway or upstream, modulo their number.
-  Duration m_Span{};    ///< Until it ends, where it lasts.
+  Duration m_At{};                           ///< Since the start of the load.
+  FaultKind m_Kind = FaultKind::GatewayTerm; ///< Which fault.
+  unsigned m_Which = 0; ///< Of gateway or upstream, modulo their count.
+  Duration m_Span{};    ///< Until it ends; some kinds don't last.
 };
 
-/// Returns the troubles of \p Seed within \p Span, in order. They come in
-/// series and overlap; every fourth seed plays only planned work, in which
-/// nothing may be cut. With \p Only all are of that kind.
+/// Returns the faults of \p Seed that begin within \p Length, in order. They
+/// come in series of one kind and overlap. Every fourth seed plays only planned
+/// work, during which no request may be cut. With \p OnlyKind all faults are of
+/// that kind.
 std::vector<Fault> makeSchedule(std::uint64_t Seed, Duration Length,
                                 std::optional<FaultKind> OnlyKind = {});
 
-/// Returns the kind of that name, or nothing.
+/// Returns the kind named \p Name, or nothing.
 std::optional<FaultKind> faultKindOf(const std::string &Name);
 
 /// Returns whether \p Seed plays only planned work.
 bool isCalm(std::uint64_t Seed);
 
-/// Returns whether, beside the schedule of \p Seed, a request comes again and
-/// again that crashes the upstreams that run it.
+/// Returns whether a request that crashes the upstreams that run it is sent
+/// repeatedly, beside the schedule of \p Seed.
 bool hasCrashingRequest(std::uint64_t Seed);
 
 } // namespace crowstep::soak
--- a/tests/soak/soak_faults.cpp
+++ b/tests/soak/soak_faults.cpp
@@ -1,4 +1,4 @@
-/// How each trouble is made.
+/// How each kind of fault is injected.
 #include "soak/soak_fleet.h"
 
 #include <csignal>
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// A leaving upstream serves on for this long after its row said so.
+/// A draining upstream's row is removed this long after the upstream was listed
+/// as draining; the upstream itself serves on a little longer.
 constexpr Duration DrainTime = 2500ms;
 
 constexpr Duration PathDelay = 120ms;
@@ -85,8 +86,8 @@
   }
 }
 
-/// Callers go on using their connections; new ones come until the probes have
-/// seen the stop.
+/// Callers keep using their connections and open new ones until a readiness
+/// probe fails.
 void SoakFleet::stopGateway(Place &Gateway) {
   if (Gateway.m_Stopping)
     return;
@@ -104,7 +105,7 @@
     return;
   }
   if (Played.m_Kind == FaultKind::UpstreamRelease) {
-    // Some never say that they leave: their row just goes.
+    // About half are removed without having been listed as draining.
     const bool IsAnnounced = Played.m_Which / m_Seats.size() % 2 == 0;
     list(Upstream, IsAnnounced ? "draining" : "");
     Upstream.m_Upstream->leave();
@@ -134,7 +135,7 @@
   });
 }
 
-/// Takes a leaving upstream away, and brings a new start of it.
+/// Removes a draining upstream after a while and starts a new incarnation.
 void SoakFleet::replace(Seat &Upstream, Duration After) {
   const std::string Name = Upstream.m_Upstream->name();
   const auto IsSameIncarnation = [&Upstream, Name] {
@@ -145,7 +146,7 @@
     if (IsSameIncarnation())
       list(Upstream, "");
   });
-  // A little longer than any answer takes.
+  // It serves on for a little longer than any answer takes.
   later(After + 1500ms, [this, &Upstream, IsSameIncarnation] {
     if (!IsSameIncarnation())
       return;
--- a/tests/soak/soak_fleet.cpp
+++ b/tests/soak/soak_fleet.cpp
@@ -1,4 +1,4 @@
-/// The fleet and its load.
+/// The fleet, its load and its readiness probes.
 #include "soak/soak_fleet.h"
 
 #include "core/error.h"
@@ -14,28 +14,30 @@
 
 namespace {
 
-/// The bound within which service is back after the last trouble, and the share
-/// that must then be served.
+/// Service must have recovered this long after the last fault: of the requests
+/// of a window, more than this share must be served.
 constexpr Duration RecoveryLimit = 12s;
 constexpr double RecoveredShare = 0.95;
 constexpr Duration RecoveryWindow = 1500ms;
 
 constexpr Duration LoadStep = 20ms;
 
-/// A crashing request, its run, and the row of what it crashed.
+/// Interval of the crashing request, time from its start at an upstream to the
+/// crash, and time that the crashed upstream's row stays in the store.
 constexpr Duration CrashingInterval = 300ms;
 constexpr Duration CrashTime = 30ms;
 constexpr Duration CrashedRowTime = 500ms;
 
-/// The driver judges by its own clock, and shares the machine with all it runs.
+/// Tolerance for delays of the driver, which checks by its own clock and shares
+/// the machine with the processes under test.
 constexpr std::chrono::milliseconds DriverSlack{500};
 
-/// Routes, besides those that come and go with tables.
+/// The routes in every table; each table has one more of its own.
 struct RouteRow {
-  Kind m_Kind;        ///< What callers expect.
-  const char *m_Path; ///< Its prefix.
-  const char *m_Name; ///< As the platform calls the kind.
-  int m_TimeoutMs;    ///< Its time.
+  Kind m_Kind;        ///< For the checks.
+  const char *m_Path; ///< Prefix of paths.
+  const char *m_Name; ///< The table's routeKind.
+  int m_TimeoutMs;    ///< Time-out of a request.
   bool m_Resumable;   ///< Streams only.
 };
 constexpr std::array Routes = {
@@ -72,7 +74,7 @@
       m_StoreAt(loopback(test::freePort())), m_Calm(isCalm(Plan.m_Seed)) {
   m_Store.listen(m_StoreAt);
   putTable();
-  // Upstreams hold references to their seats.
+  // Elements must not move: upstreams' callbacks refer to them.
   m_Seats.reserve(static_cast<std::size_t>(Plan.m_Upstreams));
   for (int I = 0; I < Plan.m_Upstreams; ++I) {
     Seat Upstream;
@@ -118,7 +120,8 @@
       15s);
 }
 
-/// Asks for readiness once; the answer counts from the next time on.
+/// Probes readiness once, waits for the answer and returns whether the gateway
+/// is ready.
 bool SoakFleet::poll(Place &Gateway) {
   test::Call Probe = readinessCall(Gateway.m_At);
   Probe.m_Limit = 500ms;
@@ -162,7 +165,7 @@
   m_Ledger.tableChanged(m_TableVersion, m_Clock.fresh());
 }
 
-// ---- Load -------------------------------------------------------------------
+// Load
 
 void SoakFleet::callOnce() {
   std::vector<Place *> Ready;
@@ -183,7 +186,7 @@
   test::Call Request;
   Request.m_Path = Route.m_Path + Id;
   if (m_Random() % TableProbeEvery == 0) {
-    // The newest table's route, or the one before that it took away.
+    // The newest table's own route, or the previous one's, which it removed.
     Record.m_TableVersion =
         std::max(1U, m_TableVersion - static_cast<unsigned>(m_Random() % 2));
     Record.m_Kind = Kind::Again;
@@ -199,7 +202,8 @@
   m_Ledger.asked(Id, std::move(Record));
 }
 
-/// The same request each time, at any gateway.
+/// Sends the same request each time, to the gateway that the number of requests
+/// so far selects; sends none while that gateway isn't ready.
 void SoakFleet::sendCrashing() {
   const auto Target = std::find_if(
       m_Places.begin(), m_Places.end(), [this](const Place &Gateway) {
@@ -233,7 +237,8 @@
   takeDown(Upstream, CrashedRowTime, 2 * CrashedRowTime);
 }
 
-/// Its row stays for a while, as an engine's that went without a word.
+/// Stops an upstream without draining. Its row stays for a while, as that of an
+/// engine that has crashed.
 void SoakFleet::takeDown(Seat &Upstream, Duration RowTime,
                          Duration RestartTime) {
   const std::string Name = Upstream.m_Upstream->name();
@@ -259,8 +264,8 @@
   m_Timers.after(After, std::move(Job));
 }
 
-/// The store and the operator live in the driver: while it doesn't run, on a
-/// machine that is too busy, the store says nothing to anybody.
+/// The store and the operator run in the driver's process: while that gets no
+/// processor time on a busy machine, the store answers nobody.
 void SoakFleet::noteStall(TimePoint LastStep) {
   if (m_Clock.now() - LastStep > DriverSlack)
     m_Ledger.stalled(LastStep, m_Clock.now());
@@ -285,8 +290,8 @@
     m_Ledger.judge();
     reapAll();
   };
-  // As the platform does: two misses take a gateway out, one answer brings it
-  // back. Here a miss is enough.
+  // The platform removes a gateway after two failed probes and adds it again
+  // after one answer. Here one failed probe is enough.
   std::function<void()> ProbeAll = [&] {
     ProbeTimer.start(500ms, ProbeAll);
     for (Place &Gateway : m_Places) {
@@ -311,7 +316,7 @@
   const TimePoint FaultsEnded = m_Clock.fresh();
   const bool Recovered = test::runUntil(
       [&] {
-        // A call has a second and a half to end.
+        // Requests get 1.5 s to end.
         const TimePoint To = m_Clock.fresh() - 1500ms;
         return To - RecoveryWindow > FaultsEnded &&
                m_Ledger.servedShare(To - RecoveryWindow, To) > RecoveredShare;
--- a/tests/soak/soak_fleet.h
+++ b/tests/soak/soak_fleet.h
@@ -1,4 +1,5 @@
-/// The fleet under soak: real gateways between stand-ins, and their callers.
+/// The fleet under test: real gateway processes between stand-ins of callers,
+/// upstreams and the store.
 #ifndef CROWSTEP_TESTS_SOAK_SOAK_FLEET_H
 #define CROWSTEP_TESTS_SOAK_SOAK_FLEET_H
 
@@ -13,13 +14,13 @@
 
 namespace crowstep::soak {
 
-/// How large the fleet is.
+/// Size of the fleet, and its seed.
 struct FleetPlan {
-  std::uint64_t m_Seed = 1;   ///< Of everything that is by chance.
+  std::uint64_t m_Seed = 1;   ///< Of all random draws.
   int m_Gateways = 4;         ///< Processes.
   int m_Upstreams = 5;        ///< Stand-ins.
-  int m_CallsPerSecond = 150; ///< Of all callers.
-  std::string m_Keep;         ///< Logs are copied here on a violation.
+  int m_CallsPerSecond = 150; ///< Requests of all callers.
+  std::string m_Keep;         ///< For logs after a violation; may be empty.
 };
 
 class SoakFleet {
@@ -32,34 +33,35 @@
   /// Starts the gateways; returns whether all became ready.
   bool start();
 
-  /// Plays \p Faults under load, then lets the fleet recover.
+  /// Plays \p Faults under load, for \p Length or as long as they last, then
+  /// lets the fleet recover.
   void play(const std::vector<Fault> &Faults, Duration Length);
 
   [[nodiscard]] Ledger &ledger() { return m_Ledger; }
 
-  /// Copies the gateways' logs.
+  /// Copies the gateways' settings and logs to the plan's folder.
   void keepLogs() const;
 
 private:
-  /// One gateway's place; processes come and go there.
+  /// One gateway, over all incarnations of its process.
   struct Place {
     int m_Number = 0;                         ///< From 0.
-    test::GatewayPlace m_At;                  ///< Addresses and bounds.
-    std::unique_ptr<test::Relay> m_ToStore;   ///< Its way to the store.
-    std::unique_ptr<test::Process> m_Process; ///< Null between starts.
+    test::GatewayPlace m_At;                  ///< Addresses and limits.
+    std::unique_ptr<test::Relay> m_ToStore;   ///< In front of the store.
+    std::unique_ptr<test::Process> m_Process; ///< Null while down.
     unsigned m_Lifetime = 0;                  ///< Starts so far.
-    bool m_TakesCalls = false;                ///< Callers choose it.
+    bool m_TakesCalls = false;                ///< Callers send requests to it.
     bool m_Stopping = false;                  ///< After SIGTERM.
     bool m_Frozen = false;                    ///< After SIGSTOP.
     TimePoint m_StartedAt;                    ///< Of m_Process.
   };
 
-  /// One upstream's place; starts of it come and go there.
+  /// One upstream, over all its incarnations.
   struct Seat {
     int m_Number = 0;                         ///< From 0.
-    Address m_Real;                           ///< Where it listens.
-    std::unique_ptr<test::Relay> m_Way;       ///< Where gateways reach it.
-    std::unique_ptr<SoakUpstream> m_Upstream; ///< Null while it is gone.
+    Address m_Real;                           ///< It listens here.
+    std::unique_ptr<test::Relay> m_Way;       ///< In front of it, for gateways.
+    std::unique_ptr<SoakUpstream> m_Upstream; ///< Null while down.
     unsigned m_Lifetime = 0;                  ///< Starts so far.
   };
 
@@ -84,20 +86,20 @@
   void later(Duration After, std::function<void()> Job);
   void reapAll();
 
-  FleetPlan m_Plan;               ///< As given.
-  std::mt19937_64 m_Random;       ///< Of the load.
-  LoopClock m_Clock;              ///< Of the driver.
-  LoopScheduler m_Timers;         ///< Of the driver.
-  Ledger m_Ledger;                ///< What happened.
+  FleetPlan m_Plan;               ///< Size and seed.
+  std::mt19937_64 m_Random;       ///< For load and upstreams' seeds.
+  LoopClock m_Clock;              ///< The driver's.
+  LoopScheduler m_Timers;         ///< The driver's.
+  Ledger m_Ledger;                ///< Records and checks.
   test::TemporaryFolder m_Folder; ///< Settings and logs.
-  standin::StoreServer m_Store;   ///< The platform's.
-  Address m_StoreAt;              ///< Where it listens.
-  std::vector<Place> m_Places;    ///< All gateways.
-  std::vector<Seat> m_Seats;      ///< All upstreams.
-  RawCaller m_Callers;            ///< All callers.
-  test::Caller m_Probe;           ///< The platform, for readiness.
-  unsigned m_TableVersion = 0;    ///< In the store.
-  std::uint64_t m_LastCall = 0;   ///< Ids of calls.
+  standin::StoreServer m_Store;   ///< The store.
+  Address m_StoreAt;              ///< Of m_Store.
+  std::vector<Place> m_Places;    ///< By number.
+  std::vector<Seat> m_Seats;      ///< By number.
+  RawCaller m_Callers;            ///< Sends the load.
+  test::Caller m_Probe;           ///< Probes readiness.
+  unsigned m_TableVersion = 0;    ///< Newest in the store.
+  std::uint64_t m_LastCall = 0;   ///< Of request ids.
   bool m_Calm = false;            ///< Only planned work is played.
 };
 
--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -1,4 +1,5 @@
-/// Real gateways under randomized faults: soak --seed N --seconds S.
+/// Runs real gateway processes under randomized faults and checks their
+/// guarantees: crowstep-soak --seed N --seconds S.
 #include "core/error.h"
 #include "core/program.h"
 #include "soak/soak_fleet.h"
@@ -14,10 +15,10 @@
 
 struct Options {
   std::uint64_t m_Seed = 0;            ///< Of the first round.
-  Duration m_TotalTime{};              ///< Rounds are begun for this long.
-  std::optional<FaultKind> m_OnlyKind; ///< One kind of faults.
-  Duration m_RoundLength{};            ///< Faults of a round.
-  FleetPlan m_Fleet;                   ///< Its size.
+  Duration m_TotalTime{};              ///< Rounds start for this long; 0: one.
+  std::optional<FaultKind> m_OnlyKind; ///< Empty: all kinds.
+  Duration m_RoundLength{}; ///< Faults of a round start for this long.
+  FleetPlan m_Fleet;        ///< Its seed is set by round.
 };
 
 Options parse(int Argc, char **Argv) {
@@ -57,7 +58,7 @@
   return Result;
 }
 
-/// Plays one seed; returns whether every promise was kept.
+/// Plays one seed; returns whether all checks passed.
 bool playRound(const Options &Chosen, std::uint64_t Seed) {
   FleetPlan Plan = Chosen.m_Fleet;
   Plan.m_Seed = Seed;
--- a/tests/soak/soak_upstream.cpp
+++ b/tests/soak/soak_upstream.cpp
@@ -1,4 +1,4 @@
-/// An upstream with troubles.
+/// The upstream and its faults.
 #include "soak/soak_upstream.h"
 
 #include <cstdlib>
@@ -12,25 +12,25 @@
 constexpr unsigned HttpMisdirected = 421;
 constexpr unsigned HttpUnavailable = 503;
 
-/// Between events, and before a plain answer.
+/// Interval between events, and delay of a plain answer.
 constexpr unsigned StepIntervalMs = 15;
 
-/// A trouble takes every so many calls.
+/// One in this many requests is affected by a fault, on average.
 constexpr unsigned FaultEvery = 3;
 
 } // namespace
 
-/// One answer under way.
+/// An answer that is being sent.
 struct SoakUpstream::Answer {
   explicit Answer(SoupServerMessage *Message) : m_Held(Message) {}
 
   SoakUpstream *m_Owner = nullptr;   ///< Outlives it.
   HeldAnswer m_Held;                 ///< Towards the gateway.
-  std::string m_Id;                  ///< The call's.
-  bool m_Stream = false;             ///< Events, or one body.
-  int m_Next = 1;                    ///< The next event.
-  int m_Steps = 0;                   ///< So far.
-  Trouble m_Trouble = Trouble::None; ///< That takes it.
+  std::string m_Id;                  ///< X-Attempt-Id of the request.
+  bool m_Stream = false;             ///< Events; else one body.
+  int m_Next = 1;                    ///< Id of the next event.
+  int m_Steps = 0;                   ///< Steps done.
+  Trouble m_Trouble = Trouble::None; ///< That affects it.
 };
 
 SoakUpstream::SoakUpstream(std::string Name, Address Listen, Ledger &Runs,
@@ -98,10 +98,10 @@
   return G_SOURCE_REMOVE;
 }
 
-/// Does the next part of an answer; returns whether it was the last.
+/// Sends the next piece of an answer; returns whether the answer has ended.
 bool SoakUpstream::step(Answer &Open) {
   if (Open.m_Trouble == Trouble::Mute)
-    return false; // Until the caller has had enough.
+    return false; // Stays open until the caller closes.
   if (Open.m_Trouble == Trouble::AnswerLost) {
     Open.m_Held.cut();
     return true;
@@ -118,9 +118,10 @@
   return sendNext(Open);
 }
 
-/// Sends an event or a body, or cuts; returns whether that was the last.
+/// Sends an event or a body, or closes the connection; returns whether the
+/// answer has ended.
 bool SoakUpstream::sendNext(Answer &Open) {
-  // What was sent must have left before the cut.
+  // Closing later than the first piece leaves time for it to be written.
   constexpr int StepsBeforeClose = 2;
   const bool Cuts = Open.m_Trouble == Trouble::Cuts;
   if (Cuts && Open.m_Steps > StepsBeforeClose) {
--- a/tests/soak/soak_upstream.h
+++ b/tests/soak/soak_upstream.h
@@ -1,5 +1,5 @@
 /// A stand-in for an upstream that speaks the platform's published protocol,
-/// keeps a ledger of its runs and has troubles.
+/// records its runs in the ledger and can be made to fail.
 #ifndef CROWSTEP_TESTS_SOAK_SOAK_UPSTREAM_H
 #define CROWSTEP_TESTS_SOAK_SOAK_UPSTREAM_H
 
@@ -12,22 +12,23 @@
 
 namespace crowstep::soak {
 
-/// What is wrong with an upstream.
+/// Faults of an upstream. Each but None affects a random share of its requests.
 enum class Trouble : std::uint8_t {
-  None,       ///< Nothing.
-  Busy,       ///< It has no room: says that it did not run the call.
-  Errors,     ///< Some of its answers are 500.
-  Cuts,       ///< It breaks off some of its answers.
-  AnswerLost, ///< It runs some calls and closes without an answer.
-  Mute,       ///< It runs some calls and says nothing.
+  None,       ///< Works as it should.
+  Busy,       ///< Answers 503, marked as not executed.
+  Errors,     ///< Runs the request and answers 500.
+  Cuts,       ///< Closes the connection amid the answer.
+  AnswerLost, ///< Runs the request, closes without an answer.
+  Mute,       ///< Runs the request and never answers.
 };
 
-/// A request with this body crashes the upstream that runs it.
+/// Body of a request that crashes the upstream that runs it.
 inline constexpr const char *CrashingBody = "crash";
 
 class SoakUpstream {
 public:
-  /// \p OnCrash is called as a crashing request begins to run.
+  /// \p OnCrash is called as a crashing request starts to run. \p Name names
+  /// this incarnation.
   SoakUpstream(std::string Name, Address Listen, Ledger &Runs,
                const Clock &Time, std::uint64_t Seed,
                std::function<void()> OnCrash);
@@ -37,7 +38,7 @@
 
   void setTrouble(Trouble Next) { m_Trouble = Next; }
 
-  /// Says from now on that it closes its connections.
+  /// Answers with Connection: close from now on.
   void leave() { m_Leaving = true; }
 
   [[nodiscard]] const std::string &name() const { return m_Name; }
@@ -53,13 +54,13 @@
   void fillHeaders(const Answer &Open) const;
   bool happens();
 
-  std::string m_Name;                  ///< Of this start.
+  std::string m_Name;                  ///< Of this incarnation.
   Ledger &m_Ledger;                    ///< Outlives it.
   const Clock &m_Clock;                ///< Outlives it.
-  std::mt19937_64 m_Random;            ///< Seeded.
-  Trouble m_Trouble = Trouble::None;   ///< Now.
+  std::mt19937_64 m_Random;            ///< Decides about faults.
+  Trouble m_Trouble = Trouble::None;   ///< Currently.
   bool m_Leaving = false;              ///< See leave().
-  std::map<Answer *, unsigned> m_Open; ///< Answers and their timers.
+  std::map<Answer *, unsigned> m_Open; ///< With their timers.
   std::function<void()> m_OnCrash;     ///< Never empty.
   HttpServer m_Server;                 ///< Towards gateways.
 };
