--- a/tests/soak/ledger.h
+++ b/tests/soak/ledger.h
@@ -139,12 +139,12 @@
   std::map<std::string, Asked> m_Calls;       ///< By X-Attempt-Id.
   std::map<std::string, int> m_Arrivals;      ///< By X-Attempt-Id.
   std::vector<TimePoint> m_Again;             ///< Arrivals after the first.
-  std::vector<TimePoint> m_CrashesKnown;      ///< See crashed().
+  std::vector<TimePoint> m_CrashesKnown;      ///< See recordCrash().
   std::map<std::string, TimePoint> m_Leaving; ///< By upstream's name.
   std::map<unsigned, TimePoint> m_Tables;     ///< By version.
-  Spans m_Blind;                              ///< See blind().
-  std::vector<Duration> m_Stalled;            ///< See stalled().
-  std::vector<CalmStop> m_CalmStops;          ///< See calmStop().
+  Spans m_Blind;                              ///< See excuseStaleness().
+  std::vector<Duration> m_Stalled;            ///< See recordDriverStall().
+  std::vector<CalmStop> m_CalmStops;          ///< See recordPlannedStop().
   /// The newest table observed in force and since when, by gateway and its
   /// incarnation.
   std::map<std::pair<int, unsigned>, std::pair<unsigned, TimePoint>> m_Newest;
--- a/tests/soak/schedule.h
+++ b/tests/soak/schedule.h
@@ -19,11 +19,11 @@
   GatewayFreeze,      ///< SIGSTOP, later SIGCONT.
   GatewayHangUp,      ///< SIGHUP after its settings are rewritten.
   AllGatewaysKill,    ///< SIGKILL of all at once.
-  UpstreamBusy,       ///< See Trouble.
-  UpstreamErrors,     ///< See Trouble.
-  UpstreamCuts,       ///< See Trouble.
-  UpstreamLost,       ///< See Trouble.
-  UpstreamMute,       ///< See Trouble.
+  UpstreamBusy,       ///< See UpstreamFault.
+  UpstreamErrors,     ///< See UpstreamFault.
+  UpstreamCuts,       ///< See UpstreamFault.
+  UpstreamLost,       ///< See UpstreamFault.
+  UpstreamMute,       ///< See UpstreamFault.
   AllUpstreamsErrors, ///< UpstreamErrors at every upstream.
   UpstreamCrash,      ///< Stops without draining; restarted later.
   UpstreamRelease,    ///< Drains or is removed; restarted later.
--- a/tests/soak/soak_upstream.h
+++ b/tests/soak/soak_upstream.h
@@ -59,7 +59,7 @@
   const Clock &m_Clock;                ///< Outlives it.
   std::mt19937_64 m_Random;            ///< Decides about faults.
   Trouble m_Trouble = Trouble::None;   ///< Currently.
-  bool m_Leaving = false;              ///< See leave().
+  bool m_Leaving = false;              ///< See startDraining().
   std::map<Answer *, unsigned> m_Open; ///< With their timers.
   std::function<void()> m_OnCrash;     ///< Never empty.
   HttpServer m_Server;                 ///< Towards gateways.
