--- a/tests/soak/ledger.cpp
+++ b/tests/soak/ledger.cpp
@@ -146,8 +146,8 @@
     Newest = {Request.m_TableVersion, Request.m_At + Request.m_Told->m_Elapsed};
 }
 
-/// Around a stop without other faults every request that an upstream has
-/// started to run must get a complete answer.
+/// Around a stop in a round of planned work only, every request that an
+/// upstream has started to run must get a complete answer.
 void Ledger::judgeStops(const std::string &Id, const Asked &Request) {
   const TimePoint End = Request.m_At + Request.m_Told->m_Elapsed;
   for (const CalmStop &Stop : m_CalmStops) {
--- a/tests/soak/ledger.h
+++ b/tests/soak/ledger.h
@@ -85,7 +85,7 @@
     m_Stalled.push_back(To - From);
   }
 
-  /// Records that a gateway was told to stop while no other fault is played.
+  /// Records that a gateway was told to stop in a round of planned work only.
   void calmStop(int Gateway, TimePoint From, TimePoint To) {
     m_CalmStops.push_back({Gateway, From, To});
   }
