--- a/tests/process/caller.h
+++ b/tests/process/caller.h
@@ -55,14 +55,14 @@
   Caller &operator=(const Caller &) = delete;
 
   /// Starts a call; the result fills while the loop runs.
-  std::shared_ptr<const Told> start(const Call &What);
+  std::shared_ptr<const Told> start(const Call &Request);
 
   /// Makes a call and waits for its end.
-  Told call(const Call &What);
+  Told call(const Call &Request);
 
   /// Makes a call to a stand-in or an administration API and returns its JSON
   /// answer, or null.
-  nlohmann::json json(const std::string &Method, const Address &Where,
+  nlohmann::json json(const std::string &Method, const Address &Server,
                       const std::string &Path,
                       const nlohmann::json &Body = nullptr,
                       const std::string &Key = {});
--- a/tests/process/fleet.cpp
+++ b/tests/process/fleet.cpp
@@ -26,7 +26,7 @@
 constexpr const char *OperatorKey = "operator-key";
 constexpr std::uint32_t Loopback = 0x7f000001;
 
-Address freshAddress() { return {Loopback, freePort()}; }
+Address freeAddress() { return {Loopback, freePort()}; }
 
 json workspaceRow(int Id, const std::string &Name, const std::string &Key,
                   bool Operator) {
@@ -46,15 +46,15 @@
 } // namespace
 
 Fleet::Fleet(FleetPlan Plan)
-    : m_Plan(std::move(Plan)), m_PlatformAddress(freshAddress()) {
+    : m_Plan(std::move(Plan)), m_PlatformAddress(freeAddress()) {
   planUpstreams();
   for (std::size_t Index = 1; Index <= m_Plan.m_Instances; ++Index) {
-    TestInstance Each;
-    Each.m_Name = "crowstep-" + std::to_string(Index);
-    Each.m_Link = freshAddress();
-    Each.m_Admin = freshAddress();
-    Each.m_Callers = freshAddress();
-    m_Instances.push_back(std::move(Each));
+    TestInstance Instance;
+    Instance.m_Name = "crowstep-" + std::to_string(Index);
+    Instance.m_Link = freeAddress();
+    Instance.m_Admin = freeAddress();
+    Instance.m_Callers = freeAddress();
+    m_Instances.push_back(std::move(Instance));
   }
 }
 
@@ -63,10 +63,10 @@
 void Fleet::planUpstreams() {
   const auto Add = [this](const std::string &Service, std::size_t Count) {
     for (std::size_t Index = 1; Index <= Count; ++Index) {
-      const Address Where = freshAddress();
+      const Address Listen = freeAddress();
       m_UpstreamList.push_back(
-          {Service + "-" + std::to_string(Index), Service, Where,
-           m_Plan.m_CanCutUpstreams ? std::make_unique<Relay>(Where)
+          {Service + "-" + std::to_string(Index), Service, Listen,
+           m_Plan.m_CanCutUpstreams ? std::make_unique<Relay>(Listen)
                                     : nullptr});
     }
   };
@@ -79,22 +79,23 @@
       contract::readCsv(m_Plan.m_Table.empty() ? DefaultTable : m_Plan.m_Table);
   Table.m_Version = TableVersion(1);
   json Instances = json::array();
-  for (const TestInstance &Each : m_Instances)
-    Instances.push_back({{"name", Each.m_Name},
-                         {"link", toString(Each.m_Link)},
+  for (const TestInstance &Instance : m_Instances)
+    Instances.push_back({{"name", Instance.m_Name},
+                         {"link", toString(Instance.m_Link)},
                          {"zone", "njiro"},
                          {"leaving", false}});
   json Upstreams = json::array();
-  for (const TestUpstream &Each : m_UpstreamList) {
-    const bool IsEngine = Each.m_Service == "writer";
-    json Row = {{"name", Each.m_Name},
-                {"service", Each.m_Service},
-                {"address", toString(Each.m_Relay ? Each.m_Relay->address()
-                                                  : Each.m_Address)},
-                {"zone", "njiro"},
-                {"leaving", false},
-                {"kind", IsEngine ? "engine" : "service"},
-                {"slots", IsEngine ? m_Plan.m_Slots : 32}};
+  for (const TestUpstream &Upstream : m_UpstreamList) {
+    const bool IsEngine = Upstream.m_Service == "writer";
+    json Row = {
+        {"name", Upstream.m_Name},
+        {"service", Upstream.m_Service},
+        {"address", toString(Upstream.m_Relay ? Upstream.m_Relay->address()
+                                              : Upstream.m_Address)},
+        {"zone", "njiro"},
+        {"leaving", false},
+        {"kind", IsEngine ? "engine" : "service"},
+        {"slots", IsEngine ? m_Plan.m_Slots : 32}};
     if (IsEngine)
       Row.update(
           {{"models", {"m"}}, {"can_resume", true}, {"checks_fencing", true}});
@@ -103,8 +104,8 @@
   // Voters as after the first seconds of a fleet; without them an outage of the
   // table service in those seconds ends every right to serve.
   json Document = json::parse(contract::writeJson(Table));
-  for (const TestInstance &Each : m_Instances)
-    Document["voters"].push_back(Each.m_Name);
+  for (const TestInstance &Instance : m_Instances)
+    Document["voters"].push_back(Instance.m_Name);
   const json Workspaces = {workspaceRow(1, "first", WorkspaceKey, false),
                            workspaceRow(2, "second", OtherWorkspaceKey, false),
                            workspaceRow(1000, "operator", OperatorKey, true)};
@@ -127,13 +128,13 @@
 void Fleet::startUpstreams() {
   std::string Text;
   std::size_t Number = 0;
-  for (const TestUpstream &Each : m_UpstreamList) {
-    const bool IsEngine = Each.m_Service == "writer";
+  for (const TestUpstream &Upstream : m_UpstreamList) {
+    const bool IsEngine = Upstream.m_Service == "writer";
     Text +=
         section((IsEngine ? "engine-" : "service-") + std::to_string(++Number));
-    Text += setting("name", Each.m_Name);
-    Text += setting("listen", toString(Each.m_Address));
-    Text += setting("service", Each.m_Service);
+    Text += setting("name", Upstream.m_Name);
+    Text += setting("listen", toString(Upstream.m_Address));
+    Text += setting("service", Upstream.m_Service);
     if (IsEngine)
       Text += setting("slots", std::to_string(m_Plan.m_Slots)) +
               m_Plan.m_EngineSettings;
@@ -145,40 +146,43 @@
 }
 
 void Fleet::startInstance(std::size_t Index) {
-  TestInstance &Each = m_Instances.at(Index);
-  const std::string Run = "-" + std::to_string(++m_Starts);
-  const std::string Who = section("instance") + setting("name", Each.m_Name) +
-                          setting("zone", "njiro");
-  const std::string Key = section("link") + setting("key", LinkKey);
-  std::string Homes = toString(Each.m_Link);
+  TestInstance &Instance = m_Instances.at(Index);
+  const std::string StartSuffix = "-" + std::to_string(++m_StartCount);
+  const std::string InstanceSection = section("instance") +
+                                      setting("name", Instance.m_Name) +
+                                      setting("zone", "njiro");
+  const std::string LinkSection = section("link") + setting("key", LinkKey);
+  std::string Dispatchers = toString(Instance.m_Link);
   for (const TestInstance &Other : m_Instances)
-    if (Other.m_Name != Each.m_Name)
-      Homes += ";" + toString(Other.m_Link);
-  Each.m_Dispatcher = std::make_unique<Process>(
-      m_Folder, "crowstep-dispatcher", "dispatcher-" + Each.m_Name + Run,
-      Who + section("dispatcher") +
-          setting("link_listen", toString(Each.m_Link)) +
-          setting("admin_listen", toString(Each.m_Admin)) + Key +
-          setting("seeds", Homes) + section("platform") +
+    if (Other.m_Name != Instance.m_Name)
+      Dispatchers += ";" + toString(Other.m_Link);
+  Instance.m_Dispatcher = std::make_unique<Process>(
+      m_Folder, "crowstep-dispatcher",
+      "dispatcher-" + Instance.m_Name + StartSuffix,
+      InstanceSection + section("dispatcher") +
+          setting("link_listen", toString(Instance.m_Link)) +
+          setting("admin_listen", toString(Instance.m_Admin)) + LinkSection +
+          setting("seeds", Dispatchers) + section("platform") +
           setting("address", toString(m_PlatformAddress)));
-  Each.m_Entry = std::make_unique<Process>(
-      m_Folder, "crowstep-entry", "entry-" + Each.m_Name + Run,
-      Who + section("entry") + setting("listen", toString(Each.m_Callers)) +
-          setting("home", Homes) + Key);
+  Instance.m_Entry = std::make_unique<Process>(
+      m_Folder, "crowstep-entry", "entry-" + Instance.m_Name + StartSuffix,
+      InstanceSection + section("entry") +
+          setting("listen", toString(Instance.m_Callers)) +
+          setting("home", Dispatchers) + LinkSection);
 }
 
 /// Instances that start before the platform listens ask it again only after
 /// their interval, and know no upstream until then.
 void Fleet::waitForPlatform() {
-  Call Ask;
-  Ask.m_Method = "GET";
-  Ask.m_Where = m_PlatformAddress;
-  Ask.m_Path = "/";
+  Call Probe;
+  Probe.m_Method = "GET";
+  Probe.m_Where = m_PlatformAddress;
+  Probe.m_Path = "/";
   std::shared_ptr<const Told> Answer;
   const bool Listens = runUntil(
       [&] {
         if (Answer == nullptr || (Answer->m_Ended && Answer->m_Status == 0))
-          Answer = m_Caller.start(Ask);
+          Answer = m_Caller.start(Probe);
         return Answer->m_Ended && Answer->m_Status != 0;
       },
       20s);
@@ -199,56 +203,56 @@
 }
 
 bool Fleet::waitReady(std::size_t Index, Duration Limit) {
-  Call Ask;
-  Ask.m_Method = "GET";
-  Ask.m_Where = m_Instances.at(Index).m_Callers;
-  Ask.m_Path = "/readyz";
+  Call Probe;
+  Probe.m_Method = "GET";
+  Probe.m_Where = m_Instances.at(Index).m_Callers;
+  Probe.m_Path = "/readyz";
   std::shared_ptr<const Told> Answer;
   return runUntil(
       [&] {
         if (Answer == nullptr || (Answer->m_Ended && Answer->m_Status != 200))
-          Answer = m_Caller.start(Ask);
+          Answer = m_Caller.start(Probe);
         return Answer->m_Ended && Answer->m_Status == 200;
       },
       Limit);
 }
 
 const Address &Fleet::upstreamAddress(const std::string &Name) const {
-  for (const TestUpstream &Each : m_UpstreamList)
-    if (Each.m_Name == Name)
-      return Each.m_Address;
+  for (const TestUpstream &Upstream : m_UpstreamList)
+    if (Upstream.m_Name == Name)
+      return Upstream.m_Address;
   throw FleetNotReady("no upstream " + Name);
 }
 
 Call Fleet::chat(std::size_t Index, const std::string &Class,
                  std::size_t Tokens, bool Streamed,
                  const std::string &Prompt) const {
-  Call What;
-  What.m_Where = m_Instances.at(Index).m_Callers;
-  What.m_Path = "/v1/chat/completions";
+  Call Request;
+  Request.m_Where = m_Instances.at(Index).m_Callers;
+  Request.m_Path = "/v1/chat/completions";
   const std::string Content = Prompt + " [len=" + std::to_string(Tokens) + "]";
   const json Message = {{"role", "user"}, {"content", Content}};
-  What.m_Body = json{
+  Request.m_Body = json{
       {"messages", json::array({Message})},
       {"max_tokens", Tokens},
       {"stream",
        Streamed}}.dump();
-  What.m_Headers = {{"Authorization", std::string("Bearer ") + WorkspaceKey},
-                    {"Crowstep-Class", Class}};
-  return What;
+  Request.m_Headers = {{"Authorization", std::string("Bearer ") + WorkspaceKey},
+                       {"Crowstep-Class", Class}};
+  return Request;
 }
 
 Call Fleet::desk(std::size_t Index, const std::string &Class,
                  const std::string &Key, const std::string &Body) const {
-  Call What;
-  What.m_Where = m_Instances.at(Index).m_Callers;
-  What.m_Path = "/v1/services/desk/" + Class;
-  What.m_Body = Body;
-  What.m_Headers = {{"Authorization", std::string("Bearer ") + WorkspaceKey},
-                    {"Crowstep-Class", Class}};
+  Call Request;
+  Request.m_Where = m_Instances.at(Index).m_Callers;
+  Request.m_Path = "/v1/services/desk/" + Class;
+  Request.m_Body = Body;
+  Request.m_Headers = {{"Authorization", std::string("Bearer ") + WorkspaceKey},
+                       {"Crowstep-Class", Class}};
   if (!Key.empty())
-    What.m_Headers["Idempotency-Key"] = Key;
-  return What;
+    Request.m_Headers["Idempotency-Key"] = Key;
+  return Request;
 }
 
 void Fleet::platformFault(const std::string &Target, const std::string &Mode,
@@ -261,11 +265,11 @@
 }
 
 void Fleet::cutUpstream(const std::string &Name, bool Cut) {
-  for (const TestUpstream &Each : m_UpstreamList)
-    if (Each.m_Name == Name && Cut)
-      Each.m_Relay->cut();
-    else if (Each.m_Name == Name)
-      Each.m_Relay->mend();
+  for (const TestUpstream &Upstream : m_UpstreamList)
+    if (Upstream.m_Name == Name && Cut)
+      Upstream.m_Relay->cut();
+    else if (Upstream.m_Name == Name)
+      Upstream.m_Relay->mend();
 }
 
 void Fleet::upstreamFault(const std::string &Name, const json &Fault) {
@@ -274,24 +278,24 @@
 
 std::vector<RanCall> Fleet::ran(const std::string &Service) {
   std::vector<RanCall> Result;
-  for (const TestUpstream &Each : m_UpstreamList) {
-    if (Each.m_Service != Service)
+  for (const TestUpstream &Upstream : m_UpstreamList) {
+    if (Upstream.m_Service != Service)
       continue;
-    const json Record = m_Caller.json("GET", Each.m_Address, "/record");
+    const json Record = m_Caller.json("GET", Upstream.m_Address, "/record");
     for (const json &Row : Record.value("calls", json::array()))
-      Result.push_back({Each.m_Name, Row.value("key", ""),
+      Result.push_back({Upstream.m_Name, Row.value("key", ""),
                         Row.value("finished", false),
                         Row.value("generated", std::uint64_t(0))});
   }
   return Result;
 }
 
-double Fleet::metric(const Address &Where, const std::string &Series) {
-  Call Ask;
-  Ask.m_Method = "GET";
-  Ask.m_Where = Where;
-  Ask.m_Path = "/metrics";
-  std::istringstream Lines(m_Caller.call(Ask).m_Body);
+double Fleet::metric(const Address &Server, const std::string &Series) {
+  Call Probe;
+  Probe.m_Method = "GET";
+  Probe.m_Where = Server;
+  Probe.m_Path = "/metrics";
+  std::istringstream Lines(m_Caller.call(Probe).m_Body);
   for (std::string Line; std::getline(Lines, Line);)
     if (Line.starts_with(Series + " "))
       return std::stod(Line.substr(Series.size() + 1));
@@ -299,29 +303,29 @@
 }
 
 std::string Fleet::ownerOf(const std::string &Service) {
-  for (const TestInstance &Each : m_Instances) {
-    if (Each.m_Dispatcher == nullptr || !Each.m_Dispatcher->running())
+  for (const TestInstance &Instance : m_Instances) {
+    if (Instance.m_Dispatcher == nullptr || !Instance.m_Dispatcher->running())
       continue;
-    const json Status =
-        m_Caller.json("GET", Each.m_Admin, "/v1/status", nullptr, OperatorKey);
+    const json Status = m_Caller.json("GET", Instance.m_Admin, "/v1/status",
+                                      nullptr, OperatorKey);
     for (const json &Pool : Status.value("pools", json::array()))
       if (Pool.value("service", "") == Service)
-        return Each.m_Name;
+        return Instance.m_Name;
   }
   return {};
 }
 
 std::string Fleet::logs() const {
   std::string Result;
-  const auto Add = [&](const char *What, const Process *From) {
-    if (From != nullptr)
-      Result += std::string("---- ") + What + "\n" + From->log();
+  const auto Add = [&](const char *Title, const Process *Source) {
+    if (Source != nullptr)
+      Result += std::string("---- ") + Title + "\n" + Source->log();
   };
   Add("platform", m_Platform.get());
   Add("upstreams", m_Upstreams.get());
-  for (const TestInstance &Each : m_Instances) {
-    Add((Each.m_Name + " dispatcher").c_str(), Each.m_Dispatcher.get());
-    Add((Each.m_Name + " entry").c_str(), Each.m_Entry.get());
+  for (const TestInstance &Instance : m_Instances) {
+    Add((Instance.m_Name + " dispatcher").c_str(), Instance.m_Dispatcher.get());
+    Add((Instance.m_Name + " entry").c_str(), Instance.m_Entry.get());
   }
   return Result;
 }
--- a/tests/process/fleet.h
+++ b/tests/process/fleet.h
@@ -94,7 +94,7 @@
   std::vector<RanCall> ran(const std::string &Service);
 
   /// Returns the value of a series in an instance's metrics, or 0.
-  double metric(const Address &Where, const std::string &Series);
+  double metric(const Address &Server, const std::string &Series);
 
   /// Returns the name of the instance whose dispatcher owns the pool of
   /// \p Service, or an empty text.
@@ -124,7 +124,7 @@
   std::unique_ptr<Process> m_Upstreams;     ///< All stand-in upstreams.
   std::vector<TestUpstream> m_UpstreamList; ///< Engines, then services.
   std::vector<TestInstance> m_Instances;    ///< In order.
-  std::size_t m_Starts = 0;                 ///< For log names.
+  std::size_t m_StartCount = 0;             ///< For log names.
 };
 
 /// The fleet did not become ready.
--- a/tests/process/gateway_fleet.cpp
+++ b/tests/process/gateway_fleet.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-Json routeOf(const std::string &Kind) {
+Json routeJson(const std::string &Kind) {
   return {
       {"name", Kind},      {"host", "h.example"}, {"prefix", "/" + Kind + "/"},
       {"routeKind", Kind}, {"timeoutMs", 2000},   {"targetLatencyMs", 200},
@@ -26,42 +26,45 @@
 }
 
 GatewayFleet::GatewayFleet(std::size_t Count) {
-  const Address StoreAt = freeAddress();
-  m_Store.listen(StoreAt);
+  const Address StoreAddress = freeAddress();
+  m_Store.listen(StoreAddress);
   const Json Table = {
       {"version", 1},
-      {"routes", {routeOf("idempotent"), routeOf("non_idempotent")}},
+      {"routes", {routeJson("idempotent"), routeJson("non_idempotent")}},
       {"services", {{{"name", "s"}}}},
       {"tenants", {{{"name", "w"}, {"apiKeys", {"key-1"}}}}}};
   m_Store.put("op", "config", Table.dump());
   for (std::size_t I = 0; I < Count; ++I) {
-    m_Places.push_back(gatewayPlace("edge-" + std::to_string(I), StoreAt));
-    m_Places.back().m_Drain = 1200ms;
+    m_Configs.push_back(
+        gatewayPlace("edge-" + std::to_string(I), StoreAddress));
+    m_Configs.back().m_Drain = 1200ms;
   }
 }
 
 bool GatewayFleet::startAll() {
-  for (const GatewayPlace &Each : m_Places)
-    m_Running.push_back(std::make_unique<Process>(
-        m_Folder, "crowstep-gateway", Each.m_Name, settingsOf(Each)));
-  for (const GatewayPlace &Each : m_Places)
+  for (const GatewayPlace &Config : m_Configs)
+    m_Processes.push_back(std::make_unique<Process>(
+        m_Folder, "crowstep-gateway", Config.m_Name, settingsOf(Config)));
+  for (const GatewayPlace &Config : m_Configs)
     if (!runUntil(
-            [&] { return m_Caller.call(readinessCall(Each)).m_Status == 200; },
+            [&] {
+              return m_Caller.call(readinessCall(Config)).m_Status == 200;
+            },
             10s))
       return false;
   return true;
 }
 
-void GatewayFleet::killAll() { m_Running.clear(); }
+void GatewayFleet::killAll() { m_Processes.clear(); }
 
 Call GatewayFleet::request(std::size_t Gateway, const std::string &Path,
                            const std::string &Body) {
   Call Result;
-  Result.m_Where = m_Places[Gateway % m_Places.size()].m_Listen;
+  Result.m_Where = m_Configs[Gateway % m_Configs.size()].m_Listen;
   Result.m_Path = Path;
   Result.m_Body = Body;
   Result.m_Headers = {{"Host", "h.example"},
-                      {"X-Attempt-Id", "a" + std::to_string(++m_Requests)},
+                      {"X-Attempt-Id", "a" + std::to_string(++m_RequestCount)},
                       {"X-Key", "key-1"}};
   return Result;
 }
--- a/tests/process/gateway_fleet.h
+++ b/tests/process/gateway_fleet.h
@@ -36,7 +36,7 @@
   Call request(std::size_t Gateway, const std::string &Path,
                const std::string &Body);
 
-  [[nodiscard]] std::size_t size() const { return m_Places.size(); }
+  [[nodiscard]] std::size_t size() const { return m_Configs.size(); }
 
   LoopClock m_Clock;            ///< Of the test.
   LoopScheduler m_Timers;       ///< Of the test.
@@ -44,10 +44,10 @@
   Caller m_Caller;              ///< Of requests.
 
 private:
-  TemporaryFolder m_Folder;                        ///< Settings and logs.
-  std::vector<GatewayPlace> m_Places;              ///< Of all gateways.
-  std::vector<std::unique_ptr<Process>> m_Running; ///< At m_Places.
-  int m_Requests = 0;                              ///< Ids so far.
+  TemporaryFolder m_Folder;                          ///< Settings and logs.
+  std::vector<GatewayPlace> m_Configs;               ///< Of all gateways.
+  std::vector<std::unique_ptr<Process>> m_Processes; ///< At m_Places.
+  int m_RequestCount = 0;                            ///< Ids so far.
 };
 
 } // namespace crowstep::test
--- a/tests/process/gateway_place.h
+++ b/tests/process/gateway_place.h
@@ -25,13 +25,13 @@
 GatewayPlace gatewayPlace(const std::string &Name, const Address &Store);
 
 /// Returns the settings of the gateway at \p Where.
-std::string settingsOf(const GatewayPlace &Where);
+std::string settingsOf(const GatewayPlace &Config);
 
 /// Returns the call that asks whether the gateway is ready.
-Call readinessCall(const GatewayPlace &Where);
+Call readinessCall(const GatewayPlace &Config);
 
 /// Returns an upstream's row in the store.
-std::string upstreamRow(const Address &Where, unsigned Slots,
+std::string upstreamRow(const Address &Upstream, unsigned Slots,
                         const std::string &State);
 
 } // namespace crowstep::test
--- a/tests/process/gateway_test.cpp
+++ b/tests/process/gateway_test.cpp
@@ -28,23 +28,23 @@
 class SigningUpstream {
 public:
   explicit SigningUpstream(std::string Name) : m_Name(std::move(Name)) {
-    m_Where = local(freePort());
-    m_Server.listen(m_Where,
+    m_ListenAddress = local(freePort());
+    m_Server.listen(m_ListenAddress,
                     [this](SoupServerMessage *Message, const char *Path) {
                       handle(Message, Path);
                     });
   }
 
   std::string m_Name;      ///< As the store lists it.
-  Address m_Where;         ///< Where it listens.
+  Address m_ListenAddress; ///< Where it listens.
   int m_Calls = 0;         ///< So far.
   std::string m_Workspace; ///< Header of the last call.
 
 private:
   struct Stream {
-    HeldAnswer m_Held;  ///< Towards the gateway.
-    std::string m_Path; ///< Tells how it goes on.
-    int m_Sent = 0;     ///< Events so far.
+    HeldAnswer m_Held;    ///< Towards the gateway.
+    std::string m_Path;   ///< Tells how it goes on.
+    int m_SentEvents = 0; ///< Events so far.
   };
 
   void handle(SoupServerMessage *Message, const std::string &Path) {
@@ -64,51 +64,52 @@
       respond(Message, 200, "text/plain", "from " + m_Name);
       return;
     }
-    auto *Fresh = new Stream{HeldAnswer(Message), Path};
-    Fresh->m_Held.beginStream(200, "text/event-stream");
-    g_timeout_add(100, onTick, Fresh);
+    auto *NewStream = new Stream{HeldAnswer(Message), Path};
+    NewStream->m_Held.beginStream(200, "text/event-stream");
+    g_timeout_add(100, onTick, NewStream);
   }
 
   static int onTick(void *Data) {
-    auto *Each = static_cast<Stream *>(Data);
-    Each->m_Held.append("id: " + std::to_string(++Each->m_Sent) +
-                        "\ndata: x\n\n");
-    const auto Says = [&](const char *Word) {
-      return Each->m_Path.find(Word) != std::string::npos;
+    auto *Current = static_cast<Stream *>(Data);
+    Current->m_Held.append("id: " + std::to_string(++Current->m_SentEvents) +
+                           "\ndata: x\n\n");
+    const auto PathHas = [&](const char *Word) {
+      return Current->m_Path.find(Word) != std::string::npos;
     };
-    const bool Breaks = Each->m_Sent == 4 && Says("break");
-    const bool Last = (Each->m_Sent == 10 && !Says("endless")) || Breaks;
+    const bool Breaks = Current->m_SentEvents == 4 && PathHas("break");
+    const bool Last =
+        (Current->m_SentEvents == 10 && !PathHas("endless")) || Breaks;
     if (Breaks)
-      Each->m_Held.cut();
+      Current->m_Held.cut();
     else if (Last)
-      Each->m_Held.endStream();
-    if (Each->m_Held.open())
+      Current->m_Held.endStream();
+    if (Current->m_Held.open())
       return G_SOURCE_CONTINUE;
-    delete Each;
+    delete Current;
     return G_SOURCE_REMOVE;
   }
 
   HttpServer m_Server; ///< Towards gateways.
 };
 
-struct World {
+struct GatewayFixture {
   TemporaryFolder m_Folder;
   StoreServer m_Store;
-  Address m_StoreAt = local(freePort());
-  GatewayPlace m_Place = gatewayPlace("edge-1", m_StoreAt);
+  Address m_StoreAddress = local(freePort());
+  GatewayPlace m_Config = gatewayPlace("edge-1", m_StoreAddress);
   SigningUpstream m_First{"u-1"};
   SigningUpstream m_Second{"u-2"};
   Caller m_Caller;
   std::unique_ptr<Process> m_Gateway;
 
-  World() {
-    m_Store.listen(m_StoreAt);
-    m_Place.m_Drain = 1200ms;
+  GatewayFixture() {
+    m_Store.listen(m_StoreAddress);
+    m_Config.m_Drain = 1200ms;
   }
 
   void start() {
     m_Gateway = std::make_unique<Process>(m_Folder, "crowstep-gateway",
-                                          "gateway", settingsOf(m_Place));
+                                          "gateway", settingsOf(m_Config));
   }
   void putManifest(int Version, const std::string &Key = "key-1") {
     const Json Manifest = {{"version", Version},
@@ -136,13 +137,14 @@
                            {"tenants", {{{"name", "w"}, {"apiKeys", {Key}}}}}};
     m_Store.put("op", "config", Manifest.dump());
   }
-  void putUpstream(const SigningUpstream &Which, const std::string &State) {
-    m_Store.put("servers", Which.m_Name, upstreamRow(Which.m_Where, 4, State));
+  void putUpstream(const SigningUpstream &Upstream, const std::string &State) {
+    m_Store.put("servers", Upstream.m_Name,
+                upstreamRow(Upstream.m_ListenAddress, 4, State));
   }
   Call request(const std::string &Path, const std::string &Key = "key-1") {
     static int Number = 0;
     Call Result;
-    Result.m_Where = m_Place.m_Listen;
+    Result.m_Where = m_Config.m_Listen;
     Result.m_Path = Path;
     Result.m_Body = "b";
     Result.m_Headers = {{"Host", "h.example"},
@@ -151,16 +153,16 @@
     return Result;
   }
   unsigned readiness() {
-    return m_Caller.call(readinessCall(m_Place)).m_Status;
+    return m_Caller.call(readinessCall(m_Config)).m_Status;
   }
-  bool becomesReady() {
+  bool waitUntilReady() {
     return runUntil([&] { return readiness() == 200; }, 10s);
   }
-  void serve() {
+  void startServing() {
     putManifest(1);
     putUpstream(m_First, "ready");
     start();
-    BOOST_TEST(becomesReady());
+    BOOST_TEST(waitUntilReady());
   }
 };
 
@@ -170,110 +172,123 @@
 // told "not run" and to come back, never that its route is not there; as soon
 // as the store answers, the gateway serves.
 BOOST_AUTO_TEST_CASE(AStartWithoutTheStoreRefusesUntilItKnows) {
-  World It;
-  It.m_Store.setMode(StoreServer::Mode::Busy);
-  It.putManifest(1);
-  It.putUpstream(It.m_First, "ready");
-  It.start();
-  BOOST_TEST(runUntil([&] { return It.readiness() == 503; }, 10s));
-  const Told Early = It.m_Caller.call(It.request("/plain/x"));
+  GatewayFixture Fixture;
+  Fixture.m_Store.setMode(StoreServer::Mode::Busy);
+  Fixture.putManifest(1);
+  Fixture.putUpstream(Fixture.m_First, "ready");
+  Fixture.start();
+  BOOST_TEST(runUntil([&] { return Fixture.readiness() == 503; }, 10s));
+  const Told Early = Fixture.m_Caller.call(Fixture.request("/plain/x"));
   BOOST_TEST(Early.m_Status == 503U);
   BOOST_TEST(Early.m_Run == "not-run");
   BOOST_TEST(!Early.m_RetryAfter.empty());
-  It.m_Store.setMode(StoreServer::Mode::Up);
-  BOOST_TEST(It.becomesReady());
-  const Told Served = It.m_Caller.call(It.request("/plain/x"));
+  Fixture.m_Store.setMode(StoreServer::Mode::Up);
+  BOOST_TEST(Fixture.waitUntilReady());
+  const Told Served = Fixture.m_Caller.call(Fixture.request("/plain/x"));
   BOOST_TEST(Served.m_Status == 200U);
   BOOST_TEST(Served.m_Body == "from u-1");
-  BOOST_TEST(It.m_First.m_Workspace == "w");
+  BOOST_TEST(Fixture.m_First.m_Workspace == "w");
 }
 
 // Requests that no table allows are refused with their reason; a key that a new
 // version takes away is refused at once, and a version that can't be read
 // changes nothing.
 BOOST_AUTO_TEST_CASE(TheTableInForceDecides) {
-  World It;
-  It.serve();
-  BOOST_TEST(It.m_Caller.call(It.request("/none/x")).m_Status == 404U);
-  BOOST_TEST(It.m_Caller.call(It.request("/plain/x", "other")).m_Status ==
-             401U);
-  It.m_Store.put("op", "config", "{no manifest");
-  BOOST_TEST(It.m_Caller.call(It.request("/plain/x")).m_Status == 200U);
-  It.putManifest(2, "key-2");
+  GatewayFixture Fixture;
+  Fixture.startServing();
+  BOOST_TEST(Fixture.m_Caller.call(Fixture.request("/none/x")).m_Status ==
+             404U);
+  BOOST_TEST(
+      Fixture.m_Caller.call(Fixture.request("/plain/x", "other")).m_Status ==
+      401U);
+  Fixture.m_Store.put("op", "config", "{no manifest");
+  BOOST_TEST(Fixture.m_Caller.call(Fixture.request("/plain/x")).m_Status ==
+             200U);
+  Fixture.putManifest(2, "key-2");
   BOOST_TEST(runUntil(
-      [&] { return It.m_Caller.call(It.request("/plain/x")).m_Status == 401; },
+      [&] {
+        return Fixture.m_Caller.call(Fixture.request("/plain/x")).m_Status ==
+               401;
+      },
       5s));
-  BOOST_TEST(It.m_Caller.call(It.request("/plain/x", "key-2")).m_Status ==
-             200U);
-  It.putManifest(1); // An older version never comes back.
+  BOOST_TEST(
+      Fixture.m_Caller.call(Fixture.request("/plain/x", "key-2")).m_Status ==
+      200U);
+  Fixture.putManifest(1); // An older version never comes back.
   runFor(300ms);
-  BOOST_TEST(It.m_Caller.call(It.request("/plain/x")).m_Status == 401U);
+  BOOST_TEST(Fixture.m_Caller.call(Fixture.request("/plain/x")).m_Status ==
+             401U);
 }
 
 // An upstream says that it is leaving, by way of the store: it gets nothing
 // new. Its history is then dropped, and an entry of another writer appears.
 BOOST_AUTO_TEST_CASE(ALeavingUpstreamGetsNothingNew) {
-  World It;
-  It.serve();
-  It.putUpstream(It.m_Second, "ready");
-  It.putUpstream(It.m_First, "draining");
+  GatewayFixture Fixture;
+  Fixture.startServing();
+  Fixture.putUpstream(Fixture.m_Second, "ready");
+  Fixture.putUpstream(Fixture.m_First, "draining");
   runFor(500ms);
-  const int Before = It.m_First.m_Calls;
+  const int Before = Fixture.m_First.m_Calls;
   for (int I = 0; I < 5; ++I)
-    BOOST_TEST(It.m_Caller.call(It.request("/plain/x")).m_Body == "from u-2");
-  It.m_Store.put("servers", "u-3", "\xff\xfe");
-  It.m_Store.dropHistory();
+    BOOST_TEST(Fixture.m_Caller.call(Fixture.request("/plain/x")).m_Body ==
+               "from u-2");
+  Fixture.m_Store.put("servers", "u-3", "\xff\xfe");
+  Fixture.m_Store.dropHistory();
   runFor(1500ms);
-  BOOST_TEST(It.m_Caller.call(It.request("/plain/x")).m_Body == "from u-2");
-  BOOST_TEST(It.m_First.m_Calls == Before);
+  BOOST_TEST(Fixture.m_Caller.call(Fixture.request("/plain/x")).m_Body ==
+             "from u-2");
+  BOOST_TEST(Fixture.m_First.m_Calls == Before);
 }
 
 // SIGTERM comes in the middle of streams. Each runs to its end; a request that
 // arrives soon after is still served and its connection then closed; later the
 // gateway takes no connection and ends by itself, within its grace.
 BOOST_AUTO_TEST_CASE(AStopCutsNothing) {
-  World It;
-  It.serve();
+  GatewayFixture Fixture;
+  Fixture.startServing();
   std::vector<std::shared_ptr<const Told>> Streams;
   Streams.reserve(5);
   for (int I = 0; I < 5; ++I)
-    Streams.push_back(It.m_Caller.start(It.request("/stream/x")));
+    Streams.push_back(Fixture.m_Caller.start(Fixture.request("/stream/x")));
   BOOST_TEST(runUntil(
       [&] {
-        return std::all_of(Streams.begin(), Streams.end(),
-                           [](const auto &S) { return !S->m_Body.empty(); });
+        return std::all_of(
+            Streams.begin(), Streams.end(),
+            [](const auto &Stream) { return !Stream->m_Body.empty(); });
       },
       10s));
-  It.m_Gateway->signal(SIGTERM);
-  BOOST_TEST(runUntil([&] { return It.readiness() == 503; }, 2s));
-  BOOST_TEST(It.m_Caller.call(It.request("/plain/x")).m_Status == 200U);
+  Fixture.m_Gateway->signal(SIGTERM);
+  BOOST_TEST(runUntil([&] { return Fixture.readiness() == 503; }, 2s));
+  BOOST_TEST(Fixture.m_Caller.call(Fixture.request("/plain/x")).m_Status ==
+             200U);
   BOOST_TEST(runUntil(
       [&] {
         return std::all_of(Streams.begin(), Streams.end(),
-                           [](const auto &S) { return S->m_Ended; });
+                           [](const auto &Stream) { return Stream->m_Ended; });
       },
       10s));
-  for (const auto &Each : Streams) {
-    BOOST_TEST(!Each->m_Broken);
-    BOOST_TEST(Each->m_Body.find("id: 10\n") != std::string::npos);
+  for (const auto &Stream : Streams) {
+    BOOST_TEST(!Stream->m_Broken);
+    BOOST_TEST(Stream->m_Body.find("id: 10\n") != std::string::npos);
   }
-  BOOST_TEST((It.m_Gateway->wait(8s) == 0));
+  BOOST_TEST((Fixture.m_Gateway->wait(8s) == 0));
 }
 
 // A caller's stream does not end. The gateway waits for it as long as its grace
 // allows, then ends by itself and tells in its log how many were cut, which a
 // kill would not.
 BOOST_AUTO_TEST_CASE(AStopEndsAtItsLimit) {
-  World It;
-  It.m_Place.m_Grace = 4s;
-  It.serve();
-  const auto Stream = It.m_Caller.start(It.request("/stream/endless"));
+  GatewayFixture Fixture;
+  Fixture.m_Config.m_Grace = 4s;
+  Fixture.startServing();
+  const auto Stream =
+      Fixture.m_Caller.start(Fixture.request("/stream/endless"));
   BOOST_TEST(runUntil([&] { return !Stream->m_Body.empty(); }, 5s));
-  It.m_Gateway->signal(SIGTERM);
+  Fixture.m_Gateway->signal(SIGTERM);
   runFor(3s);
   BOOST_TEST(!Stream->m_Ended);
-  BOOST_TEST((It.m_Gateway->wait(2s) == 0));
-  BOOST_TEST(It.m_Gateway->log().find("GatewayCut") != std::string::npos);
+  BOOST_TEST((Fixture.m_Gateway->wait(2s) == 0));
+  BOOST_TEST(Fixture.m_Gateway->log().find("GatewayCut") != std::string::npos);
 }
 
 // Three callers complain, with nothing but their requests' ids: one was refused
@@ -281,66 +296,67 @@
 // one got no outcome after the upstream's crash. The log alone tells each
 // cause, and no key or body stands in it.
 BOOST_AUTO_TEST_CASE(TheLogTellsWhyARequestFailed) {
-  World It;
-  It.putManifest(1);
-  It.start();
-  BOOST_TEST(runUntil([&] { return It.readiness() == 200; }, 10s));
-  const auto Told = [&](const std::string &Path) {
-    const Call What = It.request(Path);
-    It.m_Caller.call(What);
+  GatewayFixture Fixture;
+  Fixture.putManifest(1);
+  Fixture.start();
+  BOOST_TEST(runUntil([&] { return Fixture.readiness() == 200; }, 10s));
+  const auto ExplainFailure = [&](const std::string &Path) {
+    const Call Request = Fixture.request(Path);
+    Fixture.m_Caller.call(Request);
     // The caller may see its end a moment before the line is written.
-    std::string Story;
+    std::string Explanation;
     runUntil(
         [&] {
-          Story = ctl::explain(What.m_Headers.at("X-Attempt-Id"),
-                               {It.m_Gateway->log()});
-          return Story.find("GatewayRequestFailed") != std::string::npos;
+          Explanation = ctl::explain(Request.m_Headers.at("X-Attempt-Id"),
+                                     {Fixture.m_Gateway->log()});
+          return Explanation.find("GatewayRequestFailed") != std::string::npos;
         },
         2s);
-    return Story;
+    return Explanation;
   };
-  const auto Has = [](const std::string &Story, const std::string &Text) {
-    return Story.find(Text) != std::string::npos;
+  const auto Has = [](const std::string &Explanation, const std::string &Text) {
+    return Explanation.find(Text) != std::string::npos;
   };
-  const std::string Refused = Told("/plain/x");
+  const std::string Refused = ExplainFailure("/plain/x");
   BOOST_TEST(Has(Refused, "outcome=no_upstream"));
   BOOST_TEST(Has(Refused, "sends=0"));
-  It.putUpstream(It.m_First, "ready");
+  Fixture.putUpstream(Fixture.m_First, "ready");
   runFor(300ms);
-  const std::string Broken = Told("/stream/break");
+  const std::string Broken = ExplainFailure("/stream/break");
   BOOST_TEST(Has(Broken, "GatewayCallEnded"));
   BOOST_TEST(Has(Broken, "events=3"));
   BOOST_TEST(Has(Broken, "outcome=upstream_failed"));
   BOOST_TEST(Has(Broken, "GatewayUpstreamListed"));
-  const std::string Unknown = Told("/plain/crash");
+  const std::string Unknown = ExplainFailure("/plain/crash");
   BOOST_TEST(Has(Unknown, "may_have_run=1"));
   BOOST_TEST(Has(Unknown, "upstream=u-1"));
-  BOOST_TEST(!Has(It.m_Gateway->log(), "key-1"));
+  BOOST_TEST(!Has(Fixture.m_Gateway->log(), "key-1"));
 }
 
 // Settings without a field end the program with 2 and its name; a file that
 // breaks while the gateway runs changes nothing, and one that is mended does.
 BOOST_AUTO_TEST_CASE(BadSettingsAreNamed) {
-  World It;
-  std::string Broken = settingsOf(It.m_Place);
+  GatewayFixture Fixture;
+  std::string Broken = settingsOf(Fixture.m_Config);
   Broken.erase(Broken.find("grace_s=8\n"), 10);
-  Process Fails(It.m_Folder, "crowstep-gateway", "broken", Broken);
-  BOOST_TEST((Fails.wait(10s) == 2));
-  BOOST_TEST(Fails.log().find("grace_s") != std::string::npos);
-  It.serve();
-  It.m_Folder.write("gateway.ini", "no settings");
+  Process Failing(Fixture.m_Folder, "crowstep-gateway", "broken", Broken);
+  BOOST_TEST((Failing.wait(10s) == 2));
+  BOOST_TEST(Failing.log().find("grace_s") != std::string::npos);
+  Fixture.startServing();
+  Fixture.m_Folder.write("gateway.ini", "no settings");
   BOOST_TEST(runUntil(
       [&] {
-        return It.m_Gateway->log().find("ProgramReloadFailed") !=
+        return Fixture.m_Gateway->log().find("ProgramReloadFailed") !=
                std::string::npos;
       },
       10s));
-  BOOST_TEST(It.m_Caller.call(It.request("/plain/x")).m_Status == 200U);
-  It.m_Folder.write("gateway.ini", settingsOf(It.m_Place));
-  It.m_Gateway->signal(SIGHUP);
+  BOOST_TEST(Fixture.m_Caller.call(Fixture.request("/plain/x")).m_Status ==
+             200U);
+  Fixture.m_Folder.write("gateway.ini", settingsOf(Fixture.m_Config));
+  Fixture.m_Gateway->signal(SIGHUP);
   BOOST_TEST(runUntil(
       [&] {
-        return It.m_Gateway->log().find("\"ProgramReloaded\"") !=
+        return Fixture.m_Gateway->log().find("\"ProgramReloaded\"") !=
                std::string::npos;
       },
       10s));
--- a/tests/process/limited_upstream_test.cpp
+++ b/tests/process/limited_upstream_test.cpp
@@ -15,14 +15,14 @@
 namespace {
 
 /// Instances keep the limit this long after it was stated first.
-constexpr Duration Contact = 3s;
+constexpr Duration PropagationTime = 3s;
 
 /// The rate is judged in any span of this length, with some slack.
 constexpr Duration Window = 4s;
 constexpr double RateFactor = 1.5;
 constexpr double RateSlack = 5;
 
-constexpr Duration CallEvery = 20ms;
+constexpr Duration CallInterval = 20ms;
 
 /// Long enough that calls overlap, so that all upstreams get some.
 constexpr Duration RunTime = 100ms;
@@ -32,24 +32,24 @@
 public:
   Upstream(const std::string &Name, GatewayFleet &Fleet)
       : m_Clock(Fleet.m_Clock), m_Timers(Fleet.m_Timers) {
-    const Address Where = freeAddress();
-    m_Server.listen(Where, [this](SoupServerMessage *Message, const char *) {
+    const Address Listen = freeAddress();
+    m_Server.listen(Listen, [this](SoupServerMessage *Message, const char *) {
       handle(Message);
     });
-    Fleet.m_Store.put("servers", Name, upstreamRow(Where, 8, "ready"));
+    Fleet.m_Store.put("servers", Name, upstreamRow(Listen, 8, "ready"));
   }
 
   std::optional<double> m_Limit;     ///< Requests a second.
   std::vector<TimePoint> m_Arrivals; ///< All.
 
   /// Returns the most arrivals in any window after \p Begin.
-  [[nodiscard]] std::ptrdiff_t mostSince(TimePoint Begin) const {
+  [[nodiscard]] std::ptrdiff_t maxArrivalsInWindow(TimePoint Begin) const {
     std::ptrdiff_t Most = 0;
-    for (auto Each = m_Arrivals.begin(); Each != m_Arrivals.end(); ++Each)
-      if (*Each >= Begin)
+    for (auto First = m_Arrivals.begin(); First != m_Arrivals.end(); ++First)
+      if (*First >= Begin)
         Most = std::max(
             Most,
-            std::upper_bound(Each, m_Arrivals.end(), *Each + Window) - Each);
+            std::upper_bound(First, m_Arrivals.end(), *First + Window) - First);
     return Most;
   }
 
@@ -61,35 +61,35 @@
       soup_message_headers_replace(
           soup_server_message_get_response_headers(Message), "Server-Limit",
           std::to_string(*m_Limit).c_str());
-    const auto Held = std::make_shared<HeldAnswer>(Message);
-    m_Open.push_back(Held);
-    m_Timers.after(RunTime, [Late = std::weak_ptr(Held)] {
-      if (const auto Open = Late.lock())
+    const auto Deferred = std::make_shared<HeldAnswer>(Message);
+    m_OpenAnswers.push_back(Deferred);
+    m_Timers.after(RunTime, [Weak = std::weak_ptr(Deferred)] {
+      if (const auto Open = Weak.lock())
         Open->answer(200, "text/plain", "ok");
     });
   }
 
-  const Clock &m_Clock;                            ///< Outlives it.
-  Scheduler &m_Timers;                             ///< Outlives it.
-  HttpServer m_Server;                             ///< Towards gateways.
-  std::vector<std::shared_ptr<HeldAnswer>> m_Open; ///< All so far.
+  const Clock &m_Clock;                                   ///< Outlives it.
+  Scheduler &m_Timers;                                    ///< Outlives it.
+  HttpServer m_Server;                                    ///< Towards gateways.
+  std::vector<std::shared_ptr<HeldAnswer>> m_OpenAnswers; ///< All so far.
 };
 
-struct World : GatewayFleet {
+struct LimitTestFleet : GatewayFleet {
   Upstream m_First{"u-1", *this};
   Upstream m_Second{"u-2", *this};
 
-  World() : GatewayFleet(6) {
+  LimitTestFleet() : GatewayFleet(6) {
     BOOST_TEST(startAll());
-    load(4s); // Until all know one another.
+    sendLoad(4s); // Until all know one another.
   }
 
   /// Requests come at one gateway after the other.
-  void load(Duration Span) {
+  void sendLoad(Duration Span) {
     const TimePoint End = m_Clock.fresh() + Span;
     for (std::size_t I = 0; m_Clock.fresh() < End; ++I) {
       m_Caller.start(request(I, "/idempotent/x", "b"));
-      runFor(CallEvery);
+      runFor(CallInterval);
     }
   }
 
@@ -97,11 +97,11 @@
   bool keepsLimit(double Limit) {
     m_First.m_Limit = Limit;
     const TimePoint Stated = m_Clock.fresh();
-    load(Contact + 2 * Window);
+    sendLoad(PropagationTime + 2 * Window);
     const double Allowed =
         RateFactor * Limit * std::chrono::duration<double>(Window).count() +
         RateSlack;
-    const auto Most = m_First.mostSince(Stated + Contact);
+    const auto Most = m_First.maxArrivalsInWindow(Stated + PropagationTime);
     BOOST_TEST_MESSAGE("limit " << Limit << ": " << Most << " of " << Allowed);
     return static_cast<double>(Most) <= Allowed;
   }
@@ -112,19 +112,19 @@
 // Guards against instances that together send an upstream more than it takes.
 BOOST_AUTO_TEST_CASE(AStatedLimitIsKeptByAllInstances) {
   for (const double Limit : {1.0, 4.0}) {
-    World It;
-    BOOST_TEST(It.keepsLimit(Limit));
-    BOOST_TEST(It.m_Second.m_Arrivals.size() > 100U);
+    LimitTestFleet TestFleet;
+    BOOST_TEST(TestFleet.keepsLimit(Limit));
+    BOOST_TEST(TestFleet.m_Second.m_Arrivals.size() > 100U);
   }
 }
 
 // Guards against a limit that outlasts the need of its upstream.
 BOOST_AUTO_TEST_CASE(AnUpstreamWhoseLimitEndsIsUsedAgain) {
-  World It;
-  BOOST_TEST(It.keepsLimit(1));
-  It.m_First.m_Limit = std::nullopt;
-  It.load(3s);
-  const auto Before = It.m_First.m_Arrivals.size();
-  It.load(2s);
-  BOOST_TEST(It.m_First.m_Arrivals.size() - Before > 20U);
+  LimitTestFleet TestFleet;
+  BOOST_TEST(TestFleet.keepsLimit(1));
+  TestFleet.m_First.m_Limit = std::nullopt;
+  TestFleet.sendLoad(3s);
+  const auto Before = TestFleet.m_First.m_Arrivals.size();
+  TestFleet.sendLoad(2s);
+  BOOST_TEST(TestFleet.m_First.m_Arrivals.size() - Before > 20U);
 }
--- a/tests/process/path_test.cpp
+++ b/tests/process/path_test.cpp
@@ -55,8 +55,8 @@
     BOOST_TEST(Again.m_Body == First.m_Body);
   }
   std::size_t Ran = 0;
-  for (const RanCall &Each : fleet().ran("desk"))
-    Ran += Each.m_Key.find("path-1") != std::string::npos ? 1 : 0;
+  for (const RanCall &Record : fleet().ran("desk"))
+    Ran += Record.m_Key.find("path-1") != std::string::npos ? 1 : 0;
   BOOST_TEST(Ran == 1U);
 }
 
@@ -86,12 +86,12 @@
 BOOST_AUTO_TEST_CASE(BadInputIsATypedRefusalAndNothingRuns) {
   const std::size_t RanBefore =
       fleet().ran("writer").size() + fleet().ran("desk").size();
-  struct Row {
-    const char *m_Code;                  ///< Expected.
-    unsigned m_Status;                   ///< Expected.
-    std::function<void(Call &)> m_Spoil; ///< Makes a good call bad.
+  struct InputCase {
+    const char *m_Code;                        ///< Expected.
+    unsigned m_Status;                         ///< Expected.
+    std::function<void(Call &)> m_MakeInvalid; ///< Makes a good call bad.
   };
-  const Row Rows[] = {
+  const InputCase Cases[] = {
       {"malformed_body", 400, [](Call &C) { C.m_Body = "{\"messages\":"; }},
       {"malformed_body", 400, [](Call &C) { C.m_Body = "{\"a\":\"\xff\"}"; }},
       {"wrong_content_type", 415,
@@ -106,13 +106,13 @@
       {"header_too_large", 431,
        [](Call &C) { C.m_Headers["X-Long"] = std::string(20000, 'x'); }},
   };
-  for (const Row &Each : Rows) {
+  for (const InputCase &Case : Cases) {
     Call Bad = fleet().chat(0, "guide", 5, false);
-    Each.m_Spoil(Bad);
+    Case.m_MakeInvalid(Bad);
     const Told Answer = fleet().caller().call(Bad);
-    BOOST_TEST(Answer.m_Status == Each.m_Status, Each.m_Code);
-    BOOST_TEST(Answer.code() == Each.m_Code);
-    BOOST_TEST(Answer.m_Run == "not-run", Each.m_Code);
+    BOOST_TEST(Answer.m_Status == Case.m_Status, Case.m_Code);
+    BOOST_TEST(Answer.code() == Case.m_Code);
+    BOOST_TEST(Answer.m_Run == "not-run", Case.m_Code);
   }
   const Told NoKey =
       fleet().caller().call(fleet().desk(0, "hold", "", "{\"seat\":1}"));
--- a/tests/process/process.cpp
+++ b/tests/process/process.cpp
@@ -45,16 +45,16 @@
   const std::string Config = Folder.write(Name + ".ini", Settings);
   const std::string Path = std::string(CROWSTEP_BINARY_DIR) + "/" + Program;
   const pid_t Parent = getpid();
-  m_Id = fork();
-  if (m_Id != 0)
+  m_Pid = fork();
+  if (m_Pid != 0)
     return;
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (getppid() != Parent)
     _exit(126);
-  const int Log =
+  const int LogFd =
       open(m_LogPath.c_str(), O_CREAT | O_WRONLY | O_APPEND | O_CLOEXEC, 0644);
-  dup2(Log, STDOUT_FILENO);
-  dup2(Log, STDERR_FILENO);
+  dup2(LogFd, STDOUT_FILENO);
+  dup2(LogFd, STDERR_FILENO);
   execl(Path.c_str(), Path.c_str(), "--config", Config.c_str(), nullptr);
   _exit(127);
 }
@@ -62,16 +62,16 @@
 Process::~Process() { kill(); }
 
 void Process::signal(int Number) const {
-  if (m_Id != 0)
-    ::kill(m_Id, Number);
+  if (m_Pid != 0)
+    ::kill(m_Pid, Number);
 }
 
 bool Process::reap() {
   int Status = 0;
-  if (m_Id == 0 || waitpid(m_Id, &Status, WNOHANG) != m_Id)
-    return m_Id == 0;
+  if (m_Pid == 0 || waitpid(m_Pid, &Status, WNOHANG) != m_Pid)
+    return m_Pid == 0;
   m_ExitCode = WIFEXITED(Status) ? WEXITSTATUS(Status) : 128 + WTERMSIG(Status);
-  m_Id = 0;
+  m_Pid = 0;
   return true;
 }
 
@@ -98,32 +98,34 @@
   // The socket stays bound until this process ends, so that nobody else's
   // connection gets the port. With the same option listeners can bind it too.
   const int Socket = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  const int Shared = 1;
-  setsockopt(Socket, SOL_SOCKET, SO_REUSEADDR, &Shared, sizeof(Shared));
-  sockaddr_in Where{};
-  Where.sin_family = AF_INET;
-  Where.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  socklen_t Size = sizeof(Where);
-  if (bind(Socket, reinterpret_cast<sockaddr *>(&Where), sizeof(Where)) != 0 ||
-      getsockname(Socket, reinterpret_cast<sockaddr *>(&Where), &Size) != 0)
+  const int Enabled = 1;
+  setsockopt(Socket, SOL_SOCKET, SO_REUSEADDR, &Enabled, sizeof(Enabled));
+  sockaddr_in SocketAddress{};
+  SocketAddress.sin_family = AF_INET;
+  SocketAddress.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  socklen_t Size = sizeof(SocketAddress);
+  if (bind(Socket, reinterpret_cast<sockaddr *>(&SocketAddress),
+           sizeof(SocketAddress)) != 0 ||
+      getsockname(Socket, reinterpret_cast<sockaddr *>(&SocketAddress),
+                  &Size) != 0)
     throw Error("no free port");
-  return ntohs(Where.sin_port);
+  return ntohs(SocketAddress.sin_port);
 }
 
 bool runUntil(const std::function<bool()> &Done, Duration Limit) {
-  constexpr int LookMilliseconds = 5;
-  const gint64 End = g_get_monotonic_time() + Limit.count();
+  constexpr int PollIntervalMs = 5;
+  const gint64 Deadline = g_get_monotonic_time() + Limit.count();
   // A timer wakes the loop, so that conditions outside it are seen too.
-  const guint Wake = g_timeout_add(
-      LookMilliseconds, [](gpointer) -> gboolean { return G_SOURCE_CONTINUE; },
+  const guint PollTimer = g_timeout_add(
+      PollIntervalMs, [](gpointer) -> gboolean { return G_SOURCE_CONTINUE; },
       nullptr);
-  bool Met = Done();
-  while (!Met && g_get_monotonic_time() < End) {
+  bool IsDone = Done();
+  while (!IsDone && g_get_monotonic_time() < Deadline) {
     g_main_context_iteration(nullptr, 1);
-    Met = Done();
+    IsDone = Done();
   }
-  g_source_remove(Wake);
-  return Met;
+  g_source_remove(PollTimer);
+  return IsDone;
 }
 
 void runFor(Duration Span) {
--- a/tests/process/process.h
+++ b/tests/process/process.h
@@ -50,7 +50,7 @@
   void kill();
 
   [[nodiscard]] bool running();
-  [[nodiscard]] pid_t id() const { return m_Id; }
+  [[nodiscard]] pid_t id() const { return m_Pid; }
 
   /// Returns what it has logged so far.
   [[nodiscard]] std::string log() const;
@@ -59,7 +59,7 @@
   bool reap();
 
   std::string m_LogPath;         ///< Both output streams.
-  pid_t m_Id = 0;                ///< 0 once it has ended.
+  pid_t m_Pid = 0;               ///< 0 once it has ended.
   std::optional<int> m_ExitCode; ///< Once it has ended.
 };
 
--- a/tests/process/process_test.cpp
+++ b/tests/process/process_test.cpp
@@ -18,13 +18,13 @@
 // taken for all but those who listen there.
 BOOST_AUTO_TEST_CASE(AGivenPortIsKept) {
   const std::uint16_t Port = freePort();
-  sockaddr_in Where{};
-  Where.sin_family = AF_INET;
-  Where.sin_port = htons(Port);
-  Where.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  sockaddr_in SocketAddress{};
+  SocketAddress.sin_family = AF_INET;
+  SocketAddress.sin_port = htons(Port);
+  SocketAddress.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   const int Other = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  BOOST_TEST(bind(Other, reinterpret_cast<sockaddr *>(&Where), sizeof(Where)) !=
-             0);
+  BOOST_TEST(bind(Other, reinterpret_cast<sockaddr *>(&SocketAddress),
+                  sizeof(SocketAddress)) != 0);
   close(Other);
   HttpServer Server;
   BOOST_CHECK_NO_THROW(Server.listen(
--- a/tests/process/relay.cpp
+++ b/tests/process/relay.cpp
@@ -10,44 +10,44 @@
 
 /// One direction of a connection.
 struct Relay::Pipe {
-  Relay *m_Owner = nullptr;           ///< Null once the relay is gone.
-  GInputStream *m_From = nullptr;     ///< Of m_Ends.
-  GOutputStream *m_To = nullptr;      ///< Of m_Ends.
-  std::array<char, 16384> m_Piece{};  ///< On its way.
-  std::size_t m_Size = 0;             ///< Of the piece.
-  bool m_Outward = true;              ///< Towards the target.
-  std::shared_ptr<Connection> m_Ends; ///< Keeps the streams alive.
+  Relay *m_Owner = nullptr;                 ///< Null once the relay is gone.
+  GInputStream *m_From = nullptr;           ///< Of m_Ends.
+  GOutputStream *m_To = nullptr;            ///< Of m_Ends.
+  std::array<char, 16384> m_Buffer{};       ///< On its way.
+  std::size_t m_Size = 0;                   ///< Of the piece.
+  bool m_IsToTarget = true;                 ///< Towards the target.
+  std::shared_ptr<Connection> m_Connection; ///< Keeps the streams alive.
 };
 
 struct Relay::Connection {
-  GSocketConnection *m_Near = nullptr; ///< Owned.
-  GSocketConnection *m_Far = nullptr;  ///< Owned.
-  bool m_Open = true;                  ///< False once closed.
+  GSocketConnection *m_Inbound = nullptr;  ///< Owned.
+  GSocketConnection *m_Outbound = nullptr; ///< Owned.
+  bool m_Open = true;                      ///< False once closed.
 
   void close() {
     if (!m_Open)
       return;
     m_Open = false;
-    for (GSocketConnection *Each : {m_Near, m_Far})
-      g_socket_close(g_socket_connection_get_socket(Each), nullptr);
+    for (GSocketConnection *Side : {m_Inbound, m_Outbound})
+      g_socket_close(g_socket_connection_get_socket(Side), nullptr);
   }
   ~Connection() {
-    g_object_unref(m_Near);
-    g_object_unref(m_Far);
+    g_object_unref(m_Inbound);
+    g_object_unref(m_Outbound);
   }
 };
 
 Relay::Relay(const Address &Target)
     : m_Target(Target), m_Service(g_socket_service_new()) {
-  m_Listen = {Target.m_Ip, freePort()};
-  g_socket_listener_add_inet_port(G_SOCKET_LISTENER(m_Service), m_Listen.m_Port,
-                                  nullptr, nullptr);
-  const auto Incoming = +[](GSocketService *, GSocketConnection *Near,
-                            GObject *, gpointer Self) -> gboolean {
-    static_cast<Relay *>(Self)->accept(Near);
+  m_ListenAddress = {Target.m_Ip, freePort()};
+  g_socket_listener_add_inet_port(G_SOCKET_LISTENER(m_Service),
+                                  m_ListenAddress.m_Port, nullptr, nullptr);
+  const auto OnIncoming = +[](GSocketService *, GSocketConnection *Accepted,
+                              GObject *, gpointer Self) -> gboolean {
+    static_cast<Relay *>(Self)->accept(Accepted);
     return 1;
   };
-  g_signal_connect(m_Service, "incoming", G_CALLBACK(Incoming), this);
+  g_signal_connect(m_Service, "incoming", G_CALLBACK(OnIncoming), this);
   g_socket_service_start(m_Service);
 }
 
@@ -62,109 +62,111 @@
            std::chrono::seconds(1));
 }
 
-void Relay::accept(void *Incoming) {
-  auto *Near = static_cast<GSocketConnection *>(Incoming);
-  if (m_Cut) {
-    g_socket_close(g_socket_connection_get_socket(Near), nullptr);
+void Relay::accept(void *Accepted) {
+  auto *Inbound = static_cast<GSocketConnection *>(Accepted);
+  if (m_Blocked) {
+    g_socket_close(g_socket_connection_get_socket(Inbound), nullptr);
     return;
   }
   GSocketClient *Client = g_socket_client_new();
-  const std::string Where = toString(m_Target);
-  GSocketConnection *Far = g_socket_client_connect_to_host(
-      Client, Where.c_str(), m_Target.m_Port, nullptr, nullptr);
+  const std::string HostAndPort = toString(m_Target);
+  GSocketConnection *Outbound = g_socket_client_connect_to_host(
+      Client, HostAndPort.c_str(), m_Target.m_Port, nullptr, nullptr);
   g_object_unref(Client);
-  if (Far == nullptr) {
-    g_socket_close(g_socket_connection_get_socket(Near), nullptr);
+  if (Outbound == nullptr) {
+    g_socket_close(g_socket_connection_get_socket(Inbound), nullptr);
     return;
   }
-  auto Ends = std::make_shared<Connection>();
-  Ends->m_Near = G_SOCKET_CONNECTION(g_object_ref(Near));
-  Ends->m_Far = Far;
-  m_Connections.push_back(Ends);
-  for (const bool Outward : {true, false}) {
-    auto Way = std::make_shared<Pipe>();
-    Way->m_Owner = this;
-    Way->m_Ends = Ends;
-    Way->m_Outward = Outward;
-    GSocketConnection *From = Outward ? Near : Far;
-    GSocketConnection *To = Outward ? Far : Near;
-    Way->m_From = g_io_stream_get_input_stream(G_IO_STREAM(From));
-    Way->m_To = g_io_stream_get_output_stream(G_IO_STREAM(To));
-    pump(Way);
+  auto NewConnection = std::make_shared<Connection>();
+  NewConnection->m_Inbound = G_SOCKET_CONNECTION(g_object_ref(Inbound));
+  NewConnection->m_Outbound = Outbound;
+  m_Connections.push_back(NewConnection);
+  for (const bool IsToTarget : {true, false}) {
+    auto Direction = std::make_shared<Pipe>();
+    Direction->m_Owner = this;
+    Direction->m_Connection = NewConnection;
+    Direction->m_IsToTarget = IsToTarget;
+    GSocketConnection *From = IsToTarget ? Inbound : Outbound;
+    GSocketConnection *To = IsToTarget ? Outbound : Inbound;
+    Direction->m_From = g_io_stream_get_input_stream(G_IO_STREAM(From));
+    Direction->m_To = g_io_stream_get_output_stream(G_IO_STREAM(To));
+    startRead(Direction);
   }
 }
 
-void Relay::pump(const std::shared_ptr<Pipe> &Way) {
-  using Held = std::shared_ptr<Pipe>;
-  const auto Done = +[](GObject *From, GAsyncResult *Outcome, gpointer Data) {
-    const std::unique_ptr<Held> Mine(static_cast<Held *>(Data));
-    Pipe &Each = **Mine;
+void Relay::startRead(const std::shared_ptr<Pipe> &Direction) {
+  using PipePtr = std::shared_ptr<Pipe>;
+  const auto OnRead = +[](GObject *From, GAsyncResult *Outcome, gpointer Data) {
+    const std::unique_ptr<PipePtr> Owned(static_cast<PipePtr *>(Data));
+    Pipe &Current = **Owned;
     const gssize Size =
         g_input_stream_read_finish(G_INPUT_STREAM(From), Outcome, nullptr);
-    if (Size <= 0 || !Each.m_Ends->m_Open) {
-      Each.m_Ends->close();
+    if (Size <= 0 || !Current.m_Connection->m_Open) {
+      Current.m_Connection->close();
       return;
     }
-    Each.m_Size = static_cast<std::size_t>(Size);
-    Each.m_Owner->arrived(*Mine);
+    Current.m_Size = static_cast<std::size_t>(Size);
+    Current.m_Owner->handleRead(*Owned);
   };
-  g_input_stream_read_async(Way->m_From, Way->m_Piece.data(),
-                            Way->m_Piece.size(), G_PRIORITY_DEFAULT, nullptr,
-                            Done, new Held(Way));
+  g_input_stream_read_async(Direction->m_From, Direction->m_Buffer.data(),
+                            Direction->m_Buffer.size(), G_PRIORITY_DEFAULT,
+                            nullptr, OnRead, new PipePtr(Direction));
 }
 
-void Relay::arrived(const std::shared_ptr<Pipe> &Way) {
+void Relay::handleRead(const std::shared_ptr<Pipe> &Direction) {
   if (m_Delay == Duration::zero()) {
-    passOn(Way);
+    forward(Direction);
     return;
   }
-  using Held = std::shared_ptr<Pipe>;
-  const auto Due = +[](gpointer Data) -> gboolean {
-    const std::unique_ptr<Held> Mine(static_cast<Held *>(Data));
+  using PipePtr = std::shared_ptr<Pipe>;
+  const auto OnTimer = +[](gpointer Data) -> gboolean {
+    const std::unique_ptr<PipePtr> Owned(static_cast<PipePtr *>(Data));
     // An open connection's relay is there still.
-    if ((*Mine)->m_Ends->m_Open)
-      (*Mine)->m_Owner->passOn(*Mine);
+    if ((*Owned)->m_Connection->m_Open)
+      (*Owned)->m_Owner->forward(*Owned);
     return G_SOURCE_REMOVE;
   };
   const auto Milliseconds =
       std::chrono::ceil<std::chrono::milliseconds>(m_Delay).count();
-  g_timeout_add(static_cast<guint>(Milliseconds), Due, new Held(Way));
+  g_timeout_add(static_cast<guint>(Milliseconds), OnTimer,
+                new PipePtr(Direction));
 }
 
-void Relay::passOn(const std::shared_ptr<Pipe> &Way) {
+void Relay::forward(const std::shared_ptr<Pipe> &Direction) {
   if (m_Silence == Silence::Both ||
-      (m_Silence == Silence::Outward && Way->m_Outward)) {
-    m_Held.push_back(Way);
+      (m_Silence == Silence::Outward && Direction->m_IsToTarget)) {
+    m_HeldPipes.push_back(Direction);
     return;
   }
-  if (g_output_stream_write_all(Way->m_To, Way->m_Piece.data(), Way->m_Size,
-                                nullptr, nullptr, nullptr) == 0)
-    Way->m_Ends->close();
+  if (g_output_stream_write_all(Direction->m_To, Direction->m_Buffer.data(),
+                                Direction->m_Size, nullptr, nullptr,
+                                nullptr) == 0)
+    Direction->m_Connection->close();
   else
-    pump(Way);
+    startRead(Direction);
 }
 
-void Relay::setSilence(Silence Which) {
-  m_Silence = Which;
-  std::list<std::shared_ptr<Pipe>> Held;
-  Held.swap(m_Held);
-  for (const std::shared_ptr<Pipe> &Each : Held)
-    if (Each->m_Ends->m_Open)
-      passOn(Each);
+void Relay::setSilence(Silence Mode) {
+  m_Silence = Mode;
+  std::list<std::shared_ptr<Pipe>> Released;
+  Released.swap(m_HeldPipes);
+  for (const std::shared_ptr<Pipe> &Direction : Released)
+    if (Direction->m_Connection->m_Open)
+      forward(Direction);
 }
 
 void Relay::reset() {
-  for (const std::shared_ptr<Connection> &Each : m_Connections)
-    Each->close();
+  for (const std::shared_ptr<Connection> &Open : m_Connections)
+    Open->close();
   m_Connections.clear();
-  m_Held.clear();
+  m_HeldPipes.clear();
 }
 
 void Relay::cut() {
-  m_Cut = true;
+  m_Blocked = true;
   reset();
 }
 
-void Relay::mend() { m_Cut = false; }
+void Relay::mend() { m_Blocked = false; }
 
 } // namespace crowstep::test
--- a/tests/process/relay.h
+++ b/tests/process/relay.h
@@ -26,7 +26,7 @@
   Relay(const Relay &) = delete;
   Relay &operator=(const Relay &) = delete;
 
-  [[nodiscard]] const Address &address() const { return m_Listen; }
+  [[nodiscard]] const Address &address() const { return m_ListenAddress; }
 
   /// Closes all connections and refuses new ones until mend().
   void cut();
@@ -37,7 +37,7 @@
   void reset();
 
   /// Holds bytes back; None passes on what was held.
-  void setSilence(Silence Which);
+  void setSilence(Silence Mode);
 
   /// Bytes stay this long on their way from now on.
   void setDelay(Duration Delay) { m_Delay = Delay; }
@@ -45,18 +45,18 @@
 private:
   struct Pipe;
   struct Connection;
-  void accept(void *Incoming);
-  void pump(const std::shared_ptr<Pipe> &Way);
-  void arrived(const std::shared_ptr<Pipe> &Way);
-  void passOn(const std::shared_ptr<Pipe> &Way);
+  void accept(void *Accepted);
+  void startRead(const std::shared_ptr<Pipe> &Direction);
+  void handleRead(const std::shared_ptr<Pipe> &Direction);
+  void forward(const std::shared_ptr<Pipe> &Direction);
 
-  Address m_Target;                        ///< Where the bytes go.
-  Address m_Listen;                        ///< Where the relay is.
-  GSocketService *m_Service;               ///< Owned.
-  bool m_Cut = false;                      ///< Refuses connections.
-  Duration m_Delay{};                      ///< Of each piece.
-  Silence m_Silence = Silence::None;       ///< See setSilence().
-  std::list<std::shared_ptr<Pipe>> m_Held; ///< Pieces held back.
+  Address m_Target;                             ///< Where the bytes go.
+  Address m_ListenAddress;                      ///< Where the relay is.
+  GSocketService *m_Service;                    ///< Owned.
+  bool m_Blocked = false;                       ///< Refuses connections.
+  Duration m_Delay{};                           ///< Of each piece.
+  Silence m_Silence = Silence::None;            ///< See setSilence().
+  std::list<std::shared_ptr<Pipe>> m_HeldPipes; ///< Pieces held back.
   std::list<std::shared_ptr<Connection>> m_Connections; ///< Open ones.
 };
 
--- a/tests/process/table_test.cpp
+++ b/tests/process/table_test.cpp
@@ -13,38 +13,38 @@
 constexpr const char *OperatorKey = "operator-key";
 
 /// Returns the version that the dispatcher of \p Of has in force, or 0.
-std::uint64_t versionAt(Fleet &Under, const TestInstance &Of) {
-  const nlohmann::json Status = Under.caller().json(
-      "GET", Of.m_Admin, "/v1/status", nullptr, OperatorKey);
+std::uint64_t tableVersionAt(Fleet &TestFleet, const TestInstance &Instance) {
+  const nlohmann::json Status = TestFleet.caller().json(
+      "GET", Instance.m_Admin, "/v1/status", nullptr, OperatorKey);
   return Status.is_object() ? Status.value("table_version", 0U) : 0;
 }
 
-std::string csvAt(Fleet &Under, const TestInstance &Of) {
-  Call Ask;
-  Ask.m_Method = "GET";
-  Ask.m_Where = Of.m_Admin;
-  Ask.m_Path = "/v1/table";
-  Ask.m_Headers["Authorization"] = std::string("Bearer ") + OperatorKey;
-  return Under.caller().call(Ask).m_Body;
+std::string tableCsvAt(Fleet &TestFleet, const TestInstance &Instance) {
+  Call Request;
+  Request.m_Method = "GET";
+  Request.m_Where = Instance.m_Admin;
+  Request.m_Path = "/v1/table";
+  Request.m_Headers["Authorization"] = std::string("Bearer ") + OperatorKey;
+  return TestFleet.caller().call(Request).m_Body;
 }
 
 /// Returns whether the dispatcher of \p Of has a table in force whose longest
 /// output is \p Tokens. Versions alone don't tell: they also grow when the
 /// instances that vouch for a version are replaced.
-bool holds(Fleet &Under, const TestInstance &Of, int Tokens) {
-  return csvAt(Under, Of).find("," + std::to_string(Tokens) + ",") !=
-         std::string::npos;
+bool hasMaxTokens(Fleet &TestFleet, const TestInstance &Instance, int Tokens) {
+  return tableCsvAt(TestFleet, Instance)
+             .find("," + std::to_string(Tokens) + ",") != std::string::npos;
 }
 
-Call changeAt(const TestInstance &Of, const std::string &Csv,
-              std::uint64_t Read) {
+Call changeCall(const TestInstance &Instance, const std::string &Csv,
+                std::uint64_t BaseVersion) {
   Call Change;
   Change.m_Method = "PUT";
-  Change.m_Where = Of.m_Admin;
+  Change.m_Where = Instance.m_Admin;
   Change.m_Path = "/v1/table";
   Change.m_Body = Csv;
   Change.m_Headers = {{"Authorization", std::string("Bearer ") + OperatorKey},
-                      {"If-Match", std::to_string(Read)}};
+                      {"If-Match", std::to_string(BaseVersion)}};
   return Change;
 }
 
@@ -52,9 +52,9 @@
 std::string withMaxTokens(const std::string &Csv, int Tokens) {
   std::string Result = Csv;
   const std::string Old = ",2000,";
-  for (std::size_t Place = Result.find(Old); Place != std::string::npos;
-       Place = Result.find(Old, Place + 1))
-    Result.replace(Place, Old.size(), "," + std::to_string(Tokens) + ",");
+  for (std::size_t Position = Result.find(Old); Position != std::string::npos;
+       Position = Result.find(Old, Position + 1))
+    Result.replace(Position, Old.size(), "," + std::to_string(Tokens) + ",");
   return Result;
 }
 
@@ -64,76 +64,85 @@
 // entry gets the new limit; also after every instance was restarted while the
 // table service was down for some of them.
 BOOST_AUTO_TEST_CASE(AcceptedIsInForceAtEveryEntryAndStays) {
-  Fleet Under({});
-  Under.start();
-  const TestInstance &First = Under.instances()[0];
-  const std::uint64_t Read = versionAt(Under, First);
-  const std::string Csv = withMaxTokens(csvAt(Under, First), 7);
-  const Told Answer = Under.caller().call(changeAt(First, Csv, Read));
+  Fleet TestFleet({});
+  TestFleet.start();
+  const TestInstance &First = TestFleet.instances()[0];
+  const std::uint64_t BaseVersion = tableVersionAt(TestFleet, First);
+  const std::string Csv = withMaxTokens(tableCsvAt(TestFleet, First), 7);
+  const Told Answer =
+      TestFleet.caller().call(changeCall(First, Csv, BaseVersion));
   BOOST_REQUIRE(Answer.m_Status == 200U);
   for (std::size_t Index = 0; Index < 3; ++Index) {
     const Told Guide =
-        Under.caller().call(Under.chat(Index, "guide", 30, false));
+        TestFleet.caller().call(TestFleet.chat(Index, "guide", 30, false));
     BOOST_TEST(!isWholeAnswer(Guide.text(), 30), "old table in force");
   }
-  Under.platformFault("tables", "refuse");
-  Under.instances()[1].m_Dispatcher->kill();
-  Under.instances()[1].m_Entry->kill();
-  Under.startInstance(1);
-  BOOST_TEST(Under.waitReady(1, 15s), "learns the table from its peers");
-  BOOST_TEST(holds(Under, Under.instances()[1], 7));
-  Under.platformFault("tables", "none");
+  TestFleet.platformFault("tables", "refuse");
+  TestFleet.instances()[1].m_Dispatcher->kill();
+  TestFleet.instances()[1].m_Entry->kill();
+  TestFleet.startInstance(1);
+  BOOST_TEST(TestFleet.waitReady(1, 15s), "learns the table from its peers");
+  BOOST_TEST(hasMaxTokens(TestFleet, TestFleet.instances()[1], 7));
+  TestFleet.platformFault("tables", "none");
 }
 
 // Two operators change the same version at two instances: one is told
 // "accepted", the other gets a conflict with the difference.
 BOOST_AUTO_TEST_CASE(RacingOperatorsGetOneWinner) {
-  Fleet Under({});
-  Under.start();
-  const std::uint64_t Read = versionAt(Under, Under.instances()[0]);
-  const std::string Csv = csvAt(Under, Under.instances()[0]);
-  const auto One = Under.caller().start(
-      changeAt(Under.instances()[0], withMaxTokens(Csv, 11), Read));
-  const auto Two = Under.caller().start(
-      changeAt(Under.instances()[1], withMaxTokens(Csv, 12), Read));
-  BOOST_TEST(runUntil([&] { return One->m_Ended && Two->m_Ended; }, 20s));
-  const unsigned Statuses = One->m_Status + Two->m_Status;
-  BOOST_TEST(Statuses == 200U + 409U, One->m_Body << Two->m_Body);
-  const Told &Loser = One->m_Status == 409 ? *One : *Two;
+  Fleet TestFleet({});
+  TestFleet.start();
+  const std::uint64_t BaseVersion =
+      tableVersionAt(TestFleet, TestFleet.instances()[0]);
+  const std::string Csv = tableCsvAt(TestFleet, TestFleet.instances()[0]);
+  const auto FirstAnswer = TestFleet.caller().start(changeCall(
+      TestFleet.instances()[0], withMaxTokens(Csv, 11), BaseVersion));
+  const auto SecondAnswer = TestFleet.caller().start(changeCall(
+      TestFleet.instances()[1], withMaxTokens(Csv, 12), BaseVersion));
+  BOOST_TEST(runUntil(
+      [&] { return FirstAnswer->m_Ended && SecondAnswer->m_Ended; }, 20s));
+  const unsigned Statuses = FirstAnswer->m_Status + SecondAnswer->m_Status;
+  BOOST_TEST(Statuses == 200U + 409U,
+             FirstAnswer->m_Body << SecondAnswer->m_Body);
+  const Told &Loser =
+      FirstAnswer->m_Status == 409 ? *FirstAnswer : *SecondAnswer;
   BOOST_TEST(Loser.m_Body.find("conflict") != std::string::npos);
-  const int Won = One->m_Status == 200 ? 11 : 12;
-  for (const TestInstance &Each : Under.instances())
-    BOOST_TEST(holds(Under, Each, Won));
+  const int WinningTokens = FirstAnswer->m_Status == 200 ? 11 : 12;
+  for (const TestInstance &Instance : TestFleet.instances())
+    BOOST_TEST(hasMaxTokens(TestFleet, Instance, WinningTokens));
 }
 
 // The commit takes effect but its answer is lost: the operator is not told
 // that nothing happened, and the version holds everywhere.
 BOOST_AUTO_TEST_CASE(LostAnswerToACommitIsResolved) {
-  Fleet Under({});
-  Under.start();
-  const std::uint64_t Read = versionAt(Under, Under.instances()[0]);
-  const std::string Csv = csvAt(Under, Under.instances()[0]);
-  Under.platformFault("table_writes", "drop_answer", 0, 2);
-  const Told Answer = Under.caller().call(
-      changeAt(Under.instances()[0], withMaxTokens(Csv, 9), Read));
-  Under.platformFault("table_writes", "none");
+  Fleet TestFleet({});
+  TestFleet.start();
+  const std::uint64_t BaseVersion =
+      tableVersionAt(TestFleet, TestFleet.instances()[0]);
+  const std::string Csv = tableCsvAt(TestFleet, TestFleet.instances()[0]);
+  TestFleet.platformFault("table_writes", "drop_answer", 0, 2);
+  const Told Answer = TestFleet.caller().call(
+      changeCall(TestFleet.instances()[0], withMaxTokens(Csv, 9), BaseVersion));
+  TestFleet.platformFault("table_writes", "none");
   BOOST_TEST(
       (Answer.m_Status == 200 ||
        Answer.m_Body.find("\"may_have_committed\": true") != std::string::npos),
       Answer.m_Body);
-  BOOST_TEST(
-      runUntil([&] { return holds(Under, Under.instances()[2], 9); }, 10s));
+  BOOST_TEST(runUntil(
+      [&] { return hasMaxTokens(TestFleet, TestFleet.instances()[2], 9); },
+      10s));
 }
 
 // An operator's mistake in a cell changes nothing and names the cell.
 BOOST_AUTO_TEST_CASE(BadCellIsNamedAndNothingChanges) {
-  Fleet Under({});
-  Under.start();
-  const std::uint64_t Read = versionAt(Under, Under.instances()[0]);
-  const std::string Csv = withMaxTokens(csvAt(Under, Under.instances()[0]), -5);
-  const Told Answer =
-      Under.caller().call(changeAt(Under.instances()[0], Csv, Read));
+  Fleet TestFleet({});
+  TestFleet.start();
+  const std::uint64_t BaseVersion =
+      tableVersionAt(TestFleet, TestFleet.instances()[0]);
+  const std::string Csv =
+      withMaxTokens(tableCsvAt(TestFleet, TestFleet.instances()[0]), -5);
+  const Told Answer = TestFleet.caller().call(
+      changeCall(TestFleet.instances()[0], Csv, BaseVersion));
   BOOST_TEST(Answer.m_Status == 422U);
   BOOST_TEST(Answer.m_Body.find("max_tokens") != std::string::npos);
-  BOOST_TEST(holds(Under, Under.instances()[0], 2000));
+  BOOST_TEST(hasMaxTokens(TestFleet, TestFleet.instances()[0], 2000));
 }
--- a/tests/process/upstream_test.cpp
+++ b/tests/process/upstream_test.cpp
@@ -17,16 +17,16 @@
   return Plan;
 }
 
-std::size_t ranAt(Fleet &Under, const std::string &Upstream) {
+std::size_t recordedCallsAt(Fleet &TestFleet, const std::string &Upstream) {
   std::size_t Count = 0;
-  for (const RanCall &Each : Under.ran("writer"))
-    Count += Each.m_Upstream == Upstream ? 1 : 0;
+  for (const RanCall &Record : TestFleet.ran("writer"))
+    Count += Record.m_Upstream == Upstream ? 1 : 0;
   return Count;
 }
 
-bool allEnded(const std::vector<std::shared_ptr<const Told>> &All) {
-  return std::all_of(All.begin(), All.end(),
-                     [](const auto &Each) { return Each->m_Ended; });
+bool allEnded(const std::vector<std::shared_ptr<const Told>> &Answers) {
+  return std::all_of(Answers.begin(), Answers.end(),
+                     [](const auto &Answer) { return Answer->m_Ended; });
 }
 
 } // namespace
@@ -35,22 +35,22 @@
 // answer: what is missing comes from another engine, from where the first one
 // stopped, and no token comes twice.
 BOOST_AUTO_TEST_CASE(BrokenStreamIsResumedElsewhere) {
-  Fleet Under(threeEngines());
-  Under.start();
-  Under.upstreamFault(
+  Fleet TestFleet(threeEngines());
+  TestFleet.start();
+  TestFleet.upstreamFault(
       "writer-1",
       {{"mode", "crash_mid_stream"}, {"after_tokens", 10}, {"count", 0}});
-  std::vector<std::shared_ptr<const Told>> All;
-  for (std::size_t Each = 0; Each < 12; ++Each)
-    All.push_back(Under.caller().start(Under.chat(
-        Each % 3, "guide", 40, true, "prompt " + std::to_string(Each))));
-  BOOST_TEST(runUntil([&] { return allEnded(All); }, 30s));
-  for (const auto &Each : All) {
-    BOOST_TEST(Each->m_Status == 200U, Each->m_Body);
-    BOOST_TEST(isWholeAnswer(Each->text(), 40), Each->m_Body);
-    BOOST_TEST(Each->streamEnded());
+  std::vector<std::shared_ptr<const Told>> Answers;
+  for (std::size_t I = 0; I < 12; ++I)
+    Answers.push_back(TestFleet.caller().start(TestFleet.chat(
+        I % 3, "guide", 40, true, "prompt " + std::to_string(I))));
+  BOOST_TEST(runUntil([&] { return allEnded(Answers); }, 30s));
+  for (const auto &Answer : Answers) {
+    BOOST_TEST(Answer->m_Status == 200U, Answer->m_Body);
+    BOOST_TEST(isWholeAnswer(Answer->text(), 40), Answer->m_Body);
+    BOOST_TEST(Answer->streamEnded());
   }
-  BOOST_TEST(ranAt(Under, "writer-1") > 0U);
+  BOOST_TEST(recordedCallsAt(TestFleet, "writer-1") > 0U);
 }
 
 // The link to an engine is cut in the middle of all its streams, and stays cut.
@@ -58,24 +58,24 @@
 BOOST_AUTO_TEST_CASE(CutLinkToAnEngineIsResumedElsewhere) {
   FleetPlan Plan = threeEngines();
   Plan.m_CanCutUpstreams = true;
-  Fleet Under(Plan);
-  Under.start();
-  std::vector<std::shared_ptr<const Told>> All;
-  for (std::size_t Each = 0; Each < 9; ++Each)
-    All.push_back(Under.caller().start(Under.chat(
-        Each % 3, "guide", 100, true, "cut " + std::to_string(Each))));
+  Fleet TestFleet(Plan);
+  TestFleet.start();
+  std::vector<std::shared_ptr<const Told>> Answers;
+  for (std::size_t I = 0; I < 9; ++I)
+    Answers.push_back(TestFleet.caller().start(
+        TestFleet.chat(I % 3, "guide", 100, true, "cut " + std::to_string(I))));
   BOOST_TEST(runUntil(
       [&] {
-        return std::all_of(All.begin(), All.end(), [](const auto &Each) {
-          return !Each->m_Body.empty();
-        });
+        return std::all_of(
+            Answers.begin(), Answers.end(),
+            [](const auto &Answer) { return !Answer->m_Body.empty(); });
       },
       10s));
-  Under.cutUpstream("writer-1", true);
-  BOOST_TEST(runUntil([&] { return allEnded(All); }, 30s));
-  for (const auto &Each : All)
-    BOOST_TEST(isWholeAnswer(Each->text(), 100), Each->m_Body);
-  BOOST_TEST(ranAt(Under, "writer-1") > 0U);
+  TestFleet.cutUpstream("writer-1", true);
+  BOOST_TEST(runUntil([&] { return allEnded(Answers); }, 30s));
+  for (const auto &Answer : Answers)
+    BOOST_TEST(isWholeAnswer(Answer->text(), 100), Answer->m_Body);
+  BOOST_TEST(recordedCallsAt(TestFleet, "writer-1") > 0U);
 }
 
 // Keyed calls reach a desk that closes before it answers. Nobody can know
@@ -83,67 +83,68 @@
 BOOST_AUTO_TEST_CASE(ClosedKeyedCallIsUnknownAndNotRepeated) {
   FleetPlan Plan;
   Plan.m_Services = 2;
-  Fleet Under(Plan);
-  Under.start();
+  Fleet TestFleet(Plan);
+  TestFleet.start();
   for (const char *Name : {"desk-1", "desk-2"})
-    Under.upstreamFault(Name, {{"mode", "drop_answer"}, {"count", 0}});
-  const Told First =
-      Under.caller().call(Under.desk(0, "hold", "closed-1", "{\"seat\":1}"));
+    TestFleet.upstreamFault(Name, {{"mode", "drop_answer"}, {"count", 0}});
+  const Told First = TestFleet.caller().call(
+      TestFleet.desk(0, "hold", "closed-1", "{\"seat\":1}"));
   BOOST_TEST(First.m_Run == "unknown", First.m_Body);
   for (const char *Name : {"desk-1", "desk-2"})
-    Under.upstreamFault(Name, {{"mode", "none"}});
-  const Told Again =
-      Under.caller().call(Under.desk(1, "hold", "closed-1", "{\"seat\":1}"));
+    TestFleet.upstreamFault(Name, {{"mode", "none"}});
+  const Told Again = TestFleet.caller().call(
+      TestFleet.desk(1, "hold", "closed-1", "{\"seat\":1}"));
   BOOST_TEST(Again.m_Run == "unknown", Again.m_Body);
   std::size_t Ran = 0;
-  for (const RanCall &Each : Under.ran("desk"))
-    Ran += Each.m_Key.find("closed-1") != std::string::npos ? 1 : 0;
+  for (const RanCall &Record : TestFleet.ran("desk"))
+    Ran += Record.m_Key.find("closed-1") != std::string::npos ? 1 : 0;
   BOOST_TEST(Ran <= 1U);
 }
 
 // An operator drains an engine. After five seconds it gets nothing new, and
 // what it was doing is not cut.
 BOOST_AUTO_TEST_CASE(DrainedEngineGetsNothingNewAndCutsNothing) {
-  Fleet Under(threeEngines());
-  Under.start();
+  Fleet TestFleet(threeEngines());
+  TestFleet.start();
   std::vector<std::shared_ptr<const Told>> Running;
-  for (std::size_t Each = 0; Each < 9; ++Each)
+  for (std::size_t I = 0; I < 9; ++I)
     Running.push_back(
-        Under.caller().start(Under.chat(Each % 3, "guide", 150, true)));
+        TestFleet.caller().start(TestFleet.chat(I % 3, "guide", 150, true)));
   runFor(300ms);
-  Under.caller().json("PUT", Under.instances()[1].m_Admin,
-                      "/v1/drains/upstream/writer-2", nullptr, "operator-key");
+  TestFleet.caller().json("PUT", TestFleet.instances()[1].m_Admin,
+                          "/v1/drains/upstream/writer-2", nullptr,
+                          "operator-key");
   runFor(5s);
-  const std::size_t Before = ranAt(Under, "writer-2");
+  const std::size_t Before = recordedCallsAt(TestFleet, "writer-2");
   std::vector<std::shared_ptr<const Told>> Later;
-  for (std::size_t Each = 0; Each < 18; ++Each)
+  for (std::size_t I = 0; I < 18; ++I)
     Later.push_back(
-        Under.caller().start(Under.chat(Each % 3, "guide", 10, true)));
+        TestFleet.caller().start(TestFleet.chat(I % 3, "guide", 10, true)));
   BOOST_TEST(
       runUntil([&] { return allEnded(Running) && allEnded(Later); }, 30s));
-  BOOST_TEST(ranAt(Under, "writer-2") == Before);
-  for (const auto &Each : Running)
-    BOOST_TEST(isWholeAnswer(Each->text(), 150), Each->m_Body);
-  for (const auto &Each : Later)
-    BOOST_TEST(isWholeAnswer(Each->text(), 10), Each->m_Body);
+  BOOST_TEST(recordedCallsAt(TestFleet, "writer-2") == Before);
+  for (const auto &Answer : Running)
+    BOOST_TEST(isWholeAnswer(Answer->text(), 150), Answer->m_Body);
+  for (const auto &Answer : Later)
+    BOOST_TEST(isWholeAnswer(Answer->text(), 10), Answer->m_Body);
 }
 
 // An engine says that it is leaving while the platform's list, which lags,
 // still shows it. Callers see whole answers; after a few seconds no call
 // reaches it.
 BOOST_AUTO_TEST_CASE(LeavingEngineIsBelievedBeforeTheList) {
-  Fleet Under(threeEngines());
-  Under.start();
-  Under.caller().json("POST", Under.upstreamAddress("writer-3"), "/v1/drain",
-                      {{"leaving", true}});
-  std::vector<std::shared_ptr<const Told>> All;
-  for (std::size_t Each = 0; Each < 9; ++Each)
-    All.push_back(
-        Under.caller().start(Under.chat(Each % 3, "guide", 10, true)));
-  BOOST_TEST(runUntil([&] { return allEnded(All); }, 20s));
-  for (const auto &Each : All)
-    BOOST_TEST(isWholeAnswer(Each->text(), 10), Each->m_Body);
-  BOOST_TEST(ranAt(Under, "writer-3") == 0U);
+  Fleet TestFleet(threeEngines());
+  TestFleet.start();
+  TestFleet.caller().json("POST", TestFleet.upstreamAddress("writer-3"),
+                          "/v1/drain", {{"leaving", true}});
+  std::vector<std::shared_ptr<const Told>> Answers;
+  for (std::size_t I = 0; I < 9; ++I)
+    Answers.push_back(
+        TestFleet.caller().start(TestFleet.chat(I % 3, "guide", 10, true)));
+  BOOST_TEST(runUntil([&] { return allEnded(Answers); }, 20s));
+  for (const auto &Answer : Answers)
+    BOOST_TEST(isWholeAnswer(Answer->text(), 10), Answer->m_Body);
+  BOOST_TEST(recordedCallsAt(TestFleet, "writer-3") == 0U);
 }
 
 // Callers that go away free their engine: the engine stops generating for
@@ -152,21 +153,24 @@
   FleetPlan Plan;
   Plan.m_Engines = 1;
   Plan.m_EngineSettings = "token_ms = 10\n";
-  Fleet Under(Plan);
-  Under.start();
+  Fleet TestFleet(Plan);
+  TestFleet.start();
   {
-    Caller Gone;
-    std::vector<std::shared_ptr<const Told>> All;
-    for (std::size_t Each = 0; Each < 4; ++Each)
-      All.push_back(Gone.start(Under.chat(0, "guide", 2000, true)));
+    Caller LeavingCaller;
+    std::vector<std::shared_ptr<const Told>> Answers;
+    for (std::size_t I = 0; I < 4; ++I)
+      Answers.push_back(
+          LeavingCaller.start(TestFleet.chat(0, "guide", 2000, true)));
     runUntil(
         [&] {
-          return std::all_of(All.begin(), All.end(),
-                             [](const auto &S) { return !S->m_Body.empty(); });
+          return std::all_of(
+              Answers.begin(), Answers.end(),
+              [](const auto &Answer) { return !Answer->m_Body.empty(); });
         },
         10s);
   }
-  const Told Next = Under.caller().call(Under.chat(1, "guide", 5, false));
+  const Told Next =
+      TestFleet.caller().call(TestFleet.chat(1, "guide", 5, false));
   BOOST_TEST(Next.m_Status == 200U, Next.m_Body);
   BOOST_TEST((Next.m_Elapsed < 5s));
 }
--- a/tests/process/urgent_test.cpp
+++ b/tests/process/urgent_test.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-using Answers = std::vector<std::shared_ptr<const Told>>;
+using CallResults = std::vector<std::shared_ptr<const Told>>;
 
-bool allEnded(const Answers &All) {
-  return std::all_of(All.begin(), All.end(),
-                     [](const auto &Each) { return Each->m_Ended; });
+bool allEnded(const CallResults &Answers) {
+  return std::all_of(Answers.begin(), Answers.end(),
+                     [](const auto &Answer) { return Answer->m_Ended; });
 }
 
 } // namespace
@@ -28,27 +28,27 @@
   Plan.m_Engines = 2;
   Plan.m_Slots = 4;
   Plan.m_EngineSettings = "token_ms = 10\nbatch_penalty = 0\n";
-  Fleet Under(Plan);
-  Under.start();
-  Answers Guides;
-  for (std::size_t Each = 0; Each < 16; ++Each)
-    Guides.push_back(Under.caller().start(Under.chat(
-        Each % 3, "guide", 250, true, "guide " + std::to_string(Each))));
+  Fleet TestFleet(Plan);
+  TestFleet.start();
+  CallResults Guides;
+  for (std::size_t I = 0; I < 16; ++I)
+    Guides.push_back(TestFleet.caller().start(TestFleet.chat(
+        I % 3, "guide", 250, true, "guide " + std::to_string(I))));
   runFor(500ms);
-  Answers Urgent;
-  for (std::size_t Each = 0; Each < 16; ++Each)
-    Urgent.push_back(Under.caller().start(Under.chat(
-        Each % 3, "urgent", 10, true, "urgent " + std::to_string(Each))));
+  CallResults Urgent;
+  for (std::size_t I = 0; I < 16; ++I)
+    Urgent.push_back(TestFleet.caller().start(TestFleet.chat(
+        I % 3, "urgent", 10, true, "urgent " + std::to_string(I))));
   BOOST_TEST(runUntil([&] { return allEnded(Urgent); }, 20s));
-  for (const auto &Each : Urgent) {
-    BOOST_TEST(Each->m_Status == 200U, Each->m_Body);
-    BOOST_TEST(isWholeAnswer(Each->text(), 10));
-    BOOST_TEST((Each->m_FirstByte < 2s));
+  for (const auto &Answer : Urgent) {
+    BOOST_TEST(Answer->m_Status == 200U, Answer->m_Body);
+    BOOST_TEST(isWholeAnswer(Answer->text(), 10));
+    BOOST_TEST((Answer->m_FirstByte < 2s));
   }
   BOOST_TEST(runUntil([&] { return allEnded(Guides); }, 60s));
-  for (const auto &Each : Guides) {
-    BOOST_TEST(Each->m_Status == 200U, Each->m_Body);
-    BOOST_TEST(isWholeAnswer(Each->text(), 250), Each->m_Body.size());
+  for (const auto &Answer : Guides) {
+    BOOST_TEST(Answer->m_Status == 200U, Answer->m_Body);
+    BOOST_TEST(isWholeAnswer(Answer->text(), 250), Answer->m_Body.size());
   }
 }
 
@@ -61,23 +61,23 @@
       "max_tokens,max_rate,repeatable,preemptible\n"
       "1,check,desk,,1,40,500,0,5000,0,5,yes,no\n"
       "4,guide,writer,m,5,10,10000,200,60000,2000,0,yes,yes\n";
-  Fleet Under(Plan);
-  Under.start();
-  Answers All;
-  for (std::size_t Each = 0; Each < 40; ++Each)
-    All.push_back(
-        Under.caller().start(Under.desk(Each % 3, "check", "", "{}")));
-  BOOST_TEST(runUntil([&] { return allEnded(All); }, 10s));
+  Fleet TestFleet(Plan);
+  TestFleet.start();
+  CallResults Answers;
+  for (std::size_t I = 0; I < 40; ++I)
+    Answers.push_back(
+        TestFleet.caller().start(TestFleet.desk(I % 3, "check", "", "{}")));
+  BOOST_TEST(runUntil([&] { return allEnded(Answers); }, 10s));
   std::size_t Refused = 0;
-  for (const auto &Each : All) {
-    if (Each->m_Status == 200)
+  for (const auto &Answer : Answers) {
+    if (Answer->m_Status == 200)
       continue;
     ++Refused;
-    BOOST_TEST(Each->m_Status == 429U);
-    BOOST_TEST(Each->code() == "class_rate");
-    BOOST_TEST(Each->m_Run == "not-run");
-    BOOST_TEST(!Each->m_RetryAfter.empty());
-    BOOST_TEST((Each->m_Elapsed < 1s));
+    BOOST_TEST(Answer->m_Status == 429U);
+    BOOST_TEST(Answer->code() == "class_rate");
+    BOOST_TEST(Answer->m_Run == "not-run");
+    BOOST_TEST(!Answer->m_RetryAfter.empty());
+    BOOST_TEST((Answer->m_Elapsed < 1s));
   }
   BOOST_TEST(Refused > 20U);
 }
