--- a/tests/process/at_most_once_test.cpp
+++ b/tests/process/at_most_once_test.cpp
@@ -1,7 +1,8 @@
-/// A call that may not be repeated runs at most once, and "not run" is true.
+/// A call that is not repeatable runs at most once, and the answer "not-run" is
+/// true.
 ///
-/// The oracle is outside the router: the stand-in desks record every call with
-/// its key, and the callers keep what they were told.
+/// Verified outside the router: the stand-in upstreams record every call with
+/// its key, and the callers keep the answers they got.
 #define BOOST_TEST_MODULE at_most_once
 #include "process/fleet.h"
 
@@ -15,16 +16,16 @@
 
 namespace {
 
-/// All that callers were told of one key.
+/// Results of all requests with one key.
 using CallResults = std::vector<std::shared_ptr<const Told>>;
 
-/// Sends a wave of holds, each key twice through different entries, and keeps
-/// sending those that were told to come back until \p Done.
+/// Sends keyed "hold" requests, each key twice through different entries, keeps
+/// their results, and compares them with the records of the upstreams.
 class KeyedCallers {
 public:
   explicit KeyedCallers(Fleet &TestFleet) : m_Fleet(TestFleet) {}
 
-  /// Starts \p Count new keys, each at entry Index and at the next one.
+  /// Sends requests with \p Count new keys, each at two successive entries.
   void sendWave(std::size_t Count) {
     for (std::size_t I = 0; I < Count; ++I) {
       const std::string Key = "key-" + std::to_string(m_NextNumber++);
@@ -40,7 +41,7 @@
     m_Results[Key].push_back(m_Fleet.caller().start(Request));
   }
 
-  /// Sends every key once more.
+  /// Sends another request with every key.
   void resendAll() {
     for (auto &[Key, Results] : m_Results)
       send(Key, ++m_NextNumber);
@@ -54,7 +55,8 @@
     return true;
   }
 
-  /// Compares what callers were told with what the desks ran.
+  /// Checks that each key ran at most once and that all answers agree with the
+  /// records of the upstreams.
   void checkAgainstRecords() {
     std::map<std::string, std::size_t> Ran;
     for (const RanCall &Record : m_Fleet.ran("desk"))
@@ -81,8 +83,8 @@
           First = Answer->m_Body;
         BOOST_TEST(Answer->m_Body == First, Key);
       }
-      // Told "not run" by every answer that came, the key must not have run.
     }
+    // If every answer says "not-run", the key must not have run.
     const bool AllNotRun =
         std::all_of(Results.begin(), Results.end(), [](const auto &Answer) {
           return Answer->m_Run == "not-run";
@@ -91,7 +93,7 @@
       BOOST_TEST(Ran == 0U, Key + " told not-run by all and ran");
   }
 
-  Fleet &m_Fleet;                               ///< Outlives this object.
+  Fleet &m_Fleet;                               ///< Must outlive this object.
   std::size_t m_NextNumber = 0;                 ///< For keys and entries.
   std::map<std::string, CallResults> m_Results; ///< By key.
 };
@@ -104,9 +106,9 @@
 
 } // namespace
 
-// Riders hold seats while an entry is killed in the middle of their calls. They
-// see a broken connection and send the key again through another entry. The
-// killed entry may have sent the call, so nobody else may ever send it.
+// An entry is killed in the middle of its keyed calls. Callers see a broken
+// connection and send the key again through another entry. The killed entry may
+// have sent the call, so no other entry may ever send it.
 BOOST_AUTO_TEST_CASE(EntryKilledInTheMiddle) {
   Fleet TestFleet(slowDesk());
   TestFleet.start();
@@ -122,8 +124,8 @@
   Callers.checkAgainstRecords();
 }
 
-// The table service carries out the claim's insert, but its answer is lost. The
-// entry does not know whether it holds the claim; it must find out, not guess.
+// The table service inserts the claim, but its answer is lost. The entry does
+// not know whether it holds the claim and must read it to find out.
 BOOST_AUTO_TEST_CASE(AnswersOfTheTableServiceAreLost) {
   Fleet TestFleet(slowDesk());
   TestFleet.start();
@@ -137,8 +139,8 @@
   Callers.checkAgainstRecords();
 }
 
-// An entry is frozen with claims and grants in hand, its callers go to other
-// entries, and it wakes up. Whatever it then sends must be its own claims.
+// An entry that holds claims and grants is suspended, its callers use other
+// entries, and it resumes. It may then send only calls whose claims it holds.
 BOOST_AUTO_TEST_CASE(FrozenEntryWakesUp) {
   Fleet TestFleet(slowDesk());
   TestFleet.start();
@@ -156,8 +158,8 @@
   Callers.checkAgainstRecords();
 }
 
-// The dispatcher that decides for the desk, and perhaps writes the claims, is
-// killed while the table service loses answers: two faults at once.
+// Two faults at once: the dispatcher that owns the pool of "desk", and may
+// write the claims, is killed while the table service loses answers.
 BOOST_AUTO_TEST_CASE(OwnerKilledWhileAnswersAreLost) {
   Fleet TestFleet(slowDesk());
   TestFleet.start();
@@ -177,8 +179,9 @@
   Callers.checkAgainstRecords();
 }
 
-// The table service is down for longer than a target allows: holds are refused
-// as "not run" at their target with a time to come back, checks go on.
+// The table service is down for longer than the latency target: keyed requests
+// are refused at their target as "not-run" with a Retry-After; requests without
+// a key are served.
 BOOST_AUTO_TEST_CASE(OutageRefusesHoldsAndServesChecks) {
   Fleet TestFleet(slowDesk());
   TestFleet.start();
--- a/tests/process/caller.cpp
+++ b/tests/process/caller.cpp
@@ -1,4 +1,4 @@
-/// Callers over libsoup.
+/// HTTP client over libsoup.
 #include "process/caller.h"
 
 #include "process/process.h"
@@ -13,15 +13,15 @@
 
 namespace {
 
-/// A call on its way.
+/// A call in progress; deletes itself when it ends.
 struct PendingCall {
-  std::shared_ptr<Told> m_Result = std::make_shared<Told>(); ///< Filled.
+  std::shared_ptr<Told> m_Result = std::make_shared<Told>(); ///< Shared.
   SoupMessage *m_Message = nullptr;                          ///< Owned.
-  GInputStream *m_Stream = nullptr;   ///< Owned, once headers came.
+  GInputStream *m_Stream = nullptr;   ///< Owned; null before the headers.
   GCancellable *m_Cancel = nullptr;   ///< Owned.
-  guint m_Timer = 0;                  ///< For the limit.
-  gint64 m_StartTime = 0;             ///< Monotonic.
-  std::array<char, 65536> m_Buffer{}; ///< Being read.
+  guint m_Timer = 0;                  ///< Time-out source; 0: none.
+  gint64 m_StartTime = 0;             ///< Monotonic, in µs.
+  std::array<char, 65536> m_Buffer{}; ///< Read buffer.
 
   ~PendingCall() {
     if (m_Timer != 0)
@@ -92,7 +92,7 @@
   return G_SOURCE_REMOVE;
 }
 
-/// Returns the text in one completion object, streamed or plain.
+/// Returns the text of one completion object, streamed or plain.
 std::string choiceText(const json &Body) {
   if (!Body.contains("choices") || Body["choices"].empty())
     return {};
@@ -139,7 +139,7 @@
 
 Caller::~Caller() {
   hangUp();
-  // Flights end within the loop; they must not outlive the session.
+  // Pending calls end in the loop; they must not outlive the session.
   runUntil([] { return g_main_context_pending(nullptr) == 0; },
            std::chrono::seconds(1));
   g_object_unref(m_Session);
@@ -165,8 +165,8 @@
   }
   for (const auto &[Name, Value] : Request.m_Headers)
     soup_message_headers_replace(Headers, Name.c_str(), Value.c_str());
-  // A connection a call: a killed entry must not look like a stale connection
-  // that libsoup opens again by itself.
+  // One connection per call: libsoup silently reopens a stale keep-alive
+  // connection, which would hide that an entry was killed.
   soup_message_headers_replace(Headers, "Connection", "close");
   const auto Limit =
       std::chrono::ceil<std::chrono::milliseconds>(Request.m_Limit);
--- a/tests/process/caller.h
+++ b/tests/process/caller.h
@@ -1,4 +1,4 @@
-/// Callers of the fleet under test: HTTP calls and what came of them.
+/// HTTP client of the process tests: asynchronous calls and their results.
 #ifndef CROWSTEP_TESTS_PROCESS_CALLER_H
 #define CROWSTEP_TESTS_PROCESS_CALLER_H
 
@@ -14,39 +14,39 @@
 
 namespace crowstep::test {
 
-/// One call.
+/// One HTTP request.
 struct Call {
   std::string m_Method = "POST"; ///< HTTP method.
-  Address m_Where;               ///< Entry, dispatcher or stand-in.
-  std::string m_Path;            ///< Path.
-  std::string m_Body;            ///< JSON, or empty.
-  std::map<std::string, std::string> m_Headers; ///< Further headers.
-  Duration m_Limit = std::chrono::seconds(30);  ///< For the whole call.
-  bool m_KeepsOpen = false; ///< Its connection may serve further calls.
+  Address m_Where;               ///< Server: entry, dispatcher or stand-in.
+  std::string m_Path;            ///< Path, without scheme and host.
+  std::string m_Body;            ///< JSON; empty: no body.
+  std::map<std::string, std::string> m_Headers; ///< Additional headers.
+  Duration m_Limit = std::chrono::seconds(30);  ///< Of the whole call.
+  bool m_KeepsOpen = false; ///< Honoured by soak::RawCaller only.
 };
 
-/// What a caller was told; m_Ended is false while the call goes on.
+/// Result of a call; m_Ended is false while the call is in progress.
 struct Told {
-  bool m_Ended = false;     ///< The call is over.
-  unsigned m_Status = 0;    ///< 0: no answer at all.
-  std::string m_Run;        ///< Crowstep-Run.
-  std::string m_RetryAfter; ///< Retry-After.
-  std::string m_Body;       ///< As far as it came.
-  bool m_Broken = false;    ///< The connection broke before the end.
+  bool m_Ended = false;     ///< The call has completed or failed.
+  unsigned m_Status = 0;    ///< HTTP status; 0: no response head.
+  std::string m_Run;        ///< Header Crowstep-Run.
+  std::string m_RetryAfter; ///< Header Retry-After.
+  std::string m_Body;       ///< Bytes received so far.
+  bool m_Broken = false;    ///< The response is incomplete.
   Duration m_Elapsed{};     ///< From the start to the end.
-  Duration m_FirstByte{};   ///< From the start to the first byte.
+  Duration m_FirstByte{};   ///< From the start to the first body byte.
 
-  /// Returns the error's code, or an empty text.
+  /// Returns the error code in the JSON body, or an empty string.
   [[nodiscard]] std::string code() const;
 
-  /// Returns the text of a completion, plain or streamed.
+  /// Returns the text of a completion, whether plain or streamed.
   [[nodiscard]] std::string text() const;
 
-  /// Returns whether a streamed answer came to its regular end.
+  /// Returns whether a streamed answer ended with "data: [DONE]".
   [[nodiscard]] bool streamEnded() const;
 };
 
-/// Starts calls on the test's loop.
+/// Sends requests on the test's main loop.
 class Caller {
 public:
   Caller();
@@ -54,20 +54,20 @@
   Caller(const Caller &) = delete;
   Caller &operator=(const Caller &) = delete;
 
-  /// Starts a call; the result fills while the loop runs.
+  /// Starts a call; the result is filled in while the loop runs.
   std::shared_ptr<const Told> start(const Call &Request);
 
-  /// Makes a call and waits for its end.
+  /// Makes a call and runs the loop until it ends.
   Told call(const Call &Request);
 
-  /// Makes a call to a stand-in or an administration API and returns its JSON
-  /// answer, or null.
+  /// Calls a stand-in or an administration API, with \p Key as bearer token
+  /// unless it is empty. Returns the JSON answer, or null if it is not JSON.
   nlohmann::json json(const std::string &Method, const Address &Server,
                       const std::string &Path,
                       const nlohmann::json &Body = nullptr,
                       const std::string &Key = {});
 
-  /// Gives up all calls on their way, as callers that go away.
+  /// Aborts all calls in progress, as callers that disconnect do.
   void hangUp();
 
 private:
--- a/tests/process/crashing_request_test.cpp
+++ b/tests/process/crashing_request_test.cpp
@@ -1,5 +1,5 @@
-/// Requests that crash the upstreams that run them, at real gateways between a
-/// stand-in of the store and upstreams in the test's own loop.
+/// A request that crashes every upstream that runs it. Real gateways run
+/// between a store stand-in and upstreams in the test's own main loop.
 #define BOOST_TEST_MODULE crashing_request
 #include "process/gateway_fleet.h"
 #include "standin/held_answer.h"
@@ -16,18 +16,20 @@
 
 constexpr const char *CrashingBody = "crash";
 
-/// Instances know of a crash this long after it.
+/// Longest time until all instances know of a crash.
 constexpr Duration PropagationTime = 3s;
 
-/// Runs that a request may still have after it has crashed three upstreams.
+/// Runs that a request may still have more than PropagationTime after it has
+/// crashed three upstreams.
 constexpr std::size_t MaxLateRuns = 3;
 
-constexpr Duration CrashDelay = 20ms;       ///< A run of the crashing request.
-constexpr Duration RunTime = 60ms;          ///< A run of any other.
-constexpr Duration RestartDelay = 700ms;    ///< A crashed upstream.
-constexpr Duration EntryRetention = 2500ms; ///< In the store after a crash.
+constexpr Duration CrashDelay = 20ms; ///< From the start of a run to its crash.
+constexpr Duration RunTime = 60ms;    ///< Of any other request.
+constexpr Duration RestartDelay = 700ms;    ///< Of a crashed upstream.
+constexpr Duration EntryRetention = 2500ms; ///< Of a store row after a crash.
 
-/// A place of an upstream, which starts again after a crash under another name.
+/// An upstream that restarts after a crash, on the same address with a new
+/// name.
 class RestartingUpstream {
 public:
   RestartingUpstream(int Number, StoreServer &Store, const Clock &Time,
@@ -37,8 +39,8 @@
     start();
   }
 
-  std::vector<TimePoint> m_Crashes; ///< So far.
-  std::vector<TimePoint> m_Runs;    ///< Of the crashing request.
+  std::vector<TimePoint> m_Crashes; ///< Times of all crashes.
+  std::vector<TimePoint> m_Runs;    ///< Starts of the crashing request.
 
 private:
   void start() {
@@ -78,19 +80,19 @@
   }
 
   int m_Number;                         ///< From 0.
-  int m_Starts = 0;                     ///< So far.
-  std::string m_Name;                   ///< Of this start.
+  int m_Starts = 0;                     ///< Number of starts so far.
+  std::string m_Name;                   ///< Changes with each start.
   Address m_ListenAddress;              ///< The same for all starts.
   StoreServer &m_Store;                 ///< Outlives it.
   const Clock &m_Clock;                 ///< Outlives it.
   Scheduler &m_Timers;                  ///< Outlives it.
-  std::unique_ptr<HttpServer> m_Server; ///< Null while it is down.
+  std::unique_ptr<HttpServer> m_Server; ///< Null between a crash and a start.
   std::vector<std::shared_ptr<HeldAnswer>> m_OpenAnswers; ///< Of this start.
 };
 
 struct CrashTestFleet : GatewayFleet {
   std::vector<std::unique_ptr<RestartingUpstream>>
-      m_Upstreams; ///< Of upstreams.
+      m_Upstreams; ///< All upstreams.
 
   CrashTestFleet() : GatewayFleet(4) {
     for (int I = 0; I < 8; ++I)
@@ -99,8 +101,7 @@
     BOOST_TEST(startAll());
   }
 
-  /// The crashing request comes again and again, at one gateway after the
-  /// other.
+  /// Sends the crashing request every 50 ms, to the gateways in turn.
   void sendCrashing(Duration Span, const std::string &Path) {
     const TimePoint End = m_Clock.fresh() + Span;
     for (std::size_t I = 0; m_Clock.fresh() < End; ++I) {
@@ -119,7 +120,8 @@
     return Result;
   }
 
-  /// Runs that came too late after the third crash.
+  /// Returns the number of runs that started more than PropagationTime after
+  /// the third crash.
   [[nodiscard]] std::size_t lateRuns() const {
     const auto Crashes = sortedTimes(&RestartingUpstream::m_Crashes);
     if (Crashes.size() < 3)
@@ -131,7 +133,8 @@
         }));
   }
 
-  /// Every gateway serves another request of the same caller on the same path.
+  /// Checks that every gateway serves a different request of the same caller on
+  /// the idempotent path.
   void checkOthersServed() {
     for (std::size_t I = 0; I < size(); ++I)
       BOOST_TEST(m_Caller.call(request(I, "/idempotent/x", "other")).m_Status ==
@@ -150,7 +153,7 @@
 
 } // namespace
 
-// Guards against a request that takes down one upstream after the other.
+// Guards against a request that crashes one upstream after another.
 BOOST_AUTO_TEST_CASE(ARequestThatCrashesUpstreamsIsStopped) {
   for (const char *Path : {"/idempotent/x", "/non_idempotent/x"}) {
     CrashTestFleet TestFleet;
@@ -163,7 +166,7 @@
   }
 }
 
-// Guards against a fleet that forgets such a request when all of it restarts.
+// Guards against a quarantine that is lost when all gateways restart.
 BOOST_AUTO_TEST_CASE(ARestartOfAllForgetsNoRequestThatCrashesUpstreams) {
   CrashTestFleet TestFleet;
   TestFleet.sendCrashing(6s, "/idempotent/x");
--- a/tests/process/fleet.cpp
+++ b/tests/process/fleet.cpp
@@ -1,4 +1,4 @@
-/// Starting, faulting and asking of a whole fleet.
+/// Starts the processes of a fleet, injects faults and reads records.
 #include "process/fleet.h"
 
 #include "contract/contract_func.h"
@@ -101,8 +101,8 @@
           {{"models", {"m"}}, {"can_resume", true}, {"checks_fencing", true}});
     Upstreams.push_back(Row);
   }
-  // Voters as after the first seconds of a fleet; without them an outage of the
-  // table service in those seconds ends every right to serve.
+  // Seeds the voters that a fleet has after its first seconds. Without them an
+  // outage of the table service in those seconds ends every right to serve.
   json Document = json::parse(contract::writeJson(Table));
   for (const TestInstance &Instance : m_Instances)
     Document["voters"].push_back(Instance.m_Name);
@@ -171,8 +171,8 @@
           setting("home", Dispatchers) + LinkSection);
 }
 
-/// Instances that start before the platform listens ask it again only after
-/// their interval, and know no upstream until then.
+/// Waits until the platform listens: an instance that starts earlier retries
+/// only after its polling interval, and knows no upstream until then.
 void Fleet::waitForPlatform() {
   Call Probe;
   Probe.m_Method = "GET";
--- a/tests/process/fleet.h
+++ b/tests/process/fleet.h
@@ -1,4 +1,4 @@
-/// A fleet of real processes: platform, upstreams and instances.
+/// A fleet of real processes: platform stand-in, upstreams and instances.
 #ifndef CROWSTEP_TESTS_PROCESS_FLEET_H
 #define CROWSTEP_TESTS_PROCESS_FLEET_H
 
@@ -14,19 +14,19 @@
 
 namespace crowstep::test {
 
-/// What a fleet consists of.
+/// Size and settings of a fleet.
 struct FleetPlan {
-  std::size_t m_Instances = 3;    ///< Each one entry and one dispatcher.
-  std::size_t m_Engines = 2;      ///< Of the service "writer".
-  std::size_t m_Services = 2;     ///< Of the service "desk".
-  std::size_t m_Slots = 4;        ///< Of each engine.
-  std::string m_EngineSettings;   ///< Further lines for each engine.
-  std::string m_ServiceSettings;  ///< Further lines for each plain service.
-  std::string m_Table;            ///< CSV; empty: the default classes.
-  bool m_CanCutUpstreams = false; ///< Upstreams are reached through relays.
+  std::size_t m_Instances = 3;    ///< Each has an entry and a dispatcher.
+  std::size_t m_Engines = 2;      ///< Engines of the service "writer".
+  std::size_t m_Services = 2;     ///< Upstreams of the service "desk".
+  std::size_t m_Slots = 4;        ///< Slots of each engine.
+  std::string m_EngineSettings;   ///< Additional lines for each engine.
+  std::string m_ServiceSettings;  ///< Additional lines for each "desk".
+  std::string m_Table;            ///< CSV; empty: the default table.
+  bool m_CanCutUpstreams = false; ///< Instances reach upstreams by relays.
 };
 
-/// One instance of crowstep.
+/// One instance: a dispatcher and an entry.
 struct TestInstance {
   std::string m_Name;                    ///< crowstep-1 ...
   Address m_Link;                        ///< Of its dispatcher.
@@ -36,16 +36,17 @@
   std::unique_ptr<Process> m_Entry;      ///< Null while stopped.
 };
 
-/// A call that an upstream says it ran.
+/// A call in the record of an upstream.
 struct RanCall {
-  std::string m_Upstream;        ///< Name.
-  std::string m_Key;             ///< Idempotency-Key as it came, or empty.
-  bool m_Finished = false;       ///< To its end.
-  std::uint64_t m_Generated = 0; ///< Tokens.
+  std::string m_Upstream;        ///< Name of the upstream.
+  std::string m_Key;             ///< Header Idempotency-Key, or empty.
+  bool m_Finished = false;       ///< The call ran to its end.
+  std::uint64_t m_Generated = 0; ///< Number of tokens generated.
 };
 
-/// Classes of the default table: "check" (tier 1) and "hold" (tier 1, keyed)
-/// on desk; "urgent" (tier 1), "guide" (tier 5, preemptible) on writer.
+/// A running fleet. Classes of the default table: "check" (tier 1) and "hold"
+/// (tier 1, not repeatable, needs an idempotency key) on the service "desk";
+/// "urgent" (tier 1) and "guide" (tier 5, preemptible) on "writer".
 class Fleet {
 public:
   explicit Fleet(FleetPlan Plan);
@@ -53,13 +54,14 @@
   Fleet(const Fleet &) = delete;
   Fleet &operator=(const Fleet &) = delete;
 
-  /// Starts everything and waits until every entry is ready.
+  /// Starts all processes and waits until every entry is ready.
   /// \throws FleetNotReady with the logs.
   void start();
 
   void startInstance(std::size_t Index);
 
-  /// Waits until the entry of \p Index is ready; returns whether it is.
+  /// Waits until the entry of instance \p Index is ready; returns whether it
+  /// was within \p Limit.
   bool waitReady(std::size_t Index, Duration Limit);
 
   [[nodiscard]] std::vector<TestInstance> &instances() { return m_Instances; }
@@ -71,44 +73,48 @@
   [[nodiscard]] const Address &upstreamAddress(const std::string &Name) const;
   [[nodiscard]] Process &upstreams() { return *m_Upstreams; }
 
-  /// Returns a chat completion call of \p Class with exactly \p Tokens tokens
-  /// through the entry \p Index.
+  /// Returns a chat completion request of \p Class to the entry of instance
+  /// \p Index, whose answer has exactly \p Tokens tokens.
   [[nodiscard]] Call chat(std::size_t Index, const std::string &Class,
                           std::size_t Tokens, bool Streamed,
                           const std::string &Prompt = "a question") const;
 
-  /// Returns a call of a plain service.
+  /// Returns a request of \p Class to the service "desk" by the entry of
+  /// instance \p Index, with an idempotency key unless \p Key is empty.
   [[nodiscard]] Call desk(std::size_t Index, const std::string &Class,
                           const std::string &Key,
                           const std::string &Body) const;
 
-  /// Sets a fault of the platform or of an upstream.
+  /// Injects a fault into the platform stand-in, until "none" is set or
+  /// \p Count calls had it (0: no limit).
   void platformFault(const std::string &Target, const std::string &Mode,
                      int DelayMs = 0, int Count = 0);
-  /// Closes all connections to an upstream and refuses new ones, or ends that.
-  /// Needs m_CanCutUpstreams.
+  /// Closes all connections to an upstream and refuses new ones, or accepts
+  /// them again. Needs FleetPlan::m_RelayUpstreams.
   void cutUpstream(const std::string &Name, bool Cut);
   void upstreamFault(const std::string &Name, const nlohmann::json &Fault);
 
-  /// The oracle: returns every call that the upstreams of \p Service ran.
+  /// Returns every call that the upstreams of \p Service have recorded: the
+  /// tests compare it with what callers were answered.
   std::vector<RanCall> ran(const std::string &Service);
 
-  /// Returns the value of a series in an instance's metrics, or 0.
+  /// Returns the value of \p Series in the metrics at \p Server, or 0 if it is
+  /// not there.
   double metric(const Address &Server, const std::string &Series);
 
   /// Returns the name of the instance whose dispatcher owns the pool of
-  /// \p Service, or an empty text.
+  /// \p Service, or an empty string.
   std::string ownerOf(const std::string &Service);
 
-  /// Returns all logs, for a failed check.
+  /// Returns the logs of all processes.
   [[nodiscard]] std::string logs() const;
 
 private:
   struct TestUpstream {
     std::string m_Name;             ///< writer-1, desk-1 ...
     std::string m_Service;          ///< writer or desk.
-    Address m_Address;              ///< Of its HTTP server.
-    std::unique_ptr<Relay> m_Relay; ///< Null unless links can be cut.
+    Address m_Address;              ///< Where its HTTP server listens.
+    std::unique_ptr<Relay> m_Relay; ///< Null without m_RelayUpstreams.
   };
   void planUpstreams();
   void startPlatform();
@@ -116,15 +122,15 @@
   void startUpstreams();
   [[nodiscard]] std::string platformSeed() const;
 
-  FleetPlan m_Plan;                         ///< As given.
+  FleetPlan m_Plan;                         ///< As passed to the constructor.
   TemporaryFolder m_Folder;                 ///< Settings and logs.
-  Caller m_Caller;                          ///< For all calls.
-  Address m_PlatformAddress;                ///< Stand-in platform.
-  std::unique_ptr<Process> m_Platform;      ///< Stand-in platform.
-  std::unique_ptr<Process> m_Upstreams;     ///< All stand-in upstreams.
+  Caller m_Caller;                          ///< Client of all calls.
+  Address m_PlatformAddress;                ///< Of the platform stand-in.
+  std::unique_ptr<Process> m_Platform;      ///< Platform stand-in.
+  std::unique_ptr<Process> m_Upstreams;     ///< All upstreams, in one process.
   std::vector<TestUpstream> m_UpstreamList; ///< Engines, then services.
-  std::vector<TestInstance> m_Instances;    ///< In order.
-  std::size_t m_StartCount = 0;             ///< For log names.
+  std::vector<TestInstance> m_Instances;    ///< By index.
+  std::size_t m_StartCount = 0;             ///< Instance starts, for log names.
 };
 
 /// The fleet did not become ready.
@@ -133,8 +139,8 @@
   using Error::Error;
 };
 
-/// Returns the whole text that the stand-in engine makes of \p Prompt, or
-/// nothing where \p Text is not it: every token in order, once, of one prompt.
+/// Returns whether \p Text is a complete answer of the stand-in engine: \p
+/// Tokens tokens, each once and in order, all with the hash of one prompt.
 bool isWholeAnswer(const std::string &Text, std::size_t Tokens);
 
 } // namespace crowstep::test
--- a/tests/process/fleet_membership_test.cpp
+++ b/tests/process/fleet_membership_test.cpp
@@ -1,4 +1,5 @@
-/// Real member processes over loopback: killed, frozen, and told to go.
+/// Membership of real processes over loopback: members are killed, suspended or
+/// terminated.
 #define BOOST_TEST_MODULE fleet_membership
 #include "process/caller.h"
 #include "process/process.h"
@@ -75,9 +76,9 @@
 
 } // namespace
 
-/// SIGKILL: the kernel closes the links and refuses the dials that follow. All
-/// others give the member up on that evidence, with no time of suspicion; it
-/// comes back under its name with the higher incarnation of the new start.
+/// SIGKILL: the kernel closes the links and refuses new connections. On that
+/// evidence all others declare the member dead without a suspicion; it rejoins
+/// under the same name with the higher incarnation of its new start.
 BOOST_FIXTURE_TEST_CASE(KilledMemberIsGivenUpAndReplaced, MemberFleet) {
   m_Members[3].m_Process->kill();
   BOOST_TEST(runUntil([this] { return othersShow(3, "dead"); }, 2s));
@@ -87,13 +88,13 @@
   BOOST_TEST(runUntil([this] { return allAlive(); }, 20s));
 }
 
-/// SIGSTOP: the links stay open and only silence shows it. After SIGCONT the
-/// process reads that it was given up, and refutes; it accuses nobody for the
-/// heartbeats that it missed.
+/// SIGSTOP: the links stay open, so that only silence reveals the failure.
+/// After SIGCONT the process reads that it was declared dead and refutes that;
+/// it suspects no member for the heartbeats that it missed itself.
 BOOST_FIXTURE_TEST_CASE(FrozenMemberComesBackAndAccusesNobody, MemberFleet) {
   m_Members[2].m_Process->signal(SIGSTOP);
   BOOST_TEST(runUntil([this] { return othersShow(2, "dead"); }, 20s));
-  runFor(5s); // Longer than any silence that would be forgiven.
+  runFor(5s); // Longer than any tolerated silence.
   m_Members[2].m_Process->signal(SIGCONT);
   BOOST_TEST(runUntil([this] { return allAlive(); }, 20s));
   BOOST_TEST(hasCounted(2, "refuted"));
@@ -101,8 +102,8 @@
   BOOST_TEST(!hasCounted(2, "died"));
 }
 
-/// SIGTERM: the goodbye reaches all, nobody suspects anybody, and the process
-/// ends with success.
+/// SIGTERM: the leave notification reaches all members, no member is suspected,
+/// and the process exits with 0.
 BOOST_FIXTURE_TEST_CASE(LeavingMemberSaysGoodbye, MemberFleet) {
   m_Members[4].m_Process->signal(SIGTERM);
   BOOST_TEST((m_Members[4].m_Process->wait(10s) == 0));
--- a/tests/process/gateway_fleet.cpp
+++ b/tests/process/gateway_fleet.cpp
@@ -1,4 +1,4 @@
-/// Gateways under test, all alike.
+/// Gateways under test, all with the same settings.
 #include "process/gateway_fleet.h"
 
 namespace crowstep::test {
--- a/tests/process/gateway_fleet.h
+++ b/tests/process/gateway_fleet.h
@@ -1,5 +1,5 @@
-/// Several gateways around one stand-in of the store, with a table of one plain
-/// route of each kind.
+/// Several gateway processes that share one store stand-in, with a table of an
+/// idempotent and a non-idempotent route.
 #ifndef CROWSTEP_TESTS_PROCESS_GATEWAY_FLEET_H
 #define CROWSTEP_TESTS_PROCESS_GATEWAY_FLEET_H
 
@@ -17,37 +17,40 @@
 /// Returns a loopback address with a free port.
 inline Address freeAddress() { return {INADDR_LOOPBACK, freePort()}; }
 
-/// Sets the headers by which a gateway knows an upstream's answer.
+/// Sets the response headers by which a gateway accepts an upstream's answer:
+/// the request's attempt id and a signature.
 void signAnswer(SoupServerMessage *Message);
 
 class GatewayFleet {
 public:
-  /// Tells the store of the table; gateways are started by startAll().
+  /// Writes the table to the store; startAll() starts the gateways.
   explicit GatewayFleet(std::size_t Count);
 
-  /// Starts all gateways; returns whether all became ready.
+  /// Starts all gateways; returns whether each became ready within 10 s.
   bool startAll();
 
   /// Kills all gateways.
   void killAll();
 
-  /// Returns a request to a gateway, counted modulo their number. Paths below
-  /// /idempotent/ may run again, those below /non_idempotent/ once.
+  /// Returns a request to the gateway \p Gateway modulo the number of gateways.
+  /// Paths below /idempotent/ may run more than once, those below
+  /// /non_idempotent/ at most once.
   Call request(std::size_t Gateway, const std::string &Path,
                const std::string &Body);
 
   [[nodiscard]] std::size_t size() const { return m_Configs.size(); }
 
-  LoopClock m_Clock;            ///< Of the test.
-  LoopScheduler m_Timers;       ///< Of the test.
-  standin::StoreServer m_Store; ///< Outlives the upstreams.
-  Caller m_Caller;              ///< Of requests.
+  LoopClock m_Clock;            ///< Of the test process.
+  LoopScheduler m_Timers;       ///< Of the test process.
+  standin::StoreServer m_Store; ///< Must outlive the upstreams.
+  Caller m_Caller;              ///< Client that sends the requests.
 
 private:
-  TemporaryFolder m_Folder;                          ///< Settings and logs.
-  std::vector<GatewayPlace> m_Configs;               ///< Of all gateways.
-  std::vector<std::unique_ptr<Process>> m_Processes; ///< At m_Places.
-  int m_RequestCount = 0;                            ///< Ids so far.
+  TemporaryFolder m_Folder;            ///< Settings and logs.
+  std::vector<GatewayPlace> m_Configs; ///< By gateway.
+  std::vector<std::unique_ptr<Process>>
+      m_Processes;        ///< As m_Configs; empty: stopped.
+  int m_RequestCount = 0; ///< Attempt ids used so far.
 };
 
 } // namespace crowstep::test
--- a/tests/process/gateway_place.cpp
+++ b/tests/process/gateway_place.cpp
@@ -1,4 +1,4 @@
-/// Settings and rows around a gateway under test.
+/// Configuration files and store rows for a gateway under test.
 #include "process/gateway_place.h"
 
 #include "process/process.h"
--- a/tests/process/gateway_test.cpp
+++ b/tests/process/gateway_test.cpp
@@ -1,5 +1,5 @@
-/// The gateway as a real process, between stand-ins of the platform's store and
-/// of upstreams that live in the test's own loop.
+/// The gateway as a real process, with stand-ins for the platform's store and
+/// for upstreams that run in the test's own main loop.
 #define BOOST_TEST_MODULE gateway
 #include "ctl/explain.h"
 #include "process/gateway_place.h"
@@ -22,9 +22,10 @@
 
 Address local(std::uint16_t Port) { return {INADDR_LOOPBACK, Port}; }
 
-/// An upstream that signs its answers. Paths below /stream/ get an event each
-/// 100 ms until there are ten, or without end if they say so; others are
-/// answered at once.
+/// An upstream that signs its answers. Paths below /stream/ get an event every
+/// 100 ms: ten in all, without end if the path contains "endless", and a closed
+/// connection after the fourth if it contains "break". A path with "crash" gets
+/// its connection closed without an answer; others are answered at once.
 class SigningUpstream {
 public:
   explicit SigningUpstream(std::string Name) : m_Name(std::move(Name)) {
@@ -35,16 +36,16 @@
                     });
   }
 
-  std::string m_Name;      ///< As the store lists it.
-  Address m_ListenAddress; ///< Where it listens.
-  int m_Calls = 0;         ///< So far.
-  std::string m_Workspace; ///< Header of the last call.
+  std::string m_Name;      ///< Key of its store row.
+  Address m_ListenAddress; ///< Listening address.
+  int m_Calls = 0;         ///< Number of calls so far.
+  std::string m_Workspace; ///< X-Tenant of the last call.
 
 private:
   struct Stream {
-    HeldAnswer m_Held;    ///< Towards the gateway.
-    std::string m_Path;   ///< Tells how it goes on.
-    int m_SentEvents = 0; ///< Events so far.
+    HeldAnswer m_Held;    ///< Answer to the gateway.
+    std::string m_Path;   ///< Selects the behaviour.
+    int m_SentEvents = 0; ///< Number of events sent.
   };
 
   void handle(SoupServerMessage *Message, const std::string &Path) {
@@ -89,7 +90,7 @@
     return G_SOURCE_REMOVE;
   }
 
-  HttpServer m_Server; ///< Towards gateways.
+  HttpServer m_Server; ///< For gateways.
 };
 
 struct GatewayFixture {
@@ -168,9 +169,9 @@
 
 } // namespace
 
-// A caller asks a gateway that has just started while the store is away. It is
-// told "not run" and to come back, never that its route is not there; as soon
-// as the store answers, the gateway serves.
+// A gateway starts while the store is unavailable. It refuses requests as
+// "not-run" with a Retry-After, never with 404 for an unknown route; as soon as
+// the store answers, it serves.
 BOOST_AUTO_TEST_CASE(AStartWithoutTheStoreRefusesUntilItKnows) {
   GatewayFixture Fixture;
   Fixture.m_Store.setMode(StoreServer::Mode::Busy);
@@ -190,9 +191,9 @@
   BOOST_TEST(Fixture.m_First.m_Workspace == "w");
 }
 
-// Requests that no table allows are refused with their reason; a key that a new
-// version takes away is refused at once, and a version that can't be read
-// changes nothing.
+// Requests with an unknown route or key are refused with the reason. A new
+// version of the table that removes a key takes effect; a version that can't be
+// parsed or that is older than the current one changes nothing.
 BOOST_AUTO_TEST_CASE(TheTableInForceDecides) {
   GatewayFixture Fixture;
   Fixture.startServing();
@@ -214,14 +215,15 @@
   BOOST_TEST(
       Fixture.m_Caller.call(Fixture.request("/plain/x", "key-2")).m_Status ==
       200U);
-  Fixture.putManifest(1); // An older version never comes back.
+  Fixture.putManifest(1); // An older version is ignored.
   runFor(300ms);
   BOOST_TEST(Fixture.m_Caller.call(Fixture.request("/plain/x")).m_Status ==
              401U);
 }
 
-// An upstream says that it is leaving, by way of the store: it gets nothing
-// new. Its history is then dropped, and an entry of another writer appears.
+// An upstream is marked as draining in the store: it gets no new calls. This
+// still holds after the store dropped its history of changes and another writer
+// added a row that can't be parsed.
 BOOST_AUTO_TEST_CASE(ALeavingUpstreamGetsNothingNew) {
   GatewayFixture Fixture;
   Fixture.startServing();
@@ -240,9 +242,10 @@
   BOOST_TEST(Fixture.m_First.m_Calls == Before);
 }
 
-// SIGTERM comes in the middle of streams. Each runs to its end; a request that
-// arrives soon after is still served and its connection then closed; later the
-// gateway takes no connection and ends by itself, within its grace.
+// SIGTERM arrives in the middle of streams. Each stream runs to its end; a
+// request that arrives shortly after the signal is still served and its
+// connection then closed. Later the gateway accepts no connections, and it
+// exits by itself within its grace period.
 BOOST_AUTO_TEST_CASE(AStopCutsNothing) {
   GatewayFixture Fixture;
   Fixture.startServing();
@@ -274,9 +277,9 @@
   BOOST_TEST((Fixture.m_Gateway->wait(8s) == 0));
 }
 
-// A caller's stream does not end. The gateway waits for it as long as its grace
-// allows, then ends by itself and tells in its log how many were cut, which a
-// kill would not.
+// A stream does not end after SIGTERM. The gateway waits for it as long as its
+// grace period allows, then exits by itself and logs GatewayCut with the number
+// of requests that it aborted, which a SIGKILL would not leave in the log.
 BOOST_AUTO_TEST_CASE(AStopEndsAtItsLimit) {
   GatewayFixture Fixture;
   Fixture.m_Config.m_Grace = 4s;
@@ -291,10 +294,11 @@
   BOOST_TEST(Fixture.m_Gateway->log().find("GatewayCut") != std::string::npos);
 }
 
-// Three callers complain, with nothing but their requests' ids: one was refused
-// for want of an upstream, one's stream broke and could not go on elsewhere,
-// one got no outcome after the upstream's crash. The log alone tells each
-// cause, and no key or body stands in it.
+// Three requests fail: one is refused because no upstream is available, the
+// stream of one breaks and can't be resumed elsewhere, and the outcome of one
+// is unknown after its upstream crashed. The attempt id and the log are enough
+// to explain each cause, and the log contains no API key
+// or body.
 BOOST_AUTO_TEST_CASE(TheLogTellsWhyARequestFailed) {
   GatewayFixture Fixture;
   Fixture.putManifest(1);
@@ -303,7 +307,7 @@
   const auto ExplainFailure = [&](const std::string &Path) {
     const Call Request = Fixture.request(Path);
     Fixture.m_Caller.call(Request);
-    // The caller may see its end a moment before the line is written.
+    // The caller may see the end shortly before the log line is written.
     std::string Explanation;
     runUntil(
         [&] {
@@ -333,8 +337,9 @@
   BOOST_TEST(!Has(Fixture.m_Gateway->log(), "key-1"));
 }
 
-// Settings without a field end the program with 2 and its name; a file that
-// breaks while the gateway runs changes nothing, and one that is mended does.
+// A missing setting makes the program exit with 2 and name the setting. A file
+// that becomes invalid while the gateway runs changes nothing; once it is valid
+// again, it is reloaded.
 BOOST_AUTO_TEST_CASE(BadSettingsAreNamed) {
   GatewayFixture Fixture;
   std::string Broken = settingsOf(Fixture.m_Config);
--- a/tests/process/limited_upstream_test.cpp
+++ b/tests/process/limited_upstream_test.cpp
@@ -1,5 +1,5 @@
-/// Upstreams that state the rate of requests which they take from all instances
-/// together, at real gateways.
+/// Upstreams that announce a limit on the rate of requests from all instances
+/// together, with real gateways.
 #define BOOST_TEST_MODULE limited_upstream
 #include "process/gateway_fleet.h"
 #include "standin/held_answer.h"
@@ -14,10 +14,11 @@
 
 namespace {
 
-/// Instances keep the limit this long after it was stated first.
+/// Longest time from the first announcement of a limit until all instances keep
+/// it.
 constexpr Duration PropagationTime = 3s;
 
-/// The rate is judged in any span of this length, with some slack.
+/// The limit must hold in any window of this length, within a tolerance.
 constexpr Duration Window = 4s;
 constexpr double RateFactor = 1.5;
 constexpr double RateSlack = 5;
@@ -27,7 +28,7 @@
 /// Long enough that calls overlap, so that all upstreams get some.
 constexpr Duration RunTime = 100ms;
 
-/// An upstream that states a limit while it has one.
+/// An upstream that announces its limit with every answer while it has one.
 class Upstream {
 public:
   Upstream(const std::string &Name, GatewayFleet &Fleet)
@@ -39,10 +40,11 @@
     Fleet.m_Store.put("servers", Name, upstreamRow(Listen, 8, "ready"));
   }
 
-  std::optional<double> m_Limit;     ///< Requests a second.
-  std::vector<TimePoint> m_Arrivals; ///< All.
+  std::optional<double> m_Limit;     ///< Requests per second.
+  std::vector<TimePoint> m_Arrivals; ///< Of all requests.
 
-  /// Returns the most arrivals in any window after \p Begin.
+  /// Returns the largest number of arrivals in any window that starts at
+  /// \p Begin or later.
   [[nodiscard]] std::ptrdiff_t maxArrivalsInWindow(TimePoint Begin) const {
     std::ptrdiff_t Most = 0;
     for (auto First = m_Arrivals.begin(); First != m_Arrivals.end(); ++First)
@@ -71,7 +73,7 @@
 
   const Clock &m_Clock;                                   ///< Outlives it.
   Scheduler &m_Timers;                                    ///< Outlives it.
-  HttpServer m_Server;                                    ///< Towards gateways.
+  HttpServer m_Server;                                    ///< For gateways.
   std::vector<std::shared_ptr<HeldAnswer>> m_OpenAnswers; ///< All so far.
 };
 
@@ -81,10 +83,10 @@
 
   LimitTestFleet() : GatewayFleet(6) {
     BOOST_TEST(startAll());
-    sendLoad(4s); // Until all know one another.
+    sendLoad(4s); // Until all gateways know one another.
   }
 
-  /// Requests come at one gateway after the other.
+  /// Sends a request every CallInterval, to the gateways in turn.
   void sendLoad(Duration Span) {
     const TimePoint End = m_Clock.fresh() + Span;
     for (std::size_t I = 0; m_Clock.fresh() < End; ++I) {
@@ -93,7 +95,8 @@
     }
   }
 
-  /// One upstream states \p Limit under load; returns whether it was kept.
+  /// Lets the first upstream announce \p Limit under load; returns whether the
+  /// gateways kept it.
   bool keepsLimit(double Limit) {
     m_First.m_Limit = Limit;
     const TimePoint Stated = m_Clock.fresh();
@@ -109,7 +112,7 @@
 
 } // namespace
 
-// Guards against instances that together send an upstream more than it takes.
+// Guards against instances that together exceed the limit of an upstream.
 BOOST_AUTO_TEST_CASE(AStatedLimitIsKeptByAllInstances) {
   for (const double Limit : {1.0, 4.0}) {
     LimitTestFleet TestFleet;
@@ -118,7 +121,8 @@
   }
 }
 
-// Guards against a limit that outlasts the need of its upstream.
+// Guards against a limit that stays in force after the upstream has stopped
+// announcing it.
 BOOST_AUTO_TEST_CASE(AnUpstreamWhoseLimitEndsIsUsedAgain) {
   LimitTestFleet TestFleet;
   BOOST_TEST(TestFleet.keepsLimit(1));
--- a/tests/process/owner_test.cpp
+++ b/tests/process/owner_test.cpp
@@ -1,4 +1,4 @@
-/// The dispatcher that decides for a pool is killed, frozen or cut off.
+/// The dispatcher that owns a pool is killed or suspended.
 #define BOOST_TEST_MODULE owner
 #include "process/fleet.h"
 
@@ -19,8 +19,8 @@
   throw FleetNotReady("no instance " + Name);
 }
 
-/// Asks for a check at the entry \p Index until one is answered; returns how
-/// long that took.
+/// Sends "check" requests to the entry of instance \p Index until one is served
+/// or \p Limit has passed; returns the time that took.
 Duration timeUntilServed(Fleet &TestFleet, std::size_t Index, Duration Limit) {
   const gint64 Start = g_get_monotonic_time();
   std::shared_ptr<const Told> Answer;
@@ -39,8 +39,8 @@
 
 } // namespace
 
-// Passengers' checks go on when the dispatcher that decides for the desk is
-// killed: its entry and the others find the new owner, within two seconds.
+// The owner of the pool of "desk" is killed: each entry finds the new owner and
+// serves "check" requests again within two seconds.
 BOOST_AUTO_TEST_CASE(KilledOwnerIsReplaced) {
   Fleet TestFleet({});
   TestFleet.start();
@@ -54,9 +54,9 @@
   BOOST_TEST(Next != Owner);
 }
 
-// The owner is frozen while guides run and others wait, and wakes up after it
-// was replaced. What it grants then comes too late: no answer is mixed up, none
-// is cut, and callers were served in between.
+// The owner is suspended while calls run and others wait, and resumes after it
+// was replaced. Its grants are stale then: no answer is mixed up or truncated,
+// and callers are served in the meantime.
 BOOST_AUTO_TEST_CASE(FrozenOwnerDoesNoHarmWhenItWakes) {
   FleetPlan Plan;
   Plan.m_EngineSettings = "token_ms = 10\n";
--- a/tests/process/path_test.cpp
+++ b/tests/process/path_test.cpp
@@ -1,4 +1,5 @@
-/// The whole path with real processes: each kind of call, each kind of answer.
+/// End-to-end requests through real processes: plain, streamed and keyed calls,
+/// and each kind of answer.
 #define BOOST_TEST_MODULE path
 #include "process/fleet.h"
 
@@ -10,7 +11,7 @@
 
 namespace {
 
-/// One fleet serves all cases of this file.
+/// Returns the fleet that all test cases of this file share.
 Fleet &fleet() {
   static Fleet Shared({});
   static const bool Started = (Shared.start(), true);
@@ -41,8 +42,8 @@
   }
 }
 
-// A rider's app sends a hold again, through another entry: it gets the first
-// answer, and the desk has held one seat.
+// A caller sends the same idempotency key again through other entries: it gets
+// the first answer, and the upstream has run the call once.
 BOOST_AUTO_TEST_CASE(RepeatedKeyGetsTheFirstAnswer) {
   const Told First =
       fleet().caller().call(fleet().desk(0, "hold", "path-1", "{\"seat\":1}"));
@@ -60,8 +61,8 @@
   BOOST_TEST(Ran == 1U);
 }
 
-// A key used again with another body is the caller's mistake: it must not get
-// the first call's answer, and nothing runs.
+// Reuse of a key with a different body is the caller's error: the request is
+// refused, does not get the first request's answer, and does not run.
 BOOST_AUTO_TEST_CASE(KeyWithAnotherBodyIsRefused) {
   fleet().caller().call(fleet().desk(0, "hold", "path-2", "{\"seat\":1}"));
   const Told Other =
@@ -71,8 +72,8 @@
   BOOST_TEST(Other.m_Run == "not-run");
 }
 
-// Another workspace that guesses the key must not read the answer: to it the
-// key is new, and its own call runs.
+// A workspace that uses the key of another one must not get its answer: keys
+// are separate by workspace, and its own call runs.
 BOOST_AUTO_TEST_CASE(WorkspacesDoNotShareKeys) {
   const Told Mine =
       fleet().caller().call(fleet().desk(0, "hold", "path-3", "{\"seat\":1}"));
@@ -89,7 +90,7 @@
   struct InputCase {
     const char *m_Code;                        ///< Expected.
     unsigned m_Status;                         ///< Expected.
-    std::function<void(Call &)> m_MakeInvalid; ///< Makes a good call bad.
+    std::function<void(Call &)> m_MakeInvalid; ///< Makes a valid call invalid.
   };
   const InputCase Cases[] = {
       {"malformed_body", 400, [](Call &C) { C.m_Body = "{\"messages\":"; }},
@@ -123,8 +124,8 @@
   BOOST_TEST(Good.m_Status == 200U);
 }
 
-// Logs are read by people who may not see what callers write: neither keys nor
-// prompts nor answers may stand in them.
+// Readers of logs may not be entitled to see the content of requests: logs must
+// not contain keys, prompts or answers.
 BOOST_AUTO_TEST_CASE(NoSecretPromptOrAnswerInAnyLog) {
   fleet().caller().call(
       fleet().chat(0, "guide", 5, true, "a-very-private-prompt"));
--- a/tests/process/process.cpp
+++ b/tests/process/process.cpp
@@ -1,4 +1,4 @@
-/// Starting and ending of real processes.
+/// Child processes, temporary directories and the loop that tests wait in.
 #include "process/process.h"
 
 #include "core/error.h"
@@ -95,8 +95,8 @@
 }
 
 std::uint16_t freePort() {
-  // The socket stays bound until this process ends, so that nobody else's
-  // connection gets the port. With the same option listeners can bind it too.
+  // The socket stays bound until this process ends, so that the kernel assigns
+  // the port to no other connection. Listeners with SO_REUSEADDR can bind it.
   const int Socket = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const int Enabled = 1;
   setsockopt(Socket, SOL_SOCKET, SO_REUSEADDR, &Enabled, sizeof(Enabled));
@@ -115,7 +115,8 @@
 bool runUntil(const std::function<bool()> &Done, Duration Limit) {
   constexpr int PollIntervalMs = 5;
   const gint64 Deadline = g_get_monotonic_time() + Limit.count();
-  // A timer wakes the loop, so that conditions outside it are seen too.
+  // The timer wakes the loop so that conditions which no event source signals
+  // are checked too.
   const guint PollTimer = g_timeout_add(
       PollIntervalMs, [](gpointer) -> gboolean { return G_SOURCE_CONTINUE; },
       nullptr);
--- a/tests/process/process.h
+++ b/tests/process/process.h
@@ -1,4 +1,4 @@
-/// A real process under test: started, signalled and always ended.
+/// Starts and signals a real process under test, and always ends it.
 #ifndef CROWSTEP_TESTS_PROCESS_PROCESS_H
 #define CROWSTEP_TESTS_PROCESS_PROCESS_H
 
@@ -12,7 +12,7 @@
 
 namespace crowstep::test {
 
-/// A folder that goes with the object.
+/// A temporary directory that is deleted with the object.
 class TemporaryFolder {
 public:
   TemporaryFolder();
@@ -22,18 +22,19 @@
 
   [[nodiscard]] const std::string &path() const { return m_Path; }
 
-  /// Writes a file and returns its path.
+  /// Writes a file into the directory and returns its path.
   std::string write(const std::string &Name, const std::string &Text) const;
 
 private:
-  std::string m_Path; ///< Exists while the object does.
+  std::string m_Path; ///< Absolute path of the directory.
 };
 
-/// One started program. The destructor kills it, and the kernel kills it when
-/// the test itself dies.
+/// A child process. The destructor kills it, and the kernel kills it when the
+/// test itself dies.
 class Process {
 public:
-  /// Starts \p Program (relative to the build folder) with \p Settings.
+  /// Starts \p Program (relative to the build directory) with \p Settings as
+  /// its configuration file. \p Name names that file and the log.
   Process(const TemporaryFolder &Folder, const std::string &Program,
           const std::string &Name, const std::string &Settings);
   ~Process();
@@ -42,36 +43,39 @@
 
   void signal(int Number) const;
 
-  /// Waits for the end and returns the exit code (128 + signal when killed),
-  /// or nothing when it has not ended within \p Limit.
+  /// Runs the loop until the process has ended and returns its exit code
+  /// (128 + signal number if a signal ended it), or nullopt if it has not
+  /// ended within \p Limit.
   std::optional<int> wait(Duration Limit);
 
-  /// Kills it and waits.
+  /// Sends SIGKILL and waits up to 10 s for the process to end.
   void kill();
 
   [[nodiscard]] bool running();
   [[nodiscard]] pid_t id() const { return m_Pid; }
 
-  /// Returns what it has logged so far.
+  /// Returns its output so far.
   [[nodiscard]] std::string log() const;
 
 private:
   bool reap();
 
-  std::string m_LogPath;         ///< Both output streams.
-  pid_t m_Pid = 0;               ///< 0 once it has ended.
-  std::optional<int> m_ExitCode; ///< Once it has ended.
+  std::string m_LogPath;         ///< Receives stdout and stderr.
+  pid_t m_Pid = 0;               ///< 0 after the process was reaped.
+  std::optional<int> m_ExitCode; ///< Set once the process has ended.
 };
 
-/// Returns a loopback port that nobody else gets while this process lives.
-/// Those who listen there may share it. \throws Error when there is none.
+/// Returns a loopback TCP port that stays reserved while this process lives.
+/// Processes that listen with SO_REUSEADDR can still bind it. \throws Error
+/// when no port can be bound.
 std::uint16_t freePort();
 
-/// Runs the loop until \p Done is true; returns whether that came within
-/// \p Limit. There is no plain sleep in these tests.
+/// Runs the main loop until \p Done returns true; returns whether it did within
+/// \p Limit. These tests wait for conditions and never just sleep.
 bool runUntil(const std::function<bool()> &Done, Duration Limit);
 
-/// Runs the loop for \p Span; for letting faults last, never for waiting.
+/// Runs the main loop for \p Span. Meant to let a fault or a load last, not to
+/// wait for a condition.
 void runFor(Duration Span);
 
 } // namespace crowstep::test
--- a/tests/process/process_test.cpp
+++ b/tests/process/process_test.cpp
@@ -1,4 +1,4 @@
-/// The harness itself.
+/// Tests the harness for process tests itself.
 #define BOOST_TEST_MODULE process
 #include "process/process.h"
 
@@ -12,10 +12,10 @@
 using namespace crowstep;
 using namespace crowstep::test;
 
-// Tests run beside one another. Between the moment in which one has chosen a
-// port and that in which its process listens there, another one's connection
-// took the port, and the process could not start. A port that was given stays
-// taken for all but those who listen there.
+// Guards against a port that is lost between freePort() and listen(): tests run
+// in parallel, a connection of another test was assigned the port in between,
+// and the process could not start. A reserved port can't be bound by others,
+// but an HTTP server can still listen on it.
 BOOST_AUTO_TEST_CASE(AGivenPortIsKept) {
   const std::uint16_t Port = freePort();
   sockaddr_in SocketAddress{};
--- a/tests/process/relay.cpp
+++ b/tests/process/relay.cpp
@@ -1,4 +1,4 @@
-/// Passing bytes on until the link is cut.
+/// TCP relay with injected faults.
 #include "process/relay.h"
 
 #include "process/process.h"
@@ -8,21 +8,22 @@
 
 namespace crowstep::test {
 
-/// One direction of a connection.
+/// One direction of a connection. Reads one chunk at a time: the next read
+/// starts once the chunk has been forwarded.
 struct Relay::Pipe {
-  Relay *m_Owner = nullptr;                 ///< Null once the relay is gone.
-  GInputStream *m_From = nullptr;           ///< Of m_Ends.
-  GOutputStream *m_To = nullptr;            ///< Of m_Ends.
-  std::array<char, 16384> m_Buffer{};       ///< On its way.
-  std::size_t m_Size = 0;                   ///< Of the piece.
-  bool m_IsToTarget = true;                 ///< Towards the target.
+  Relay *m_Owner = nullptr;           ///< Valid while the connection is open.
+  GInputStream *m_From = nullptr;     ///< Of m_Connection.
+  GOutputStream *m_To = nullptr;      ///< Of m_Connection.
+  std::array<char, 16384> m_Buffer{}; ///< Current chunk.
+  std::size_t m_Size = 0;             ///< Of the chunk, in bytes.
+  bool m_IsToTarget = true;           ///< Direction of the bytes.
   std::shared_ptr<Connection> m_Connection; ///< Keeps the streams alive.
 };
 
 struct Relay::Connection {
-  GSocketConnection *m_Inbound = nullptr;  ///< Owned.
-  GSocketConnection *m_Outbound = nullptr; ///< Owned.
-  bool m_Open = true;                      ///< False once closed.
+  GSocketConnection *m_Inbound = nullptr;  ///< From the client; owned.
+  GSocketConnection *m_Outbound = nullptr; ///< To the target; owned.
+  bool m_Open = true;                      ///< False after close().
 
   void close() {
     if (!m_Open)
@@ -57,7 +58,8 @@
   g_socket_service_stop(m_Service);
   g_socket_listener_close(G_SOCKET_LISTENER(m_Service));
   g_object_unref(m_Service);
-  // Reads on their way end with an error now that the sockets are closed.
+  // Pending reads end with an error now that the sockets are closed; let their
+  // callbacks run.
   runUntil([] { return g_main_context_pending(nullptr) == 0; },
            std::chrono::seconds(1));
 }
@@ -121,7 +123,8 @@
   using PipePtr = std::shared_ptr<Pipe>;
   const auto OnTimer = +[](gpointer Data) -> gboolean {
     const std::unique_ptr<PipePtr> Owned(static_cast<PipePtr *>(Data));
-    // An open connection's relay is there still.
+    // The relay closes its connections before it is destroyed, so m_Owner is
+    // valid while the connection is open.
     if ((*Owned)->m_Connection->m_Open)
       (*Owned)->m_Owner->forward(*Owned);
     return G_SOURCE_REMOVE;
--- a/tests/process/relay.h
+++ b/tests/process/relay.h
@@ -1,4 +1,5 @@
-/// A TCP relay between two processes that can be cut, slow or silent.
+/// A TCP relay between two processes that injects faults: closed connections,
+/// delay, and bytes that are held back.
 #ifndef CROWSTEP_TESTS_PROCESS_RELAY_H
 #define CROWSTEP_TESTS_PROCESS_RELAY_H
 
@@ -11,14 +12,14 @@
 
 namespace crowstep::test {
 
-/// Which bytes a relay holds back without closing a connection.
+/// Which bytes a relay holds back while its connections stay open.
 enum class Silence : std::uint8_t {
-  None,    ///< None.
-  Outward, ///< Those to the target.
-  Both,    ///< All.
+  None,    ///< No bytes.
+  Outward, ///< Bytes to the target.
+  Both,    ///< Bytes in both directions.
 };
 
-/// Listens on a port of its own and passes bytes on to a target.
+/// Listens on its own port and forwards connections to a target.
 class Relay {
 public:
   explicit Relay(const Address &Target);
@@ -28,18 +29,18 @@
 
   [[nodiscard]] const Address &address() const { return m_ListenAddress; }
 
-  /// Closes all connections and refuses new ones until mend().
+  /// Closes all connections, and new ones at once, until unblock().
   void cut();
 
   void mend();
 
-  /// Closes all connections; new ones are taken as before.
+  /// Closes all connections; new ones are accepted as before.
   void reset();
 
-  /// Holds bytes back; None passes on what was held.
+  /// Sets which bytes are held back, then forwards held bytes that may pass.
   void setSilence(Silence Mode);
 
-  /// Bytes stay this long on their way from now on.
+  /// Delays each chunk that is read from now on.
   void setDelay(Duration Delay) { m_Delay = Delay; }
 
 private:
@@ -50,14 +51,15 @@
   void handleRead(const std::shared_ptr<Pipe> &Direction);
   void forward(const std::shared_ptr<Pipe> &Direction);
 
-  Address m_Target;                             ///< Where the bytes go.
-  Address m_ListenAddress;                      ///< Where the relay is.
+  Address m_Target;                             ///< Forwarding destination.
+  Address m_ListenAddress;                      ///< Listening address.
   GSocketService *m_Service;                    ///< Owned.
-  bool m_Blocked = false;                       ///< Refuses connections.
-  Duration m_Delay{};                           ///< Of each piece.
+  bool m_Blocked = false;                       ///< New connections are closed.
+  Duration m_Delay{};                           ///< Of each chunk.
   Silence m_Silence = Silence::None;            ///< See setSilence().
-  std::list<std::shared_ptr<Pipe>> m_HeldPipes; ///< Pieces held back.
-  std::list<std::shared_ptr<Connection>> m_Connections; ///< Open ones.
+  std::list<std::shared_ptr<Pipe>> m_HeldPipes; ///< With a chunk held back.
+  std::list<std::shared_ptr<Connection>>
+      m_Connections; ///< Accepted since the last reset().
 };
 
 } // namespace crowstep::test
--- a/tests/process/shutdown_test.cpp
+++ b/tests/process/shutdown_test.cpp
@@ -1,4 +1,4 @@
-/// A graceful shutdown cuts no answer, and all instances can be replaced.
+/// A graceful shutdown truncates no answer, and a rolling restart works.
 #define BOOST_TEST_MODULE shutdown
 #include "process/fleet.h"
 
@@ -27,8 +27,8 @@
 
 } // namespace
 
-// Travellers read streamed guides while their entry is told to stop. Each sees
-// its guide run to the end; the entry then ends by itself with success.
+// An entry gets SIGTERM while it streams answers. Each stream runs to its end,
+// new requests are not served, and the entry then exits with 0.
 BOOST_AUTO_TEST_CASE(StoppingEntryFinishesItsStreams) {
   Fleet TestFleet(longAnswers());
   TestFleet.start();
@@ -58,9 +58,9 @@
   BOOST_TEST((Code == 0), "exit code " << Code.value_or(-1));
 }
 
-// Every instance is stopped and started again, one after the other, while
-// callers keep asking. A caller that is refused was told so before its call
-// ran; no answer that began is cut.
+// Rolling restart under load: every instance is stopped and started again in
+// turn. A request that is refused has not run, and no answer that has begun is
+// truncated.
 BOOST_AUTO_TEST_CASE(AllInstancesAreReplacedUnderLoad) {
   Fleet TestFleet(longAnswers());
   TestFleet.start();
--- a/tests/process/table_test.cpp
+++ b/tests/process/table_test.cpp
@@ -1,4 +1,4 @@
-/// An accepted change is in force everywhere and never reverts.
+/// An accepted change of the table is in force everywhere and never reverts.
 #define BOOST_TEST_MODULE table
 #include "process/fleet.h"
 
@@ -12,7 +12,7 @@
 
 constexpr const char *OperatorKey = "operator-key";
 
-/// Returns the version that the dispatcher of \p Of has in force, or 0.
+/// Returns the table version in force at the dispatcher of \p Instance, or 0.
 std::uint64_t tableVersionAt(Fleet &TestFleet, const TestInstance &Instance) {
   const nlohmann::json Status = TestFleet.caller().json(
       "GET", Instance.m_Admin, "/v1/status", nullptr, OperatorKey);
@@ -28,9 +28,9 @@
   return TestFleet.caller().call(Request).m_Body;
 }
 
-/// Returns whether the dispatcher of \p Of has a table in force whose longest
-/// output is \p Tokens. Versions alone don't tell: they also grow when the
-/// instances that vouch for a version are replaced.
+/// Returns whether the table in force at the dispatcher of \p Instance has a
+/// max_tokens of \p Tokens. Comparing versions is not enough: they also grow
+/// when the instances that confirm a version are replaced.
 bool hasMaxTokens(Fleet &TestFleet, const TestInstance &Instance, int Tokens) {
   return tableCsvAt(TestFleet, Instance)
              .find("," + std::to_string(Tokens) + ",") != std::string::npos;
@@ -48,7 +48,7 @@
   return Change;
 }
 
-/// Returns \p Csv with the longest output of every class set to \p Tokens.
+/// Returns \p Csv with every max_tokens of 2000 set to \p Tokens.
 std::string withMaxTokens(const std::string &Csv, int Tokens) {
   std::string Result = Csv;
   const std::string Old = ",2000,";
@@ -60,9 +60,9 @@
 
 } // namespace
 
-// An operator lowers the longest output. Once told "accepted", a caller at any
-// entry gets the new limit; also after every instance was restarted while the
-// table service was down for some of them.
+// An operator lowers max_tokens. Once the change is accepted, every entry
+// applies the new limit; an instance that restarts while the table service is
+// down has it too.
 BOOST_AUTO_TEST_CASE(AcceptedIsInForceAtEveryEntryAndStays) {
   Fleet TestFleet({});
   TestFleet.start();
@@ -86,8 +86,8 @@
   TestFleet.platformFault("tables", "none");
 }
 
-// Two operators change the same version at two instances: one is told
-// "accepted", the other gets a conflict with the difference.
+// Two operators change the same version at two instances: one change is
+// accepted, the other is answered with a conflict and the difference.
 BOOST_AUTO_TEST_CASE(RacingOperatorsGetOneWinner) {
   Fleet TestFleet({});
   TestFleet.start();
@@ -111,8 +111,8 @@
     BOOST_TEST(hasMaxTokens(TestFleet, Instance, WinningTokens));
 }
 
-// The commit takes effect but its answer is lost: the operator is not told
-// that nothing happened, and the version holds everywhere.
+// The commit takes effect but its answer is lost: the operator is answered
+// that it succeeded or may have committed, and the version is in force.
 BOOST_AUTO_TEST_CASE(LostAnswerToACommitIsResolved) {
   Fleet TestFleet({});
   TestFleet.start();
@@ -132,7 +132,8 @@
       10s));
 }
 
-// An operator's mistake in a cell changes nothing and names the cell.
+// An invalid cell is refused with the name of its column, and the table in
+// force does not change.
 BOOST_AUTO_TEST_CASE(BadCellIsNamedAndNothingChanges) {
   Fleet TestFleet({});
   TestFleet.start();
--- a/tests/process/upstream_test.cpp
+++ b/tests/process/upstream_test.cpp
@@ -1,4 +1,5 @@
-/// Upstreams crash, crawl, leave and are drained while callers wait.
+/// Upstreams that crash, lose connections, announce that they drain or are
+/// drained while calls run.
 #define BOOST_TEST_MODULE upstream
 #include "process/fleet.h"
 
@@ -31,9 +32,9 @@
 
 } // namespace
 
-// An engine closes every stream in the middle. The reader sees one whole
-// answer: what is missing comes from another engine, from where the first one
-// stopped, and no token comes twice.
+// An engine breaks off every stream after 10 tokens. The caller gets one
+// complete answer: another engine resumes it where the first one stopped, and
+// no token is repeated.
 BOOST_AUTO_TEST_CASE(BrokenStreamIsResumedElsewhere) {
   Fleet TestFleet(threeEngines());
   TestFleet.start();
@@ -53,8 +54,8 @@
   BOOST_TEST(recordedCallsAt(TestFleet, "writer-1") > 0U);
 }
 
-// The link to an engine is cut in the middle of all its streams, and stays cut.
-// Readers see whole answers: the rest comes from the engines that are left.
+// The connections to an engine break in the middle of its streams, and new ones
+// are refused. Callers get complete answers: the other engines resume them.
 BOOST_AUTO_TEST_CASE(CutLinkToAnEngineIsResumedElsewhere) {
   FleetPlan Plan = threeEngines();
   Plan.m_CanCutUpstreams = true;
@@ -78,8 +79,9 @@
   BOOST_TEST(recordedCallsAt(TestFleet, "writer-1") > 0U);
 }
 
-// Keyed calls reach a desk that closes before it answers. Nobody can know
-// whether it ran: the caller is told "unknown", and it runs nowhere else.
+// A keyed call reaches an upstream that closes the connection before it
+// answers. Whether it ran can't be known: the caller is answered "unknown", and
+// the call is not sent elsewhere.
 BOOST_AUTO_TEST_CASE(ClosedKeyedCallIsUnknownAndNotRepeated) {
   FleetPlan Plan;
   Plan.m_Services = 2;
@@ -101,8 +103,8 @@
   BOOST_TEST(Ran <= 1U);
 }
 
-// An operator drains an engine. After five seconds it gets nothing new, and
-// what it was doing is not cut.
+// An operator drains an engine. After five seconds it gets no new calls, and
+// its running calls are not truncated.
 BOOST_AUTO_TEST_CASE(DrainedEngineGetsNothingNewAndCutsNothing) {
   Fleet TestFleet(threeEngines());
   TestFleet.start();
@@ -129,9 +131,9 @@
     BOOST_TEST(isWholeAnswer(Answer->text(), 10), Answer->m_Body);
 }
 
-// An engine says that it is leaving while the platform's list, which lags,
-// still shows it. Callers see whole answers; after a few seconds no call
-// reaches it.
+// An engine reports that it is draining while the platform's directory, which
+// lags, still lists it as in service. Callers get complete answers, and no call
+// runs on that engine.
 BOOST_AUTO_TEST_CASE(LeavingEngineIsBelievedBeforeTheList) {
   Fleet TestFleet(threeEngines());
   TestFleet.start();
@@ -147,8 +149,8 @@
   BOOST_TEST(recordedCallsAt(TestFleet, "writer-3") == 0U);
 }
 
-// Callers that go away free their engine: the engine stops generating for
-// nobody, and the next caller does not wait behind them.
+// The calls of callers that disconnect are cancelled at the engine, so that the
+// next request does not wait until they are complete.
 BOOST_AUTO_TEST_CASE(GoneCallerCancelsTheEngine) {
   FleetPlan Plan;
   Plan.m_Engines = 1;
--- a/tests/process/urgent_test.cpp
+++ b/tests/process/urgent_test.cpp
@@ -1,5 +1,5 @@
-/// Urgent work is never refused or stopped for lower work, and lower work is
-/// served in the end.
+/// Urgent calls are never refused or preempted in favour of a lower tier, and
+/// calls of a lower tier are served in the end.
 #define BOOST_TEST_MODULE urgent
 #include "process/fleet.h"
 
@@ -20,9 +20,9 @@
 
 } // namespace
 
-// A busload asks for urgent answers while long guides hold every slot. Each
-// urgent answer comes within its target; the guides give way, are resumed, and
-// every reader gets a whole guide in the end.
+// A burst of urgent requests arrives while long preemptible calls occupy every
+// slot. The first byte of each urgent answer comes within 2 s; the preempted
+// calls are resumed, and each of their answers is complete in the end.
 BOOST_AUTO_TEST_CASE(BurstOfUrgentWorkOverRunningGuides) {
   FleetPlan Plan;
   Plan.m_Engines = 2;
@@ -52,8 +52,8 @@
   }
 }
 
-// A class is at its limit: the caller gets its final answer at once, with the
-// reason and a time to come back. It is not held until its deadline.
+// A class is at its rate limit: the request is refused at once, with the reason
+// and a Retry-After. It does not wait for its deadline.
 BOOST_AUTO_TEST_CASE(RefusalAtALimitComesAtOnce) {
   FleetPlan Plan;
   Plan.m_Table =
