--- a/tests/process/at_most_once_test.cpp
+++ b/tests/process/at_most_once_test.cpp
@@ -90,7 +90,7 @@
           return Answer->m_Run == "not-run";
         });
     if (AllNotRun)
-      BOOST_TEST(Ran == 0U, Key + " told not-run by all and ran");
+      BOOST_TEST(Ran == 0U, Key + " ran, although every answer says not-run");
   }
 
   Fleet &m_Fleet;                               ///< Must outlive this object.
--- a/tests/process/fleet.cpp
+++ b/tests/process/fleet.cpp
@@ -187,7 +187,8 @@
       },
       20s);
   if (!Listens)
-    throw FleetNotReady("the platform does not listen:\n" + logs());
+    throw FleetNotReady("platform stand-in did not answer within 20 s:\n" +
+                        logs());
 }
 
 void Fleet::start() {
@@ -199,7 +200,7 @@
   for (std::size_t Index = 0; Index < m_Instances.size(); ++Index)
     if (!waitReady(Index, 20s))
       throw FleetNotReady("instance " + std::to_string(Index + 1) +
-                          " is not ready:\n" + logs());
+                          " did not become ready within 20 s:\n" + logs());
 }
 
 bool Fleet::waitReady(std::size_t Index, Duration Limit) {
@@ -221,7 +222,7 @@
   for (const TestUpstream &Upstream : m_UpstreamList)
     if (Upstream.m_Name == Name)
       return Upstream.m_Address;
-  throw FleetNotReady("no upstream " + Name);
+  throw FleetNotReady("unknown upstream " + Name);
 }
 
 Call Fleet::chat(std::size_t Index, const std::string &Class,
--- a/tests/process/gateway_test.cpp
+++ b/tests/process/gateway_test.cpp
@@ -297,8 +297,7 @@
 // Three requests fail: one is refused because no upstream is available, the
 // stream of one breaks and can't be resumed elsewhere, and the outcome of one
 // is unknown after its upstream crashed. The attempt id and the log are enough
-// to explain each cause, and the log contains no API key
-// or body.
+// to explain each cause, and the log contains no API key or body.
 BOOST_AUTO_TEST_CASE(TheLogTellsWhyARequestFailed) {
   GatewayFixture Fixture;
   Fixture.putManifest(1);
--- a/tests/process/owner_test.cpp
+++ b/tests/process/owner_test.cpp
@@ -16,7 +16,7 @@
   for (TestInstance &Instance : TestFleet.instances())
     if (Instance.m_Name == Name)
       return Instance;
-  throw FleetNotReady("no instance " + Name);
+  throw FleetNotReady("unknown instance " + Name);
 }
 
 /// Sends "check" requests to the entry of instance \p Index until one is served
--- a/tests/process/process.cpp
+++ b/tests/process/process.cpp
@@ -23,7 +23,7 @@
   std::string Pattern =
       (std::filesystem::temp_directory_path() / "crowstep-XXXXXX").string();
   if (mkdtemp(Pattern.data()) == nullptr)
-    throw Error("no temporary folder");
+    throw Error("can't create a temporary directory");
   m_Path = Pattern;
 }
 
@@ -108,7 +108,7 @@
            sizeof(SocketAddress)) != 0 ||
       getsockname(Socket, reinterpret_cast<sockaddr *>(&SocketAddress),
                   &Size) != 0)
-    throw Error("no free port");
+    throw Error("can't bind a free loopback port");
   return ntohs(SocketAddress.sin_port);
 }
 
--- a/tests/process/table_test.cpp
+++ b/tests/process/table_test.cpp
@@ -75,13 +75,15 @@
   for (std::size_t Index = 0; Index < 3; ++Index) {
     const Told Guide =
         TestFleet.caller().call(TestFleet.chat(Index, "guide", 30, false));
-    BOOST_TEST(!isWholeAnswer(Guide.text(), 30), "old table in force");
+    BOOST_TEST(!isWholeAnswer(Guide.text(), 30),
+               "the old table is still in force");
   }
   TestFleet.platformFault("tables", "refuse");
   TestFleet.instances()[1].m_Dispatcher->kill();
   TestFleet.instances()[1].m_Entry->kill();
   TestFleet.startInstance(1);
-  BOOST_TEST(TestFleet.waitReady(1, 15s), "learns the table from its peers");
+  BOOST_TEST(TestFleet.waitReady(1, 15s),
+             "did not learn the table from its peers");
   BOOST_TEST(hasMaxTokens(TestFleet, TestFleet.instances()[1], 7));
   TestFleet.platformFault("tables", "none");
 }
