--- a/tests/process/path_test.cpp
+++ b/tests/process/path_test.cpp
@@ -1,4 +1,5 @@
-/// The whole path with real processes: each kind of call, each kind of answer.
+/// End-to-end requests through real processes: plain, streamed and keyed calls,
+/// and each kind of answer.
 #define BOOST_TEST_MODULE path
 #include "process/fleet.h"
 
@@ -10,7 +11,7 @@
 
 namespace {
 
-/// One fleet serves all cases of this file.
+/// Returns the fleet that all test cases of this file share.
 Fleet &fleet() {
   static Fleet Shared({});
   static const bool Started = (Shared.start(), true);
@@ -41,8 +42,8 @@
   }
 }
 
-// A rider's app sends a hold again, through another entry: it gets the first
-// answer, and the desk has held one seat.
+// A caller sends the same idempotency key again through other entries: it gets
+// the first answer, and the upstream has run the call once.
 BOOST_AUTO_TEST_CASE(RepeatedKeyGetsTheFirstAnswer) {
   const Told First =
       fleet().caller().call(fleet().desk(0, "hold", "path-1", "{\"seat\":1}"));
@@ -55,13 +56,13 @@
     BOOST_TEST(Again.m_Body == First.m_Body);
   }
   std::size_t Ran = 0;
-  for (const RanCall &Each : fleet().ran("desk"))
-    Ran += Each.m_Key.find("path-1") != std::string::npos ? 1 : 0;
+  for (const RanCall &Record : fleet().ran("desk"))
+    Ran += Record.m_Key.find("path-1") != std::string::npos ? 1 : 0;
   BOOST_TEST(Ran == 1U);
 }
 
-// A key used again with another body is the caller's mistake: it must not get
-// the first call's answer, and nothing runs.
+// Reuse of a key with a different body is the caller's error: the request is
+// refused, does not get the first request's answer, and does not run.
 BOOST_AUTO_TEST_CASE(KeyWithAnotherBodyIsRefused) {
   fleet().caller().call(fleet().desk(0, "hold", "path-2", "{\"seat\":1}"));
   const Told Other =
@@ -71,8 +72,8 @@
   BOOST_TEST(Other.m_Run == "not-run");
 }
 
-// Another workspace that guesses the key must not read the answer: to it the
-// key is new, and its own call runs.
+// A workspace that uses the key of another one must not get its answer: keys
+// are separate by workspace, and its own call runs.
 BOOST_AUTO_TEST_CASE(WorkspacesDoNotShareKeys) {
   const Told Mine =
       fleet().caller().call(fleet().desk(0, "hold", "path-3", "{\"seat\":1}"));
@@ -86,12 +87,12 @@
 BOOST_AUTO_TEST_CASE(BadInputIsATypedRefusalAndNothingRuns) {
   const std::size_t RanBefore =
       fleet().ran("writer").size() + fleet().ran("desk").size();
-  struct Row {
-    const char *m_Code;                  ///< Expected.
-    unsigned m_Status;                   ///< Expected.
-    std::function<void(Call &)> m_Spoil; ///< Makes a good call bad.
+  struct InputCase {
+    const char *m_Code;                        ///< Expected.
+    unsigned m_Status;                         ///< Expected.
+    std::function<void(Call &)> m_MakeInvalid; ///< Makes a valid call invalid.
   };
-  const Row Rows[] = {
+  const InputCase Cases[] = {
       {"malformed_body", 400, [](Call &C) { C.m_Body = "{\"messages\":"; }},
       {"malformed_body", 400, [](Call &C) { C.m_Body = "{\"a\":\"\xff\"}"; }},
       {"wrong_content_type", 415,
@@ -106,13 +107,13 @@
       {"header_too_large", 431,
        [](Call &C) { C.m_Headers["X-Long"] = std::string(20000, 'x'); }},
   };
-  for (const Row &Each : Rows) {
+  for (const InputCase &Case : Cases) {
     Call Bad = fleet().chat(0, "guide", 5, false);
-    Each.m_Spoil(Bad);
+    Case.m_MakeInvalid(Bad);
     const Told Answer = fleet().caller().call(Bad);
-    BOOST_TEST(Answer.m_Status == Each.m_Status, Each.m_Code);
-    BOOST_TEST(Answer.code() == Each.m_Code);
-    BOOST_TEST(Answer.m_Run == "not-run", Each.m_Code);
+    BOOST_TEST(Answer.m_Status == Case.m_Status, Case.m_Code);
+    BOOST_TEST(Answer.code() == Case.m_Code);
+    BOOST_TEST(Answer.m_Run == "not-run", Case.m_Code);
   }
   const Told NoKey =
       fleet().caller().call(fleet().desk(0, "hold", "", "{\"seat\":1}"));
@@ -123,8 +124,8 @@
   BOOST_TEST(Good.m_Status == 200U);
 }
 
-// Logs are read by people who may not see what callers write: neither keys nor
-// prompts nor answers may stand in them.
+// Readers of logs may not be entitled to see the content of requests: logs must
+// not contain keys, prompts or answers.
 BOOST_AUTO_TEST_CASE(NoSecretPromptOrAnswerInAnyLog) {
   fleet().caller().call(
       fleet().chat(0, "guide", 5, true, "a-very-private-prompt"));
--- a/tests/process/process_test.cpp
+++ b/tests/process/process_test.cpp
@@ -1,4 +1,4 @@
-/// The harness itself.
+/// Tests the harness for process tests itself.
 #define BOOST_TEST_MODULE process
 #include "process/process.h"
 
@@ -12,19 +12,19 @@
 using namespace crowstep;
 using namespace crowstep::test;
 
-// Tests run beside one another. Between the moment in which one has chosen a
-// port and that in which its process listens there, another one's connection
-// took the port, and the process could not start. A port that was given stays
-// taken for all but those who listen there.
+// Guards against a port that is lost between freePort() and listen(): tests run
+// in parallel, a connection of another test was assigned the port in between,
+// and the process could not start. A reserved port can't be bound by others,
+// but an HTTP server can still listen on it.
 BOOST_AUTO_TEST_CASE(AGivenPortIsKept) {
   const std::uint16_t Port = freePort();
-  sockaddr_in Where{};
-  Where.sin_family = AF_INET;
-  Where.sin_port = htons(Port);
-  Where.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  sockaddr_in SocketAddress{};
+  SocketAddress.sin_family = AF_INET;
+  SocketAddress.sin_port = htons(Port);
+  SocketAddress.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   const int Other = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  BOOST_TEST(bind(Other, reinterpret_cast<sockaddr *>(&Where), sizeof(Where)) !=
-             0);
+  BOOST_TEST(bind(Other, reinterpret_cast<sockaddr *>(&SocketAddress),
+                  sizeof(SocketAddress)) != 0);
   close(Other);
   HttpServer Server;
   BOOST_CHECK_NO_THROW(Server.listen(
