--- a/src/balance/balance_type.h
+++ b/src/balance/balance_type.h
@@ -35,33 +35,34 @@
 
 /// A call for which an upstream is to be chosen.
 struct PlacementQuery {
-  std::string m_Service;           ///< Service that is called.
-  Urgency m_Urgency = 0;           ///< Below UrgencyCount.
-  PromptSize m_Prompt;             ///< Empty for plain calls.
-  Duration m_Target{};             ///< Latency target of the call.
-  Duration m_LongestPause{};       ///< Between events that are in time; 0: any.
-  std::vector<UpstreamId> m_Avoid; ///< Already tried.
-  std::optional<ContentHash> m_Content; ///< Of the request, if known.
-  bool m_MayWait = false;               ///< Until the best upstream has room.
-  bool m_WaitedInVain = false;          ///< Must not wait again.
+  std::string m_Service;      ///< Service that is called.
+  Urgency m_Urgency = 0;      ///< Below UrgencyCount.
+  PromptInfo m_Prompt;        ///< Empty for plain calls.
+  Duration m_LatencyTarget{}; ///< Latency target of the call.
+  Duration m_MaxPause{};      ///< Between events that are in time; 0: any.
+  std::vector<UpstreamId> m_Excluded;       ///< Already tried.
+  std::optional<ContentHash> m_ContentHash; ///< Of the request, if known.
+  bool m_MayWait = false;      ///< Until the best upstream has room.
+  bool m_WaitTimedOut = false; ///< Must not wait again.
 };
 
 /// What a placement was based on, for the logs.
 struct PlacementInputs {
-  std::size_t m_Options = 0;         ///< Upstreams that could take the call.
-  double m_Calls = 0;                ///< At the chosen one, from all instances.
-  std::uint64_t m_UnreadTokens = 0;  ///< Prompt tokens queued there before it.
-  std::uint32_t m_MissingTokens = 0; ///< Of this prompt, not cached there.
-  std::size_t m_Peers = 0;           ///< Instances whose digests are in use.
+  std::size_t m_CandidateCount = 0; ///< Upstreams that could take the call.
+  double m_Calls = 0;               ///< At the chosen one, from all instances.
+  std::uint64_t m_QueuedPrefillTokens =
+      0;                              ///< Prompt tokens queued there before it.
+  std::uint32_t m_UncachedTokens = 0; ///< Of this prompt, not cached there.
+  std::size_t m_PeerCount = 0;        ///< Instances whose digests are in use.
 };
 
 /// An upstream was chosen; the call counts towards its load.
 struct Placed {
-  TicketId m_Ticket;     ///< Must be passed to recordCallEnd().
-  UpstreamId m_Upstream; ///< The chosen one.
-  std::string m_Name;    ///< Its name in the instance list.
-  Address m_Address;     ///< Where it listens.
-  PlacementInputs m_Why; ///< Basis of the choice.
+  TicketId m_Ticket;        ///< Must be passed to recordCallEnd().
+  UpstreamId m_Upstream;    ///< The chosen one.
+  std::string m_Name;       ///< Its name in the instance list.
+  Address m_Address;        ///< Where it listens.
+  PlacementInputs m_Inputs; ///< Basis of the choice.
 };
 
 /// No upstream can take the call now.
@@ -69,27 +70,27 @@
   RefusalReason m_Reason =
       RefusalReason::NoUpstream; ///< Why the call is refused.
   Duration m_RetryAfter{};       ///< Time until an upstream may be free.
-  PlacementInputs m_Why;         ///< Basis of the refusal.
+  PlacementInputs m_Inputs;      ///< Basis of the refusal.
 };
 
 /// The best upstream has no room now, and those with room would have to prefill
 /// again what it has cached: the call should wait and ask again.
 struct MustWait {
-  PlacementInputs m_Why; ///< Basis of the decision.
+  PlacementInputs m_Inputs; ///< Basis of the decision.
 };
 
 using PlacementResult = std::variant<Placed, NotPlaced, MustWait>;
 
 /// How a call at an upstream ended, as evidence of the state of the upstream.
 enum class CallOutcome : std::uint8_t {
-  Served,   ///< Complete answer.
-  Failed,   ///< Error of the upstream, or invalid answer.
-  Silent,   ///< Nothing was received within the limit.
-  Refused,  ///< The upstream had no room.
-  Leaving,  ///< It is draining, or is not the expected upstream.
-  NoAnswer, ///< No connection could be made.
-  Dropped,  ///< Ended by this side; no evidence.
-  Broken,   ///< The connection closed before the end of the answer.
+  Served,      ///< Complete answer.
+  Failed,      ///< Error of the upstream, or invalid answer.
+  Silent,      ///< Nothing was received within the limit.
+  Refused,     ///< The upstream had no room.
+  Draining,    ///< It is draining, or is not the expected upstream.
+  Unreachable, ///< No connection could be made.
+  Dropped,     ///< Ended by this side; no evidence.
+  Broken,      ///< The connection closed before the end of the answer.
 };
 
 /// Returns the stable name in logs, such as "no_answer".
--- a/src/balance/balancer.cpp
+++ b/src/balance/balancer.cpp
@@ -75,10 +75,10 @@
 constexpr double MaxExcludedShare = 0.5;
 
 /// Returns the number of tokens that a call is expected to generate.
-std::uint32_t expectedOutput(const PromptSize &Prompt) {
-  if (Prompt.m_ExpectedOutput > 0 && Prompt.m_MaxOutput > 0)
-    return std::min(Prompt.m_ExpectedOutput, Prompt.m_MaxOutput);
-  return std::max(Prompt.m_ExpectedOutput, Prompt.m_MaxOutput);
+std::uint32_t expectedOutput(const PromptInfo &Prompt) {
+  if (Prompt.m_ExpectedOutputTokens > 0 && Prompt.m_MaxOutputTokens > 0)
+    return std::min(Prompt.m_ExpectedOutputTokens, Prompt.m_MaxOutputTokens);
+  return std::max(Prompt.m_ExpectedOutputTokens, Prompt.m_MaxOutputTokens);
 }
 
 } // namespace
@@ -95,7 +95,7 @@
   }
   m_States = std::move(NewStates);
   m_Cache.keepOnly(List);
-  m_Limits.keepOnly(List);
+  m_RateLimits.keepOnly(List);
   rankEngines();
 }
 
@@ -104,31 +104,31 @@
 void Balancer::rankEngines() {
   std::map<std::string, std::vector<UpstreamId>> Engines;
   for (const auto &[Id, State] : m_States)
-    if (!State.m_Upstream.m_Leaving)
+    if (!State.m_Upstream.m_Draining)
       Engines[State.m_Upstream.m_Service].push_back(Id);
-  m_Staying.clear();
+  m_ActiveUpstreamCounts.clear();
   for (auto &[Service, Ids] : Engines) {
-    m_Staying[Service] = Ids.size();
+    m_ActiveUpstreamCounts[Service] = Ids.size();
     std::size_t Rank = 0;
-    for (const UpstreamId Id : shortOrder(std::move(Ids)))
-      m_States.at(Id).m_ShortRank = Rank++;
+    for (const UpstreamId Id : roleOrder(std::move(Ids)))
+      m_States.at(Id).m_RoleRank = Rank++;
   }
 }
 
-Balancer::States Balancer::candidates(const PlacementQuery &Query,
-                                      TimePoint Now) {
+Balancer::States Balancer::findCandidates(const PlacementQuery &Query,
+                                          TimePoint Now) {
   States Listed;
   for (auto &[Id, State] : m_States)
     if (State.m_Upstream.m_Service == Query.m_Service &&
-        !State.m_Upstream.m_Leaving &&
-        std::find(Query.m_Avoid.begin(), Query.m_Avoid.end(), Id) ==
-            Query.m_Avoid.end() &&
-        Now >= State.m_LeavingUntil && m_Limits.mayTake(Id, Now))
+        !State.m_Upstream.m_Draining &&
+        std::find(Query.m_Excluded.begin(), Query.m_Excluded.end(), Id) ==
+            Query.m_Excluded.end() &&
+        Now >= State.m_DrainingUntil && m_RateLimits.maySend(Id, Now))
       Listed.push_back(&State);
   States Available;
   std::copy_if(Listed.begin(), Listed.end(), std::back_inserter(Available),
                [&](const UpstreamState *State) {
-                 return !State->m_Health.ejected(Now) &&
+                 return !State->m_Health.isEjected(Now) &&
                         Now >= State->m_FullUntil;
                });
   const auto MinAvailable = static_cast<std::size_t>(
@@ -138,31 +138,32 @@
 }
 
 PlacementResult Balancer::place(const PlacementQuery &Query, TimePoint Now) {
-  m_Peers.expire(Now);
-  if (Query.m_Content)
-    if (const Duration Left = m_Quarantine.heldFor(*Query.m_Content, Now);
+  m_PeerLoads.expire(Now);
+  if (Query.m_ContentHash)
+    if (const Duration Left =
+            m_Quarantine.remainingHold(*Query.m_ContentHash, Now);
         Left > Duration::zero())
       return NotPlaced{
-          RefusalReason::Quarantined, Left, {0, 0, 0, 0, m_Peers.size()}};
-  const States Candidates = candidates(Query, Now);
+          RefusalReason::Quarantined, Left, {0, 0, 0, 0, m_PeerLoads.size()}};
+  const States Candidates = findCandidates(Query, Now);
   if (Candidates.empty())
-    return nonePlaced(Query);
+    return noCandidateResult(Query);
   if (Query.m_Prompt.m_PromptTokens > 0)
     return placeAtEngine(Query, Candidates, Now);
-  UpstreamState &Chosen = *chooseForPlain(Candidates, Now);
+  UpstreamState &Chosen = *choosePlainUpstream(Candidates, Now);
   const PlacementInputs Inputs = {Candidates.size(), callsAt(Chosen, Now), 0, 0,
-                                  m_Peers.size()};
-  return begin(Chosen, Query, {}, Inputs, Now);
+                                  m_PeerLoads.size()};
+  return issueTicket(Chosen, Query, {}, Inputs, Now);
 }
 
-NotPlaced Balancer::nonePlaced(const PlacementQuery &Query) const {
+NotPlaced Balancer::noCandidateResult(const PlacementQuery &Query) const {
   NotPlaced Result{RefusalReason::NoUpstream,
                    NoUpstreamRetryAfter,
-                   {0, 0, 0, 0, m_Peers.size()}};
+                   {0, 0, 0, 0, m_PeerLoads.size()}};
   double Rate = 0;
   for (const auto &[Id, State] : m_States)
     if (State.m_Upstream.m_Service == Query.m_Service)
-      if (const RateLimit Limit = m_Limits.limitOf(Id)) {
+      if (const RateLimit Limit = m_RateLimits.limitOf(Id)) {
         Result.m_Reason = RefusalReason::UpstreamLimited;
         Rate += *Limit;
       }
@@ -177,20 +178,21 @@
 PlacementResult Balancer::placeAtEngine(const PlacementQuery &Query,
                                         const States &Candidates,
                                         TimePoint Now) {
-  const PromptSize &Prompt = Query.m_Prompt;
-  const bool LatencySensitive = tight(Query);
+  const PromptInfo &Prompt = Query.m_Prompt;
+  const bool LatencySensitive = isQueryLatencySensitive(Query);
   const PoolId Pool = poolIdOf(Query.m_Service, 0);
-  const std::size_t SensitiveEngines = shortEngines(Query.m_Service);
+  const std::size_t SensitiveEngines =
+      latencySensitiveEngineCount(Query.m_Service);
   // Engines of the other role are used only if none of the call's own role has
   // room.
   std::vector<EngineOption> Options;
   for (const bool OwnRole : {true, false}) {
     // A call that has waited for an engine of its role is refused rather than
     // placed where it would make other calls late.
-    if (!Options.empty() || (!OwnRole && Query.m_WaitedInVain))
+    if (!Options.empty() || (!OwnRole && Query.m_WaitTimedOut))
       break;
     for (UpstreamState *State : Candidates)
-      if (((State->m_ShortRank < SensitiveEngines) == LatencySensitive) ==
+      if (((State->m_RoleRank < SensitiveEngines) == LatencySensitive) ==
           OwnRole)
         Options.push_back(optionAt(*State, Query, Now));
     markFull(Query, Options);
@@ -198,48 +200,50 @@
   if (Options.empty())
     return NotPlaced{RefusalReason::TargetUnreachable,
                      MinRetryAfter,
-                     {0, 0, 0, 0, m_Peers.size()}};
+                     {0, 0, 0, 0, m_PeerLoads.size()}};
   const EngineOption &Chosen =
       chooseEngine(Query, LatencySensitive, Options, m_Random);
   const PlacementInputs Inputs = {Options.size(), Chosen.m_Calls,
-                                  Chosen.m_UnreadTokens, Chosen.m_MissingTokens,
-                                  m_Peers.size()};
+                                  Chosen.m_QueuedPrefillTokens,
+                                  Chosen.m_UncachedTokens, m_PeerLoads.size()};
   if (Chosen.m_Full)
     return MustWait{Inputs};
-  const Duration Wait = m_Speed.timeFor(Query.m_Service, Chosen.m_UnreadTokens);
-  const auto Limit =
-      std::max(MinWaitLimit,
-               std::chrono::duration_cast<Duration>(
-                   std::chrono::duration<double, std::micro>(Query.m_Target) *
-                   MaxWaitInTargets));
+  const Duration Wait = m_PrefillSpeed.timeToFirstEvent(
+      Query.m_Service, Chosen.m_QueuedPrefillTokens);
+  const auto Limit = std::max(
+      MinWaitLimit,
+      std::chrono::duration_cast<Duration>(
+          std::chrono::duration<double, std::micro>(Query.m_LatencyTarget) *
+          MaxWaitInTargets));
   if (Wait > Limit)
     return NotPlaced{RefusalReason::TargetUnreachable,
-                     std::max(Wait - Query.m_Target, MinRetryAfter), Inputs};
+                     std::max(Wait - Query.m_LatencyTarget, MinRetryAfter),
+                     Inputs};
   UpstreamState &State = *Chosen.m_State;
   // The last segment is unique to the call and will not be requested again.
-  for (std::size_t I = 0; I + 1 < Prompt.m_Parts.size(); ++I) {
-    m_Cache.placed(State.m_Upstream.m_Id, Prompt.m_Parts[I],
-                   m_CacheTokens[Query.m_Service]);
-    m_NewParts.push_back({State.m_Upstream.m_Id, Prompt.m_Parts[I]});
+  for (std::size_t I = 0; I + 1 < Prompt.m_Segments.size(); ++I) {
+    m_Cache.recordPlacement(State.m_Upstream.m_Id, Prompt.m_Segments[I],
+                            m_CacheCapacities[Query.m_Service]);
+    m_UnsentSegments.push_back({State.m_Upstream.m_Id, Prompt.m_Segments[I]});
   }
-  noteWork(Pool, LatencySensitive,
-           Chosen.m_MissingTokens +
-               expectedOutput(Prompt) * StepTokens / slotsOf(State.m_Upstream),
-           Now);
-  const bool NoQueuedPrefill = Chosen.m_UnreadTokens == 0;
-  const Placed Result =
-      begin(State, Query,
-            {Chosen.m_MissingTokens,
-             Chosen.m_MissingTokens + expectedOutput(Prompt), LatencySensitive},
-            Inputs, Now);
-  m_Tickets[Result.m_Ticket].m_Undisturbed = NoQueuedPrefill;
+  recordWork(Pool, LatencySensitive,
+             Chosen.m_UncachedTokens + expectedOutput(Prompt) * StepTokens /
+                                           slotsOf(State.m_Upstream),
+             Now);
+  const bool NoQueuedPrefill = Chosen.m_QueuedPrefillTokens == 0;
+  const Placed Result = issueTicket(
+      State, Query,
+      {Chosen.m_UncachedTokens,
+       Chosen.m_UncachedTokens + expectedOutput(Prompt), LatencySensitive},
+      Inputs, Now);
+  m_Tickets[Result.m_Ticket].m_NoQueuedPrefill = NoQueuedPrefill;
   return Result;
 }
 
-bool Balancer::tight(const PlacementQuery &Query) const {
-  const auto Found = m_TightestPauses.find(Query.m_Service);
-  return isTight(Query, Found == m_TightestPauses.end() ? Duration::zero()
-                                                        : Found->second);
+bool Balancer::isQueryLatencySensitive(const PlacementQuery &Query) const {
+  const auto Found = m_MinPauses.find(Query.m_Service);
+  return isLatencySensitive(Query, Found == m_MinPauses.end() ? Duration::zero()
+                                                              : Found->second);
 }
 
 EngineOption Balancer::optionAt(UpstreamState &State,
@@ -248,30 +252,37 @@
   const UpstreamId Id = State.m_Upstream.m_Id;
   const Urgency Level = Query.m_Urgency;
   const std::uint32_t Tokens = Query.m_Prompt.m_PromptTokens;
-  const std::uint32_t CachedTokens = m_Cache.kept(Id, Query.m_Prompt.m_Parts);
-  const CallLoad &Own = State.m_Own;
-  const CallLoad &Peers = m_Peers.at(Id);
+  const std::uint32_t CachedTokens =
+      m_Cache.cachedTokens(Id, Query.m_Prompt.m_Segments);
+  const CallLoad &Own = State.m_OwnLoad;
+  const CallLoad &Peers = m_PeerLoads.at(Id);
   EngineOption Result;
   Result.m_State = &State;
   Result.m_Calls = callsAt(State, Peers, Now);
-  Result.m_UnreadTokens = Own.unreadBefore(Level) + Peers.unreadBefore(Level);
-  Result.m_UnreadAfter = Own.unreadAfter(Level) + Peers.unreadAfter(Level);
-  Result.m_MoreUrgent = Own.moreUrgent(Level) + Peers.moreUrgent(Level);
-  Result.m_Tight = Own.tight() + Peers.tight();
-  Result.m_LessUrgent = Own.lessUrgent(Level) + Peers.lessUrgent(Level);
-  Result.m_MissingTokens = Tokens - std::min(Tokens, CachedTokens);
-  Result.m_HeldTokens = Own.held() + Peers.held();
+  Result.m_QueuedPrefillTokens =
+      Own.prefillBefore(Level) + Peers.prefillBefore(Level);
+  Result.m_LaterPrefillTokens =
+      Own.prefillAfter(Level) + Peers.prefillAfter(Level);
+  Result.m_MoreUrgentCalls =
+      Own.moreUrgentCalls(Level) + Peers.moreUrgentCalls(Level);
+  Result.m_LatencySensitiveCalls =
+      Own.latencySensitiveCalls() + Peers.latencySensitiveCalls();
+  Result.m_LessUrgentCalls =
+      Own.lessUrgentCalls(Level) + Peers.lessUrgentCalls(Level);
+  Result.m_UncachedTokens = Tokens - std::min(Tokens, CachedTokens);
+  Result.m_HeldTokens = Own.heldTokens() + Peers.heldTokens();
   return Result;
 }
 
 /// The first engines by rank take latency-sensitive calls only.
-std::size_t Balancer::shortEngines(const std::string &Service) const {
-  const auto Engines = m_Staying.find(Service);
-  const auto Split = m_Splits.find(poolIdOf(Service, 0));
-  if (Engines == m_Staying.end())
+std::size_t
+Balancer::latencySensitiveEngineCount(const std::string &Service) const {
+  const auto Engines = m_ActiveUpstreamCounts.find(Service);
+  const auto Split = m_RoleSplits.find(poolIdOf(Service, 0));
+  if (Engines == m_ActiveUpstreamCounts.end())
     return 0;
-  return (Split == m_Splits.end() ? RoleSplit() : Split->second)
-      .shortEngines(Engines->second);
+  return (Split == m_RoleSplits.end() ? RoleSplit() : Split->second)
+      .latencySensitiveEngineCount(Engines->second);
 }
 
 /// Marks the engines whose slots are taken, or whose memory the call could
@@ -286,108 +297,110 @@
 /// instance it waits, while urgent calls are refused.
 void Balancer::markFull(const PlacementQuery &Query,
                         std::vector<EngineOption> &Options) const {
-  const auto Capacity = m_CacheTokens.find(Query.m_Service);
+  const auto Capacity = m_CacheCapacities.find(Query.m_Service);
   const double Limit =
-      Capacity == m_CacheTokens.end() || Capacity->second == 0
+      Capacity == m_CacheCapacities.end() || Capacity->second == 0
           ? std::numeric_limits<double>::infinity()
           : MaxHeldShare * static_cast<double>(Capacity->second);
   for (EngineOption &Option : Options) {
     const double Slots = slotsOf(Option.m_State->m_Upstream);
-    const bool HasLessUrgent = Option.m_LessUrgent > 0;
+    const bool HasLessUrgent = Option.m_LessUrgentCalls > 0;
     const bool NoSlot =
         Option.m_Calls >= (HasLessUrgent ? 1 : MaxSlotShare) * Slots;
     Option.m_Full =
-        (Query.m_WaitedInVain ? !HasLessUrgent : NoSlot) ||
+        (Query.m_WaitTimedOut ? !HasLessUrgent : NoSlot) ||
         (Option.m_HeldTokens > 0 &&
-         static_cast<double>(Option.m_HeldTokens + Option.m_MissingTokens +
+         static_cast<double>(Option.m_HeldTokens + Option.m_UncachedTokens +
                              expectedOutput(Query.m_Prompt)) > Limit);
-    Option.m_FullTokens = SlotTurnoverTokens / Slots;
+    Option.m_SlotWaitTokens = SlotTurnoverTokens / Slots;
   }
   if (!Query.m_MayWait)
     std::erase_if(Options,
                   [](const EngineOption &Option) { return Option.m_Full; });
 }
 
-void Balancer::noteWork(PoolId Pool, bool LatencySensitive, double Tokens,
-                        TimePoint Now) {
+void Balancer::recordWork(PoolId Pool, bool LatencySensitive, double Tokens,
+                          TimePoint Now) {
   WorkTokens Work;
-  (LatencySensitive ? Work.m_Short : Work.m_Long) = Tokens;
-  m_Splits[Pool].add(Work, Now);
-  m_NewWork[Pool] += Work;
+  (LatencySensitive ? Work.m_LatencySensitive : Work.m_Other) = Tokens;
+  m_RoleSplits[Pool].add(Work, Now);
+  m_UnsentWork[Pool] += Work;
 }
 
-Placed Balancer::begin(UpstreamState &Chosen, const PlacementQuery &Query,
-                       const CallTokens &Tokens, const PlacementInputs &Inputs,
-                       TimePoint Now) {
-  Chosen.m_Own.begin(Query.m_Urgency, Tokens);
-  m_Limits.taken(Chosen.m_Upstream.m_Id, Now);
+Placed Balancer::issueTicket(UpstreamState &Chosen, const PlacementQuery &Query,
+                             const CallDemand &Tokens,
+                             const PlacementInputs &Inputs, TimePoint Now) {
+  Chosen.m_OwnLoad.addCall(Query.m_Urgency, Tokens);
+  m_RateLimits.recordSend(Chosen.m_Upstream.m_Id, Now);
   const TicketId Id(++m_LastTicket);
   m_Tickets[Id] = {Chosen.m_Upstream.m_Id, Query.m_Urgency, Tokens, Now, false,
-                   Query.m_Content};
+                   Query.m_ContentHash};
   return Placed{Id, Chosen.m_Upstream.m_Id, Chosen.m_Upstream.m_Name,
                 Chosen.m_Upstream.m_Address, Inputs};
 }
 
 double Balancer::callsAt(const UpstreamState &State, TimePoint Now) const {
-  return callsAt(State, m_Peers.at(State.m_Upstream.m_Id), Now);
+  return callsAt(State, m_PeerLoads.at(State.m_Upstream.m_Id), Now);
 }
 
 double Balancer::callsAt(const UpstreamState &State, const CallLoad &Peers,
                          TimePoint Now) const {
-  const auto Own = static_cast<double>(State.m_Own.running());
-  if (m_Peers.size() > 0)
-    return Own + Peers.running();
-  if (!State.m_Load || Now - State.m_LoadAt > ReportLifetime)
+  const auto Own = static_cast<double>(State.m_OwnLoad.runningCalls());
+  if (m_PeerLoads.size() > 0)
+    return Own + Peers.runningCalls();
+  if (!State.m_LoadReport || Now - State.m_ReportedAt > ReportLifetime)
     return Own;
-  const double Reported = State.m_Load->m_Running + State.m_Load->m_Waiting;
-  return std::max(Own, Reported + Own - State.m_RunningAtLoad);
+  const double Reported =
+      State.m_LoadReport->m_Running + State.m_LoadReport->m_Waiting;
+  return std::max(Own, Reported + Own - State.m_RunningAtReport);
 }
 
-void Balancer::peerSaid(InstanceId Peer, const LoadDigest &Digest,
-                        TimePoint Now) {
-  m_Peers.take(Peer, Digest.m_Loads, Now);
-  m_Quarantine.take(Digest.m_Crashes, Now);
-  m_Limits.take(Digest.m_Limits, Now);
+void Balancer::applyPeerDigest(InstanceId Peer, const LoadDigest &Digest,
+                               TimePoint Now) {
+  m_PeerLoads.setPeerLoads(Peer, Digest.m_Loads, Now);
+  m_Quarantine.applyUpdates(Digest.m_Crashes, Now);
+  m_RateLimits.applyUpdates(Digest.m_Limits, Now);
   for (const auto &[Pool, Work] : Digest.m_Work)
-    m_Splits[Pool].add(Work, Now);
-  for (const PartPlaced &Placement : Digest.m_Parts) {
+    m_RoleSplits[Pool].add(Work, Now);
+  for (const SegmentPlacement &Placement : Digest.m_Segments) {
     const auto Found = m_States.find(Placement.m_Upstream);
     if (Found != m_States.end())
-      m_Cache.placed(Placement.m_Upstream, Placement.m_Part,
-                     m_CacheTokens[Found->second.m_Upstream.m_Service]);
+      m_Cache.recordPlacement(
+          Placement.m_Upstream, Placement.m_Segment,
+          m_CacheCapacities[Found->second.m_Upstream.m_Service]);
   }
 }
 
-LoadDigest Balancer::wholeDigest(TimePoint Now) const {
+LoadDigest Balancer::fullDigest(TimePoint Now) const {
   LoadDigest Result;
   for (const auto &[Id, State] : m_States) {
-    State.m_Own.tell(Id, Result.m_Loads);
-    std::vector<PromptPart> Segments;
-    m_Cache.tell(Id, Segments);
-    for (const PromptPart &Segment : Segments)
-      Result.m_Parts.push_back({Id, Segment});
+    State.m_OwnLoad.appendLoads(Id, Result.m_Loads);
+    std::vector<PrefixSegment> Segments;
+    m_Cache.appendSegments(Id, Segments);
+    for (const PrefixSegment &Segment : Segments)
+      Result.m_Segments.push_back({Id, Segment});
   }
   // Only the proportion matters, so it may be received from several instances.
-  for (const auto &[Pool, Split] : m_Splits)
-    Result.m_Work[Pool] = Split.recent();
-  Result.m_Crashes = m_Quarantine.all();
-  Result.m_Limits = m_Limits.all(Now);
+  for (const auto &[Pool, Split] : m_RoleSplits)
+    Result.m_Work[Pool] = Split.recentWork();
+  Result.m_Crashes = m_Quarantine.snapshot();
+  Result.m_Limits = m_RateLimits.snapshot(Now);
   return Result;
 }
 
 LoadDigest Balancer::takeDigest(TimePoint Now) {
   LoadDigest Result;
   for (const auto &[Id, State] : m_States)
-    State.m_Own.tell(Id, Result.m_Loads);
-  Result.m_Parts = std::exchange(m_NewParts, {});
-  Result.m_Work = std::exchange(m_NewWork, {});
-  Result.m_Crashes = m_Quarantine.takeNews();
-  Result.m_Limits = m_Limits.takeNews(Now);
+    State.m_OwnLoad.appendLoads(Id, Result.m_Loads);
+  Result.m_Segments = std::exchange(m_UnsentSegments, {});
+  Result.m_Work = std::exchange(m_UnsentWork, {});
+  Result.m_Crashes = m_Quarantine.takeUpdates();
+  Result.m_Limits = m_RateLimits.takeUpdates(Now);
   return Result;
 }
 
-UpstreamState *Balancer::chooseForPlain(const States &Candidates,
-                                        TimePoint Now) const {
+UpstreamState *Balancer::choosePlainUpstream(const States &Candidates,
+                                             TimePoint Now) const {
   const auto Cost = [&](const UpstreamState &State) {
     const bool SameZone = State.m_Upstream.m_Zone == m_Zone;
     return callsAt(State, Now) + (SameZone ? 0 : OtherZonePenalty) +
@@ -408,62 +421,67 @@
   return State == m_States.end() ? nullptr : &State->second;
 }
 
-void Balancer::answered(TicketId Ticket, TimePoint Now) {
+void Balancer::recordFirstEvent(TicketId Ticket, TimePoint Now) {
   UpstreamState *State = stateOf(Ticket);
   if (State == nullptr)
     return;
   struct Ticket &Found = m_Tickets[Ticket];
-  if (Found.m_Undisturbed)
-    m_Speed.seen(State->m_Upstream.m_Service, Found.m_Tokens.m_Unread,
-                 Now - Found.m_Begin);
-  State->m_Own.read(Found.m_Urgency, Found.m_Tokens.m_Unread);
-  Found.m_Tokens.m_Unread = 0;
+  if (Found.m_NoQueuedPrefill)
+    m_PrefillSpeed.addSample(State->m_Upstream.m_Service,
+                             Found.m_Demand.m_PrefillTokens,
+                             Now - Found.m_PlacedAt);
+  State->m_OwnLoad.finishPrefill(Found.m_Urgency,
+                                 Found.m_Demand.m_PrefillTokens);
+  Found.m_Demand.m_PrefillTokens = 0;
 }
 
-void Balancer::heard(TicketId Ticket, TimePoint Now) {
+void Balancer::recordBytesReceived(TicketId Ticket, TimePoint Now) {
   if (UpstreamState *State = stateOf(Ticket))
-    State->m_HeardAt = Now;
+    State->m_LastByteAt = Now;
 }
 
-Duration Balancer::unheardOf(TicketId Ticket, TimePoint Now) const {
+Duration Balancer::silenceDuration(TicketId Ticket, TimePoint Now) const {
   const auto Found = m_Tickets.find(Ticket);
   if (Found == m_Tickets.end())
     return Duration::zero();
-  TimePoint Since = Found->second.m_Begin;
+  TimePoint Since = Found->second.m_PlacedAt;
   const auto State = m_States.find(Found->second.m_Upstream);
   if (State != m_States.end())
-    Since = std::max(Since, State->second.m_HeardAt);
+    Since = std::max(Since, State->second.m_LastByteAt);
   return Now - Since;
 }
 
-void Balancer::reported(TicketId Ticket, const LoadReport &Load,
-                        TimePoint Now) {
+void Balancer::recordLoadReport(TicketId Ticket, const LoadReport &Load,
+                                TimePoint Now) {
   UpstreamState *State = stateOf(Ticket);
   if (State == nullptr)
     return;
-  State->m_Load = Load;
-  State->m_RunningAtLoad = State->m_Own.running();
-  State->m_LoadAt = Now;
+  State->m_LoadReport = Load;
+  State->m_RunningAtReport = State->m_OwnLoad.runningCalls();
+  State->m_ReportedAt = Now;
 }
 
-void Balancer::stated(TicketId Ticket, RateLimit Limit, TimePoint Now) {
+void Balancer::recordRateLimit(TicketId Ticket, RateLimit Limit,
+                               TimePoint Now) {
   const auto Found = m_Tickets.find(Ticket);
   if (Found != m_Tickets.end() && m_States.contains(Found->second.m_Upstream))
-    m_Limits.stated(Found->second.m_Upstream, Limit, Found->second.m_Begin,
-                    Now);
+    m_RateLimits.recordStatement(Found->second.m_Upstream, Limit,
+                                 Found->second.m_PlacedAt, Now);
 }
 
-void Balancer::ended(TicketId Ticket, CallOutcome Outcome, TimePoint Now) {
+void Balancer::recordCallEnd(TicketId Ticket, CallOutcome Outcome,
+                             TimePoint Now) {
   if (UpstreamState *State = stateOf(Ticket)) {
     const struct Ticket &Ended = m_Tickets[Ticket];
-    State->m_Own.read(Ended.m_Urgency, Ended.m_Tokens.m_Unread);
-    State->m_Own.end(Ended.m_Urgency, Ended.m_Tokens);
-    State->m_Health.ended(Outcome, Now);
+    State->m_OwnLoad.finishPrefill(Ended.m_Urgency,
+                                   Ended.m_Demand.m_PrefillTokens);
+    State->m_OwnLoad.removeCall(Ended.m_Urgency, Ended.m_Demand);
+    State->m_Health.recordOutcome(Outcome, Now);
     reportToQuarantine(Ended, *State, Outcome, Now);
     if (Outcome == CallOutcome::Refused)
       State->m_FullUntil = Now + FullBackoff;
-    if (Outcome == CallOutcome::Leaving)
-      State->m_LeavingUntil = Now + DrainingBackoff;
+    if (Outcome == CallOutcome::Draining)
+      State->m_DrainingUntil = Now + DrainingBackoff;
   }
   m_Tickets.erase(Ticket);
 }
@@ -471,25 +489,25 @@
 /// A draining upstream may cut its last calls without having crashed.
 void Balancer::reportToQuarantine(const Ticket &Ended, const UpstreamState &At,
                                   CallOutcome Outcome, TimePoint Now) {
-  if (!Ended.m_Content)
+  if (!Ended.m_ContentHash)
     return;
   if (Outcome == CallOutcome::Served)
-    m_Quarantine.served(*Ended.m_Content);
-  else if (Outcome == CallOutcome::Broken && !At.m_Upstream.m_Leaving &&
-           Now >= At.m_LeavingUntil)
-    m_Quarantine.callBroken(*Ended.m_Content, Ended.m_Upstream, Now);
+    m_Quarantine.recordServed(*Ended.m_ContentHash);
+  else if (Outcome == CallOutcome::Broken && !At.m_Upstream.m_Draining &&
+           Now >= At.m_DrainingUntil)
+    m_Quarantine.recordBrokenCall(*Ended.m_ContentHash, Ended.m_Upstream, Now);
 }
 
 bool Balancer::mayBegin(TicketId Ticket, TimePoint Now) const {
   const auto Found = m_Tickets.find(Ticket);
   if (Found == m_Tickets.end())
     return false;
-  if (const auto &Content = Found->second.m_Content;
-      Content && m_Quarantine.heldFor(*Content, Now) > Duration::zero())
+  if (const auto &Content = Found->second.m_ContentHash;
+      Content && m_Quarantine.remainingHold(*Content, Now) > Duration::zero())
     return false;
   const auto State = m_States.find(Found->second.m_Upstream);
-  return State != m_States.end() && !State->second.m_Upstream.m_Leaving &&
-         Now >= State->second.m_LeavingUntil;
+  return State != m_States.end() && !State->second.m_Upstream.m_Draining &&
+         Now >= State->second.m_DrainingUntil;
 }
 
 } // namespace crowstep::balance
--- a/src/balance/balancer.h
+++ b/src/balance/balancer.h
@@ -25,7 +25,7 @@
   /// \p Zone is the zone of this instance; \p Seed differs between instances.
   explicit Balancer(AvailabilityZone Zone, std::uint64_t Seed = 1)
       : m_Zone(std::move(Zone)), m_Random(Seed), m_Quarantine(Seed),
-        m_Limits(Seed) {}
+        m_RateLimits(Seed) {}
 
   /// Replaces the list of upstreams. The state of those that stay listed is
   /// kept; tickets of calls at removed ones remain until the calls end.
@@ -35,59 +35,60 @@
   PlacementResult place(const PlacementQuery &Query, TimePoint Now);
 
   /// The first event or the whole answer was received: prefill is complete.
-  void answered(TicketId Ticket, TimePoint Now);
+  void recordFirstEvent(TicketId Ticket, TimePoint Now);
 
   /// The call's upstream reported its load.
-  void reported(TicketId Ticket, const LoadReport &Load, TimePoint Now);
+  void recordLoadReport(TicketId Ticket, const LoadReport &Load, TimePoint Now);
 
   /// The call's upstream stated its limit in requests a second, or that it has
   /// none and takes as many as it has room for.
-  void stated(TicketId Ticket, RateLimit Limit, TimePoint Now);
+  void recordRateLimit(TicketId Ticket, RateLimit Limit, TimePoint Now);
 
   /// Sets the list of all instances, this one as \p Self.
   void setInstances(InstanceId Self, std::vector<InstanceId> All,
                     TimePoint Now) {
-    m_Limits.setInstances(Self, std::move(All), Now);
+    m_RateLimits.setInstances(Self, std::move(All), Now);
   }
 
   /// Returns the rate limit that an upstream has stated.
   [[nodiscard]] RateLimit limitOf(UpstreamId Upstream) const {
-    return m_Limits.limitOf(Upstream);
+    return m_RateLimits.limitOf(Upstream);
   }
 
   /// Bytes were received from the call's upstream.
-  void heard(TicketId Ticket, TimePoint Now);
+  void recordBytesReceived(TicketId Ticket, TimePoint Now);
 
   /// Returns how long nothing has been received from the upstream of a call, on
   /// any call; at most the time since the call was placed.
-  [[nodiscard]] Duration unheardOf(TicketId Ticket, TimePoint Now) const;
+  [[nodiscard]] Duration silenceDuration(TicketId Ticket, TimePoint Now) const;
 
   /// The call has ended at the upstream. Unknown tickets are ignored.
-  void ended(TicketId Ticket, CallOutcome Outcome, TimePoint Now);
+  void recordCallEnd(TicketId Ticket, CallOutcome Outcome, TimePoint Now);
 
   /// Returns whether the upstream of a call is still listed and not draining,
   /// and the call's request is not quarantined.
   [[nodiscard]] bool mayBegin(TicketId Ticket, TimePoint Now) const;
 
   /// Sets the memory of each engine of a service, in tokens.
-  void setCacheTokens(const std::string &Service, std::uint64_t Tokens) {
-    m_CacheTokens[Service] = Tokens;
+  void setCacheCapacity(const std::string &Service, std::uint64_t Tokens) {
+    m_CacheCapacities[Service] = Tokens;
   }
 
   /// Sets the shortest of the pauses between events that the classes of a
   /// service allow, for the services where a class sets one.
-  void setTightestPauses(std::map<std::string, Duration> Pauses) {
-    m_TightestPauses = std::move(Pauses);
+  void setMinPauses(std::map<std::string, Duration> Pauses) {
+    m_MinPauses = std::move(Pauses);
   }
 
   /// Returns the requests that must not run.
   [[nodiscard]] Quarantine &quarantine() { return m_Quarantine; }
 
   /// Applies another instance's digest.
-  void peerSaid(InstanceId Peer, const LoadDigest &Digest, TimePoint Now);
+  void applyPeerDigest(InstanceId Peer, const LoadDigest &Digest,
+                       TimePoint Now);
 
   /// Forgets the loads of an instance that was removed.
-  void peerGone(InstanceId Peer) { m_Peers.drop(Peer); }
+  void removePeer(InstanceId Peer) { m_PeerLoads.drop(Peer); }
 
   /// Returns the digest for the other instances: this instance's loads, and all
   /// changes since the last digest.
@@ -96,59 +97,63 @@
   /// Returns the digest for an instance that has just started, with the whole
   /// model of the engines' caches. Without it a restarted instance sends
   /// prompts to engines that have not cached their prefixes.
-  [[nodiscard]] LoadDigest wholeDigest(TimePoint Now) const;
+  [[nodiscard]] LoadDigest fullDigest(TimePoint Now) const;
 
 private:
   using States = std::vector<UpstreamState *>;
 
   /// A call that counts at an upstream.
   struct Ticket {
-    UpstreamId m_Upstream;                ///< May be removed from the list.
-    Urgency m_Urgency = 0;                ///< Of the call.
-    CallTokens m_Tokens;                  ///< Load that it adds there.
-    TimePoint m_Begin;                    ///< Time of the placement.
-    bool m_Undisturbed = false;           ///< No prefill queued before it.
-    std::optional<ContentHash> m_Content; ///< Of the request, if known.
+    UpstreamId m_Upstream;                    ///< May be removed from the list.
+    Urgency m_Urgency = 0;                    ///< Of the call.
+    CallDemand m_Demand;                      ///< Load that it adds there.
+    TimePoint m_PlacedAt;                     ///< Time of the placement.
+    bool m_NoQueuedPrefill = false;           ///< No prefill queued before it.
+    std::optional<ContentHash> m_ContentHash; ///< Of the request, if known.
   };
 
-  States candidates(const PlacementQuery &Query, TimePoint Now);
-  [[nodiscard]] NotPlaced nonePlaced(const PlacementQuery &Query) const;
+  States findCandidates(const PlacementQuery &Query, TimePoint Now);
+  [[nodiscard]] NotPlaced noCandidateResult(const PlacementQuery &Query) const;
   PlacementResult placeAtEngine(const PlacementQuery &Query,
                                 const States &Candidates, TimePoint Now);
   void rankEngines();
-  [[nodiscard]] bool tight(const PlacementQuery &Query) const;
-  [[nodiscard]] std::size_t shortEngines(const std::string &Service) const;
+  [[nodiscard]] bool isQueryLatencySensitive(const PlacementQuery &Query) const;
+  [[nodiscard]] std::size_t
+  latencySensitiveEngineCount(const std::string &Service) const;
   [[nodiscard]] EngineOption optionAt(UpstreamState &State,
                                       const PlacementQuery &Query,
                                       TimePoint Now) const;
   void markFull(const PlacementQuery &Query,
                 std::vector<EngineOption> &Options) const;
-  void noteWork(PoolId Pool, bool LatencySensitive, double Tokens,
-                TimePoint Now);
-  Placed begin(UpstreamState &Chosen, const PlacementQuery &Query,
-               const CallTokens &Tokens, const PlacementInputs &Inputs,
-               TimePoint Now);
+  void recordWork(PoolId Pool, bool LatencySensitive, double Tokens,
+                  TimePoint Now);
+  Placed issueTicket(UpstreamState &Chosen, const PlacementQuery &Query,
+                     const CallDemand &Tokens, const PlacementInputs &Inputs,
+                     TimePoint Now);
   void reportToQuarantine(const Ticket &Ended, const UpstreamState &At,
                           CallOutcome Outcome, TimePoint Now);
-  UpstreamState *chooseForPlain(const States &Candidates, TimePoint Now) const;
+  UpstreamState *choosePlainUpstream(const States &Candidates,
+                                     TimePoint Now) const;
   [[nodiscard]] double callsAt(const UpstreamState &State, TimePoint Now) const;
   [[nodiscard]] double callsAt(const UpstreamState &State,
                                const CallLoad &Peers, TimePoint Now) const;
   UpstreamState *stateOf(TicketId Ticket);
 
-  AvailabilityZone m_Zone;                          ///< Of this instance.
-  std::mt19937_64 m_Random;                         ///< For sampling engines.
-  Quarantine m_Quarantine;                          ///< Of requests.
-  RateLimits m_Limits;                              ///< Stated by upstreams.
-  ReadingSpeed m_Speed;                             ///< Of the engines.
-  PeerLoads m_Peers;                                ///< From their digests.
-  CacheModel m_Cache;                               ///< Of the engines.
-  std::unordered_map<PoolId, RoleSplit> m_Splits;   ///< By service.
-  std::unordered_map<PoolId, WorkTokens> m_NewWork; ///< Since takeDigest().
-  std::vector<PartPlaced> m_NewParts;               ///< Since takeDigest().
-  std::unordered_map<std::string, std::uint64_t> m_CacheTokens; ///< By service.
-  std::map<std::string, Duration> m_TightestPauses;             ///< By service.
-  std::map<std::string, std::size_t> m_Staying; ///< Not draining, by service.
+  AvailabilityZone m_Zone;                            ///< Of this instance.
+  std::mt19937_64 m_Random;                           ///< For sampling engines.
+  Quarantine m_Quarantine;                            ///< Of requests.
+  RateLimits m_RateLimits;                            ///< Stated by upstreams.
+  PrefillSpeed m_PrefillSpeed;                        ///< Of the engines.
+  PeerLoads m_PeerLoads;                              ///< From their digests.
+  CacheModel m_Cache;                                 ///< Of the engines.
+  std::unordered_map<PoolId, RoleSplit> m_RoleSplits; ///< By service.
+  std::unordered_map<PoolId, WorkTokens> m_UnsentWork; ///< Since takeDigest().
+  std::vector<SegmentPlacement> m_UnsentSegments;      ///< Since takeDigest().
+  std::unordered_map<std::string, std::uint64_t>
+      m_CacheCapacities;                       ///< By service.
+  std::map<std::string, Duration> m_MinPauses; ///< By service.
+  std::map<std::string, std::size_t>
+      m_ActiveUpstreamCounts;                   ///< Not draining, by service.
   std::map<UpstreamId, UpstreamState> m_States; ///< Listed upstreams.
   std::unordered_map<TicketId, Ticket>
       m_Tickets;                  ///< Calls that have not ended.
--- a/src/balance/cache_model.h
+++ b/src/balance/cache_model.h
@@ -22,20 +22,21 @@
 
   /// Share of an engine's memory that holds cached segments; the rest holds the
   /// running calls.
-  static constexpr double KeptShare = 0.6;
+  static constexpr double PrefixCacheShare = 0.6;
 
   /// A segment of a prompt was sent to an engine whose memory is \p Capacity,
   /// in tokens; 0: not known.
-  void placed(UpstreamId Engine, const PromptPart &Segment,
-              std::uint64_t Capacity);
+  void recordPlacement(UpstreamId Engine, const PrefixSegment &Segment,
+                       std::uint64_t Capacity);
 
   /// Returns the length in tokens of the prefix that \p Engine has cached: a
   /// segment counts only if all segments before it are cached.
   [[nodiscard]] std::uint32_t
-  kept(UpstreamId Engine, const std::vector<PromptPart> &Segments) const;
+  cachedTokens(UpstreamId Engine,
+               const std::vector<PrefixSegment> &Segments) const;
 
   /// Appends all segments that \p Engine has cached, least recently used first.
-  void tell(UpstreamId Engine, std::vector<PromptPart> &Out) const;
+  void appendSegments(UpstreamId Engine, std::vector<PrefixSegment> &Out) const;
 
   /// Forgets all engines but \p Listed.
   void keepOnly(const std::vector<Upstream> &Listed);
@@ -43,13 +44,13 @@
 private:
   /// The segments that one engine has cached.
   struct EngineCache {
-    std::list<PromptPart> m_Order; ///< Most recently used first.
-    std::unordered_map<std::uint64_t, std::list<PromptPart>::iterator>
-        m_Where;                ///< By segment id.
+    std::list<PrefixSegment> m_LruOrder; ///< Most recently used first.
+    std::unordered_map<std::uint64_t, std::list<PrefixSegment>::iterator>
+        m_Index;                ///< By segment id.
     std::uint64_t m_Tokens = 0; ///< Of all segments.
   };
 
-  std::unordered_map<UpstreamId, EngineCache> m_Engines; ///< By engine.
+  std::unordered_map<UpstreamId, EngineCache> m_Caches; ///< By engine.
 };
 
 } // namespace crowstep::balance
--- a/src/balance/digest_sum.cpp
+++ b/src/balance/digest_sum.cpp
@@ -5,20 +5,21 @@
 
 namespace crowstep::balance {
 
-void DigestSum::take(InstanceId From, const LoadDigest &Digest, TimePoint Now) {
-  m_Loads.take(From, Digest.m_Loads, Now);
-  m_Parts.insert(m_Parts.end(), Digest.m_Parts.begin(), Digest.m_Parts.end());
+void DigestSum::add(InstanceId From, const LoadDigest &Digest, TimePoint Now) {
+  m_Loads.setPeerLoads(From, Digest.m_Loads, Now);
+  m_Segments.insert(m_Segments.end(), Digest.m_Segments.begin(),
+                    Digest.m_Segments.end());
   for (const auto &[Pool, Work] : Digest.m_Work)
     m_Work[Pool] += Work;
   m_Crashes.insert(m_Crashes.end(), Digest.m_Crashes.begin(),
                    Digest.m_Crashes.end());
-  for (const LimitNews &Update : Digest.m_Limits)
+  for (const LimitUpdate &Update : Digest.m_Limits)
     m_Limits.emplace_back(Update, Now);
 }
 
 void DigestSum::clear() {
   m_Loads.clear();
-  m_Parts.clear();
+  m_Segments.clear();
   m_Work.clear();
   m_Crashes.clear();
   m_Limits.clear();
@@ -27,8 +28,8 @@
 LoadDigest DigestSum::takeSum(TimePoint Now) {
   m_Loads.expire(Now);
   LoadDigest Result;
-  m_Loads.tell(Result.m_Loads);
-  Result.m_Parts = std::exchange(m_Parts, {});
+  m_Loads.appendLoads(Result.m_Loads);
+  Result.m_Segments = std::exchange(m_Segments, {});
   Result.m_Work = std::exchange(m_Work, {});
   Result.m_Crashes = std::exchange(m_Crashes, {});
   for (auto [Update, ReceivedAt] : std::exchange(m_Limits, {})) {
--- a/src/balance/digest_sum.h
+++ b/src/balance/digest_sum.h
@@ -10,7 +10,7 @@
 public:
   /// Replaces the loads of the last digest of \p From; the rest of the digests
   /// accumulates until takeSum().
-  void take(InstanceId From, const LoadDigest &Digest, TimePoint Now);
+  void add(InstanceId From, const LoadDigest &Digest, TimePoint Now);
 
   /// Forgets an instance's loads.
   void drop(InstanceId From) { m_Loads.drop(From); }
@@ -23,10 +23,10 @@
 
 private:
   PeerLoads m_Loads;                             ///< Of the last digests.
-  std::vector<PartPlaced> m_Parts;               ///< Not yet taken.
+  std::vector<SegmentPlacement> m_Segments;      ///< Not yet taken.
   std::unordered_map<PoolId, WorkTokens> m_Work; ///< Not yet taken.
-  std::vector<CrashNews> m_Crashes;              ///< Not yet taken.
-  std::vector<std::pair<LimitNews, TimePoint>>
+  std::vector<CrashUpdate> m_Crashes;            ///< Not yet taken.
+  std::vector<std::pair<LimitUpdate, TimePoint>>
       m_Limits; ///< With time of receipt.
 };
 
--- a/src/balance/engine_choice.cpp
+++ b/src/balance/engine_choice.cpp
@@ -71,8 +71,8 @@
 /// time. Of 60 prefixes of two segments, requested twice by instances that
 /// don't know of one another's calls, 44 are prefilled once, against 4 with the
 /// first segment as the key.
-std::uint64_t preferredKey(const PromptSize &Prompt) {
-  const std::vector<PromptPart> &Segments = Prompt.m_Parts;
+std::uint64_t preferredKey(const PromptInfo &Prompt) {
+  const std::vector<PrefixSegment> &Segments = Prompt.m_Segments;
   if (Segments.empty())
     return RoleSeed;
   return Segments[Segments.size() < 2 ? 0 : Segments.size() - 2].m_Id;
@@ -104,14 +104,15 @@
                          std::mt19937_64 &Random) {
   const auto Least = std::min_element(
       Options.begin(), Options.end(), [](const auto &Left, const auto &Right) {
-        return Left.m_MissingTokens < Right.m_MissingTokens;
+        return Left.m_UncachedTokens < Right.m_UncachedTokens;
       });
   OptionList Cached;
   OptionList Others;
   for (const EngineOption &Option : Options)
     if (&Option != Preferred)
-      (Option.m_MissingTokens <= Least->m_MissingTokens + EqualTokens ? Cached
-                                                                      : Others)
+      (Option.m_UncachedTokens <= Least->m_UncachedTokens + EqualTokens
+           ? Cached
+           : Others)
           .push_back(&Option);
   OptionList Result = {Preferred};
   for (const OptionList *Group : {&Cached, &Others})
@@ -133,27 +134,29 @@
 
 double costOf(const EngineOption &Option, double Weight, bool LatencySensitive,
               bool Preferred) {
-  const double Uncached =
-      Weight * Option.m_MissingTokens * (Preferred ? 1 - PreferredDiscount : 1);
-  return static_cast<double>(Option.m_UnreadTokens) + Uncached +
-         LaterPrefillWeight * static_cast<double>(Option.m_UnreadAfter) +
-         TokensPerMoreUrgent * Option.m_MoreUrgent +
-         (LatencySensitive ? 0 : TokensPerLatencySensitive * Option.m_Tight) +
-         (Option.m_Full ? Option.m_FullTokens : 0);
+  const double Uncached = Weight * Option.m_UncachedTokens *
+                          (Preferred ? 1 - PreferredDiscount : 1);
+  return static_cast<double>(Option.m_QueuedPrefillTokens) + Uncached +
+         LaterPrefillWeight * static_cast<double>(Option.m_LaterPrefillTokens) +
+         TokensPerMoreUrgent * Option.m_MoreUrgentCalls +
+         (LatencySensitive
+              ? 0
+              : TokensPerLatencySensitive * Option.m_LatencySensitiveCalls) +
+         (Option.m_Full ? Option.m_SlotWaitTokens : 0);
 }
 
 } // namespace
 
-bool isTight(const PlacementQuery &Query, Duration MinPause) {
+bool isLatencySensitive(const PlacementQuery &Query, Duration MinPause) {
   if (Query.m_Prompt.m_PromptTokens >= ShortPromptTokens)
     return false;
   if (MinPause == Duration::zero())
     return true;
-  return Query.m_LongestPause > Duration::zero() &&
-         Query.m_LongestPause * 2 < MinPause * 3;
+  return Query.m_MaxPause > Duration::zero() &&
+         Query.m_MaxPause * 2 < MinPause * 3;
 }
 
-std::vector<UpstreamId> shortOrder(std::vector<UpstreamId> Engines) {
+std::vector<UpstreamId> roleOrder(std::vector<UpstreamId> Engines) {
   std::sort(Engines.begin(), Engines.end(),
             [](UpstreamId Left, UpstreamId Right) {
               return pairHash(RoleSeed, Left.value()) >
--- a/src/balance/quarantine.cpp
+++ b/src/balance/quarantine.cpp
@@ -28,105 +28,108 @@
 
 Quarantine::Quarantine(std::uint64_t Seed) {
   constexpr std::uint64_t Steps = 1024;
-  m_Spread = static_cast<double>(Seed % Steps) / Steps;
+  m_HoldJitter = static_cast<double>(Seed % Steps) / Steps;
 }
 
-void Quarantine::callBroken(const ContentHash &Request, UpstreamId Upstream,
-                            TimePoint Now) {
-  while (!m_Broken.empty() && (Now - m_Broken.front().m_At > BrokenLife ||
-                               m_Broken.size() >= MostRequests))
-    m_Broken.pop_front();
-  m_Broken.push_back({Request, Upstream, Now});
+void Quarantine::recordBrokenCall(const ContentHash &Request,
+                                  UpstreamId Upstream, TimePoint Now) {
+  while (!m_BrokenCalls.empty() &&
+         (Now - m_BrokenCalls.front().m_BrokenAt > BrokenCallLifetime ||
+          m_BrokenCalls.size() >= MaxRequests))
+    m_BrokenCalls.pop_front();
+  m_BrokenCalls.push_back({Request, Upstream, Now});
 }
 
-std::size_t Quarantine::upstreamDown(UpstreamId Upstream, TimePoint Now) {
+std::size_t Quarantine::recordUpstreamDown(UpstreamId Upstream, TimePoint Now) {
   std::vector<ContentHash> Suspects;
-  std::erase_if(m_Broken, [&](const Broken &Call) {
+  std::erase_if(m_BrokenCalls, [&](const BrokenCall &Call) {
     if (Call.m_Upstream != Upstream)
       return false;
-    if (Now - Call.m_At <= BrokenLife)
+    if (Now - Call.m_BrokenAt <= BrokenCallLifetime)
       Suspects.push_back(Call.m_Request);
     return true;
   });
   for (const ContentHash &Request : Suspects)
-    crashed(Request, Upstream, true, Now);
+    recordCrash(Request, Upstream, true, Now);
   return Suspects.size();
 }
 
-void Quarantine::crashed(const ContentHash &Request, UpstreamId Upstream,
-                         bool ObservedHere, TimePoint Now) {
+void Quarantine::recordCrash(const ContentHash &Request, UpstreamId Upstream,
+                             bool ObservedHere, TimePoint Now) {
   Record &Entry = m_Records[Request];
-  if (!Entry.quarantined() && Now - Entry.m_LastAt > SuspectLife)
-    Entry.m_Crashes.clear();
-  Entry.m_Own = Entry.m_Own || ObservedHere;
-  if (!Entry.m_Crashes.insert(Upstream).second)
+  if (!Entry.isQuarantined() && Now - Entry.m_UpdatedAt > SuspectLifetime)
+    Entry.m_CrashedUpstreams.clear();
+  Entry.m_ObservedHere = Entry.m_ObservedHere || ObservedHere;
+  if (!Entry.m_CrashedUpstreams.insert(Upstream).second)
     return;
-  Entry.m_LastAt = Now;
+  Entry.m_UpdatedAt = Now;
   if (ObservedHere)
-    broadcast({Request, Upstream});
-  if (Entry.m_Crashes.size() >= MostCrashes &&
-      Entry.m_HeldUntil - Now <= Entry.m_Lapse / LastPartDivisor)
-    hold(Request, Entry, Now);
-  makeRoom();
-}
-
-void Quarantine::hold(const ContentHash &Request, Record &Entry,
-                      TimePoint Now) {
-  if (!Entry.quarantined()) {
-    ++m_Size;
-    Entry.m_Lapse = std::chrono::duration_cast<Duration>(
-        FirstLapse * (1 + MaxHoldJitter * m_Spread));
+    queueUpdate({Request, Upstream});
+  if (Entry.m_CrashedUpstreams.size() >= CrashThreshold &&
+      Entry.m_HeldUntil - Now <= Entry.m_HoldTime / LastPartDivisor)
+    startHold(Request, Entry, Now);
+  evictExcess();
+}
+
+void Quarantine::startHold(const ContentHash &Request, Record &Entry,
+                           TimePoint Now) {
+  if (!Entry.isQuarantined()) {
+    ++m_QuarantinedCount;
+    Entry.m_HoldTime = std::chrono::duration_cast<Duration>(
+        InitialHold * (1 + MaxHoldJitter * m_HoldJitter));
   } else {
-    Entry.m_Lapse = std::min(Entry.m_Lapse * LapseGrowth, LongestLapse);
+    Entry.m_HoldTime = std::min(Entry.m_HoldTime * HoldGrowthFactor, MaxHold);
   }
-  Entry.m_HeldUntil = Now + Entry.m_Lapse;
+  Entry.m_HeldUntil = Now + Entry.m_HoldTime;
   if (m_Listener != nullptr)
-    m_Listener->quarantined(Request, Entry.m_Crashes.size(), Entry.m_Lapse);
+    m_Listener->onQuarantined(Request, Entry.m_CrashedUpstreams.size(),
+                              Entry.m_HoldTime);
 }
 
-void Quarantine::served(const ContentHash &Request) {
+void Quarantine::recordServed(const ContentHash &Request) {
   if (!m_Records.contains(Request))
     return;
-  broadcast({Request, std::nullopt});
+  queueUpdate({Request, std::nullopt});
   if (m_Listed.contains(Request))
-    m_WronglyListed.insert(Request);
+    m_StaleListings.insert(Request);
   clear(Request, ClearReason::Served);
 }
 
 void Quarantine::clear(const ContentHash &Request, ClearReason Reason) {
   const auto Node = m_Records.extract(Request);
-  if (Node.empty() || !Node.mapped().quarantined())
+  if (Node.empty() || !Node.mapped().isQuarantined())
     return;
-  --m_Size;
+  --m_QuarantinedCount;
   if (m_Listener != nullptr)
-    m_Listener->cleared(Request, Reason);
+    m_Listener->onCleared(Request, Reason);
 }
 
-void Quarantine::broadcast(const CrashNews &Update) {
-  if (m_News.size() < MostNews)
-    m_News.push_back(Update);
+void Quarantine::queueUpdate(const CrashUpdate &Update) {
+  if (m_PendingUpdates.size() < MaxUpdates)
+    m_PendingUpdates.push_back(Update);
 }
 
-void Quarantine::take(const std::vector<CrashNews> &Updates, TimePoint Now) {
-  for (const CrashNews &Update : Updates)
+void Quarantine::applyUpdates(const std::vector<CrashUpdate> &Updates,
+                              TimePoint Now) {
+  for (const CrashUpdate &Update : Updates)
     if (Update.m_Upstream)
-      crashed(Update.m_Request, *Update.m_Upstream, false, Now);
+      recordCrash(Update.m_Request, *Update.m_Upstream, false, Now);
     else
       clear(Update.m_Request, ClearReason::ServedElsewhere);
 }
 
-std::vector<CrashNews> Quarantine::takeNews() {
-  return std::exchange(m_News, {});
+std::vector<CrashUpdate> Quarantine::takeUpdates() {
+  return std::exchange(m_PendingUpdates, {});
 }
 
-std::vector<CrashNews> Quarantine::all() const {
-  std::vector<CrashNews> Result;
+std::vector<CrashUpdate> Quarantine::snapshot() const {
+  std::vector<CrashUpdate> Result;
   for (const bool Quarantined : {true, false})
     for (const auto &[Request, Entry] : m_Records) {
-      if (Entry.quarantined() != Quarantined)
+      if (Entry.isQuarantined() != Quarantined)
         continue;
-      for (const UpstreamId Upstream : Entry.m_Crashes) {
-        if (Result.size() >= MostNews)
+      for (const UpstreamId Upstream : Entry.m_CrashedUpstreams) {
+        if (Result.size() >= MaxUpdates)
           return Result;
         Result.push_back({Request, Upstream});
       }
@@ -136,7 +139,7 @@
 
 void Quarantine::setListed(const std::set<ContentHash> &Listed, TimePoint Now) {
   const std::set<ContentHash> Before = std::exchange(m_Listed, Listed);
-  std::erase_if(m_WronglyListed, [&](const ContentHash &Request) {
+  std::erase_if(m_StaleListings, [&](const ContentHash &Request) {
     return !Listed.contains(Request);
   });
   for (const ContentHash &Request : Before)
@@ -146,41 +149,45 @@
     if (Before.contains(Request))
       continue;
     Record &Entry = m_Records[Request];
-    Entry.m_LastAt = Now;
-    if (!Entry.quarantined())
-      hold(Request, Entry, Now);
+    Entry.m_UpdatedAt = Now;
+    if (!Entry.isQuarantined())
+      startHold(Request, Entry, Now);
   }
-  makeRoom();
+  evictExcess();
 }
 
-std::vector<ContentHash> Quarantine::unlisted() const {
+std::vector<ContentHash> Quarantine::unlistedRequests() const {
   std::vector<ContentHash> Result;
   for (const auto &[Request, Entry] : m_Records)
-    if (Entry.quarantined() && Entry.m_Own && !m_Listed.contains(Request))
+    if (Entry.isQuarantined() && Entry.m_ObservedHere &&
+        !m_Listed.contains(Request))
       Result.push_back(Request);
   return Result;
 }
 
-Duration Quarantine::heldFor(const ContentHash &Request, TimePoint Now) const {
+Duration Quarantine::remainingHold(const ContentHash &Request,
+                                   TimePoint Now) const {
   const auto Found = m_Records.find(Request);
   return Found == m_Records.end()
              ? Duration::zero()
              : std::max(Found->second.m_HeldUntil - Now, Duration::zero());
 }
 
-std::size_t Quarantine::crashesOf(const ContentHash &Request) const {
+std::size_t Quarantine::crashCount(const ContentHash &Request) const {
   const auto Found = m_Records.find(Request);
-  return Found == m_Records.end() ? 0 : Found->second.m_Crashes.size();
-}
-
-void Quarantine::makeRoom() {
-  while (m_Records.size() > MostRequests) {
-    const auto Oldest = std::min_element(
-        m_Records.begin(), m_Records.end(),
-        [](const auto &Left, const auto &Right) {
-          return std::pair(Left.second.quarantined(), Left.second.m_LastAt) <
-                 std::pair(Right.second.quarantined(), Right.second.m_LastAt);
-        });
+  return Found == m_Records.end() ? 0 : Found->second.m_CrashedUpstreams.size();
+}
+
+void Quarantine::evictExcess() {
+  while (m_Records.size() > MaxRequests) {
+    const auto Oldest =
+        std::min_element(m_Records.begin(), m_Records.end(),
+                         [](const auto &Left, const auto &Right) {
+                           return std::pair(Left.second.isQuarantined(),
+                                            Left.second.m_UpdatedAt) <
+                                  std::pair(Right.second.isQuarantined(),
+                                            Right.second.m_UpdatedAt);
+                         });
     clear(ContentHash(Oldest->first), ClearReason::Forgotten);
   }
 }
--- a/src/balance/rate_limits.cpp
+++ b/src/balance/rate_limits.cpp
@@ -12,7 +12,7 @@
 
 /// Returns the number of the TrialInterval that contains \p Now.
 std::int64_t trialIntervalOf(TimePoint Now) {
-  return Now.time_since_epoch() / RateLimits::TrialSpan;
+  return Now.time_since_epoch() / RateLimits::TrialInterval;
 }
 
 } // namespace
@@ -20,13 +20,13 @@
 void RateLimits::setInstances(InstanceId Self, std::vector<InstanceId> All,
                               TimePoint Now) {
   std::sort(All.begin(), All.end());
-  if (Self == m_Self && All == m_All)
+  if (Self == m_Self && All == m_Instances)
     return;
   m_Self = Self;
-  m_All = std::move(All);
-  m_ChangedAt = Now;
+  m_Instances = std::move(All);
+  m_InstancesChangedAt = Now;
   for (auto &[Upstream, Entry] : m_States)
-    elect(Upstream, Entry, Now);
+    electSender(Upstream, Entry, Now);
 }
 
 void RateLimits::keepOnly(const std::vector<Upstream> &Listed) {
@@ -38,61 +38,62 @@
   });
 }
 
-std::size_t RateLimits::sendersFor(double Limit) const {
-  return std::min(m_All.size(), static_cast<std::size_t>(
-                                    std::max(1.0, std::min(Limit, 1e6))));
+std::size_t RateLimits::senderCount(double Limit) const {
+  return std::min(m_Instances.size(), static_cast<std::size_t>(
+                                          std::max(1.0, std::min(Limit, 1e6))));
 }
 
 /// Uses rendezvous hashing, so that a change of the list replaces few senders.
-void RateLimits::elect(UpstreamId Upstream, State &Entry, TimePoint Now) const {
+void RateLimits::electSender(UpstreamId Upstream, State &Entry,
+                             TimePoint Now) const {
   const auto Score = [&](InstanceId Instance) {
     return pairHash(Upstream.value(), Instance.value());
   };
   const std::uint64_t OwnScore = Score(m_Self);
-  const auto HigherCount = static_cast<std::size_t>(
-      std::count_if(m_All.begin(), m_All.end(), [&](InstanceId Instance) {
-        return Score(Instance) > OwnScore;
-      }));
-  const bool Sends = Entry.m_Limit &&
-                     HigherCount < sendersFor(*Entry.m_Limit) &&
-                     std::binary_search(m_All.begin(), m_All.end(), m_Self);
-  if (Sends && !Entry.m_Sender) {
+  const auto HigherCount = static_cast<std::size_t>(std::count_if(
+      m_Instances.begin(), m_Instances.end(),
+      [&](InstanceId Instance) { return Score(Instance) > OwnScore; }));
+  const bool Sends =
+      Entry.m_Limit && HigherCount < senderCount(*Entry.m_Limit) &&
+      std::binary_search(m_Instances.begin(), m_Instances.end(), m_Self);
+  if (Sends && !Entry.m_IsSender) {
     Entry.m_Tokens = 0;
-    Entry.m_FilledAt = std::max(Now, m_ChangedAt + SettleSpan);
+    Entry.m_RefilledAt = std::max(Now, m_InstancesChangedAt + ListSettleTime);
   }
-  Entry.m_Sender = Sends;
+  Entry.m_IsSender = Sends;
 }
 
 void RateLimits::update(UpstreamId Upstream, RateLimit Limit,
                         TimePoint StatedAt, TimePoint Now) {
   State &Entry = m_States[Upstream];
-  fill(Entry, Now);
+  refill(Entry, Now);
   if (Entry.m_Limit != Limit) {
     // Tokens that were earned under a higher limit, or under none, must not be
     // spent under a lower one.
     if (Limit && (!Entry.m_Limit || *Limit < *Entry.m_Limit))
       Entry.m_Tokens = 0;
-    Entry.m_FilledAt = std::max(Entry.m_FilledAt, Now);
+    Entry.m_RefilledAt = std::max(Entry.m_RefilledAt, Now);
     Entry.m_Limit = Limit;
-    elect(Upstream, Entry, Now);
+    electSender(Upstream, Entry, Now);
   }
   Entry.m_StatedAt = StatedAt;
   if (Limit)
-    Entry.m_LimitAt = StatedAt;
+    Entry.m_LimitStatedAt = StatedAt;
 }
 
-void RateLimits::stated(UpstreamId Upstream, RateLimit Limit, TimePoint Sent,
-                        TimePoint Now) {
+void RateLimits::recordStatement(UpstreamId Upstream, RateLimit Limit,
+                                 TimePoint Sent, TimePoint Now) {
   const auto Found = m_States.find(Upstream);
   if (!Limit && (Found == m_States.end() || !Found->second.m_Limit ||
-                 Sent <= Found->second.m_LimitAt))
+                 Sent <= Found->second.m_LimitStatedAt))
     return;
   update(Upstream, Limit, Now, Now);
-  m_States[Upstream].m_News = true;
+  m_States[Upstream].m_BroadcastPending = true;
 }
 
-void RateLimits::take(const std::vector<LimitNews> &Updates, TimePoint Now) {
-  for (const LimitNews &Update : Updates) {
+void RateLimits::applyUpdates(const std::vector<LimitUpdate> &Updates,
+                              TimePoint Now) {
+  for (const LimitUpdate &Update : Updates) {
     const TimePoint StatedAt = Now - Update.m_Age;
     const auto Found = m_States.find(Update.m_Upstream);
     if (Found == m_States.end() ? !Update.m_Limit.has_value()
@@ -102,16 +103,16 @@
   }
 }
 
-std::vector<LimitNews> RateLimits::takeNews(TimePoint Now) {
-  std::vector<LimitNews> Result;
+std::vector<LimitUpdate> RateLimits::takeUpdates(TimePoint Now) {
+  std::vector<LimitUpdate> Result;
   for (auto &[Upstream, Entry] : m_States)
-    if (std::exchange(Entry.m_News, false))
+    if (std::exchange(Entry.m_BroadcastPending, false))
       Result.push_back({Upstream, Entry.m_Limit, Now - Entry.m_StatedAt});
   return Result;
 }
 
-std::vector<LimitNews> RateLimits::all(TimePoint Now) const {
-  std::vector<LimitNews> Result;
+std::vector<LimitUpdate> RateLimits::snapshot(TimePoint Now) const {
+  std::vector<LimitUpdate> Result;
   for (const auto &[Upstream, Entry] : m_States)
     if (Entry.m_Limit)
       Result.push_back({Upstream, Entry.m_Limit, Now - Entry.m_StatedAt});
@@ -119,40 +120,41 @@
 }
 
 /// The bucket holds the share of one second, but at least one call.
-void RateLimits::fill(State &Entry, TimePoint Now) const {
-  if (!Entry.m_Limit || !Entry.m_Sender || Now <= Entry.m_FilledAt)
+void RateLimits::refill(State &Entry, TimePoint Now) const {
+  if (!Entry.m_Limit || !Entry.m_IsSender || Now <= Entry.m_RefilledAt)
     return;
   const double Share =
-      *Entry.m_Limit / static_cast<double>(sendersFor(*Entry.m_Limit));
+      *Entry.m_Limit / static_cast<double>(senderCount(*Entry.m_Limit));
   const double Seconds =
-      std::chrono::duration<double>(Now - Entry.m_FilledAt).count();
+      std::chrono::duration<double>(Now - Entry.m_RefilledAt).count();
   Entry.m_Tokens =
       std::min(Entry.m_Tokens + Share * Seconds, std::max(1.0, Share));
-  Entry.m_FilledAt = Now;
+  Entry.m_RefilledAt = Now;
 }
 
-bool RateLimits::mayTry(UpstreamId Upstream, const State &Entry,
-                        TimePoint Now) const {
+bool RateLimits::isTrialDue(UpstreamId Upstream, const State &Entry,
+                            TimePoint Now) const {
   const std::int64_t Interval = trialIntervalOf(Now);
-  return !m_All.empty() && Now - Entry.m_StatedAt > StaleAfter &&
-         Now - m_ChangedAt > SettleSpan && Interval != Entry.m_Trial &&
-         pairHash(m_Seed ^ Upstream.value(),
+  return !m_Instances.empty() && Now - Entry.m_StatedAt > StaleAfter &&
+         Now - m_InstancesChangedAt > ListSettleTime &&
+         Interval != Entry.m_LastTrial &&
+         pairHash(m_TrialSeed ^ Upstream.value(),
                   static_cast<std::uint64_t>(Interval)) %
-                 m_All.size() ==
+                 m_Instances.size() ==
              0;
 }
 
-bool RateLimits::mayTake(UpstreamId Upstream, TimePoint Now) {
+bool RateLimits::maySend(UpstreamId Upstream, TimePoint Now) {
   const auto Found = m_States.find(Upstream);
   if (Found == m_States.end() || !Found->second.m_Limit)
     return true;
   State &Entry = Found->second;
-  fill(Entry, Now);
-  return (Entry.m_Sender && Entry.m_Tokens >= 1) ||
-         mayTry(Upstream, Entry, Now);
+  refill(Entry, Now);
+  return (Entry.m_IsSender && Entry.m_Tokens >= 1) ||
+         isTrialDue(Upstream, Entry, Now);
 }
 
-void RateLimits::taken(UpstreamId Upstream, TimePoint Now) {
+void RateLimits::recordSend(UpstreamId Upstream, TimePoint Now) {
   const auto Found = m_States.find(Upstream);
   if (Found == m_States.end() || !Found->second.m_Limit)
     return;
@@ -160,7 +162,7 @@
   if (Entry.m_Tokens >= 1)
     Entry.m_Tokens -= 1;
   else
-    Entry.m_Trial = trialIntervalOf(Now);
+    Entry.m_LastTrial = trialIntervalOf(Now);
 }
 
 RateLimit RateLimits::limitOf(UpstreamId Upstream) const {
--- a/src/balance/reading_speed.cpp
+++ b/src/balance/reading_speed.cpp
@@ -27,9 +27,9 @@
 
 } // namespace
 
-void ReadingSpeed::seen(const std::string &Service, std::uint64_t Tokens,
-                        Duration Elapsed) {
-  Speed &Estimate = m_Speeds.try_emplace(Service, Unseen).first->second;
+void PrefillSpeed::addSample(const std::string &Service, std::uint64_t Tokens,
+                             Duration Elapsed) {
+  Speed &Estimate = m_Speeds.try_emplace(Service, DefaultSpeed).first->second;
   const auto ElapsedUs = static_cast<double>(Elapsed.count());
   const auto Count = static_cast<double>(Tokens);
   if (Tokens < PerTokenSampleMin)
@@ -40,10 +40,10 @@
                   std::max(0.0, ElapsedUs - Estimate.m_BaseUs) / Count);
 }
 
-Duration ReadingSpeed::timeFor(const std::string &Service,
-                               std::uint64_t Tokens) const {
+Duration PrefillSpeed::timeToFirstEvent(const std::string &Service,
+                                        std::uint64_t Tokens) const {
   const auto Found = m_Speeds.find(Service);
-  const Speed Estimate = Found == m_Speeds.end() ? Unseen : Found->second;
+  const Speed Estimate = Found == m_Speeds.end() ? DefaultSpeed : Found->second;
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double, std::micro>(Estimate.m_BaseUs +
                                                 static_cast<double>(Tokens) *
--- a/src/balance/reading_speed.h
+++ b/src/balance/reading_speed.h
@@ -11,16 +11,17 @@
 namespace crowstep::balance {
 
 /// A linear model for each service: a fixed time and a time per prompt token.
-class ReadingSpeed {
+class PrefillSpeed {
 public:
   /// A call with \p Tokens to prefill, to an engine with no other prefill, had
   /// its first event after \p Elapsed.
-  void seen(const std::string &Service, std::uint64_t Tokens, Duration Elapsed);
+  void addSample(const std::string &Service, std::uint64_t Tokens,
+                 Duration Elapsed);
 
   /// Returns the time to a first event after the prefill of \p Tokens, those
   /// of the call included.
-  [[nodiscard]] Duration timeFor(const std::string &Service,
-                                 std::uint64_t Tokens) const;
+  [[nodiscard]] Duration timeToFirstEvent(const std::string &Service,
+                                          std::uint64_t Tokens) const;
 
 private:
   struct Speed {
@@ -29,7 +30,7 @@
   };
 
   /// Of a mid-sized engine; used before the first sample.
-  static constexpr Speed Unseen = {60000, 25};
+  static constexpr Speed DefaultSpeed = {60000, 25};
 
   std::unordered_map<std::string, Speed> m_Speeds; ///< By service.
 };
--- a/src/balance/retry_budget.h
+++ b/src/balance/retry_budget.h
@@ -39,11 +39,11 @@
 
   /// Growth by more than this share of the known instances means that more are
   /// starting, and that the number of instances is not reliable yet.
-  static constexpr double SmallGrowth = 0.125;
+  static constexpr double GrowthThreshold = 0.125;
 
   /// The number of instances is reliable again after this long without such
   /// growth. Lists of instances lag behind by less.
-  static constexpr Duration GrowthSpan = std::chrono::seconds(4);
+  static constexpr Duration GrowthSettleTime = std::chrono::seconds(4);
 
   explicit RetryBudget(const RetryBudgetSettings &Bound) : m_Bound(Bound) {}
 
@@ -54,33 +54,33 @@
   void setInstances(std::size_t Count, TimePoint Now);
 
   /// Counts a call to \p Service.
-  void call(const std::string &Service, TimePoint Now);
+  void recordCall(const std::string &Service, TimePoint Now);
 
   /// Uses up one retry if the budget allows it; returns whether it does.
-  bool take(const std::string &Service, TimePoint Now);
+  bool trySpend(const std::string &Service, TimePoint Now);
 
 private:
   /// Calls and retries of one service within the window.
   struct Usage {
     std::deque<TimePoint> m_Calls;   ///< Oldest first.
-    std::deque<TimePoint> m_Repeats; ///< Oldest first.
+    std::deque<TimePoint> m_Retries; ///< Oldest first.
   };
 
   /// An earlier number of instances.
   struct KnownCount {
     std::size_t m_Count;
-    TimePoint m_Until; ///< When it was replaced.
+    TimePoint m_LastKnownAt; ///< When it was replaced.
   };
 
-  Usage &recent(const std::string &Service, TimePoint Now);
+  Usage &currentUsage(const std::string &Service, TimePoint Now);
   [[nodiscard]] double ownSlack(TimePoint Now);
-  [[nodiscard]] std::size_t mostInstances(TimePoint Now);
+  [[nodiscard]] std::size_t maxInstances(TimePoint Now);
 
-  RetryBudgetSettings m_Bound;          ///< For all instances together.
-  std::map<std::string, Usage> m_Usage; ///< By service.
-  std::size_t m_Instances = 0;          ///< Current number; 0: not known.
-  std::deque<KnownCount> m_Earlier;     ///< Higher ones, highest first.
-  TimePoint m_GrewAt{};                 ///< See GrowthThreshold.
+  RetryBudgetSettings m_Bound;            ///< For all instances together.
+  std::map<std::string, Usage> m_Usage;   ///< By service.
+  std::size_t m_Instances = 0;            ///< Current number; 0: not known.
+  std::deque<KnownCount> m_EarlierCounts; ///< Higher ones, highest first.
+  TimePoint m_LastGrowthAt{};             ///< See GrowthThreshold.
 };
 
 } // namespace crowstep::balance
--- a/src/balance/role_split.cpp
+++ b/src/balance/role_split.cpp
@@ -22,21 +22,23 @@
 
 void RoleSplit::add(const WorkTokens &Work, TimePoint Now) {
   const double Decay =
-      std::exp(-std::chrono::duration<double>(Now - m_At).count() /
-               std::chrono::duration<double>(Memory).count());
-  m_At = Now;
-  m_Recent.m_Short = m_Recent.m_Short * Decay + Work.m_Short;
-  m_Recent.m_Long = m_Recent.m_Long * Decay + Work.m_Long;
+      std::exp(-std::chrono::duration<double>(Now - m_DecayedAt).count() /
+               std::chrono::duration<double>(DecayTime).count());
+  m_DecayedAt = Now;
+  m_RecentWork.m_LatencySensitive =
+      m_RecentWork.m_LatencySensitive * Decay + Work.m_LatencySensitive;
+  m_RecentWork.m_Other = m_RecentWork.m_Other * Decay + Work.m_Other;
 }
 
-std::size_t RoleSplit::shortEngines(std::size_t Engines) const {
+std::size_t RoleSplit::latencySensitiveEngineCount(std::size_t Engines) const {
   if (Engines < 2)
     return 0;
   // Without work the sums decay to zero after some minutes.
-  const bool HasWork = m_Recent.m_Short + m_Recent.m_Long > 0;
-  const WorkTokens &Work = HasWork ? m_Recent : InitialWork;
-  const double Weighted = LatencySensitiveWeight * Work.m_Short;
-  const double Share = Weighted / (Weighted + Work.m_Long);
+  const bool HasWork =
+      m_RecentWork.m_LatencySensitive + m_RecentWork.m_Other > 0;
+  const WorkTokens &Work = HasWork ? m_RecentWork : InitialWork;
+  const double Weighted = LatencySensitiveWeight * Work.m_LatencySensitive;
+  const double Share = Weighted / (Weighted + Work.m_Other);
   if (Share < MinShare)
     return 0;
   if (Share > 1 - MinShare)
--- a/src/balance/role_split.h
+++ b/src/balance/role_split.h
@@ -15,12 +15,12 @@
 
 /// Work that was placed at a service's engines, as tokens of prefill.
 struct WorkTokens {
-  double m_Short = 0; ///< Of latency-sensitive calls.
-  double m_Long = 0;  ///< Of the other calls.
+  double m_LatencySensitive = 0; ///< Of latency-sensitive calls.
+  double m_Other = 0;            ///< Of the other calls.
 
   WorkTokens &operator+=(const WorkTokens &Other) {
-    m_Short += Other.m_Short;
-    m_Long += Other.m_Long;
+    m_LatencySensitive += Other.m_LatencySensitive;
+    m_Other += Other.m_Other;
     return *this;
   }
 };
@@ -30,22 +30,23 @@
 public:
   /// Time constant of the decay of work: long enough that single prompts don't
   /// move the boundary, short enough to follow a burst of some seconds.
-  static constexpr Duration Memory = std::chrono::seconds(4);
+  static constexpr Duration DecayTime = std::chrono::seconds(4);
 
   /// Adds work that was placed now, here or by another instance.
   void add(const WorkTokens &Work, TimePoint Now);
 
   /// Returns the recent work, for an instance that has just started.
-  [[nodiscard]] const WorkTokens &recent() const { return m_Recent; }
+  [[nodiscard]] const WorkTokens &recentWork() const { return m_RecentWork; }
 
   /// Returns how many of \p Engines take latency-sensitive calls only: at least
   /// one and at most all but one; none or all if nearly all work is of one
   /// kind; none of a single one.
-  [[nodiscard]] std::size_t shortEngines(std::size_t Engines) const;
+  [[nodiscard]] std::size_t
+  latencySensitiveEngineCount(std::size_t Engines) const;
 
 private:
-  WorkTokens m_Recent; ///< Decayed sums; without work their ratio stays.
-  TimePoint m_At{};    ///< Time of the last decay.
+  WorkTokens m_RecentWork; ///< Decayed sums; without work their ratio stays.
+  TimePoint m_DecayedAt{}; ///< Time of the last decay.
 };
 
 } // namespace crowstep::balance
--- a/src/balance/upstream_state.cpp
+++ b/src/balance/upstream_state.cpp
@@ -29,28 +29,28 @@
 
 } // namespace
 
-void UpstreamHealth::ended(CallOutcome Outcome, TimePoint Now) {
+void UpstreamHealth::recordOutcome(CallOutcome Outcome, TimePoint Now) {
   switch (Outcome) {
   case CallOutcome::Served:
-    m_InARow = 0;
+    m_ConsecutiveFailures = 0;
     m_FailureShare *= 1 - NewestWeight;
     return;
   case CallOutcome::Failed:
   case CallOutcome::Broken:
   case CallOutcome::Silent:
-  case CallOutcome::NoAnswer:
+  case CallOutcome::Unreachable:
     break;
   case CallOutcome::Refused:
-  case CallOutcome::Leaving:
+  case CallOutcome::Draining:
   case CallOutcome::Dropped:
     return;
   }
-  ++m_InARow;
+  ++m_ConsecutiveFailures;
   m_FailureShare += NewestWeight * (1 - m_FailureShare);
-  if (Outcome == CallOutcome::Silent || Outcome == CallOutcome::NoAnswer)
-    eject(UnreachableEjection * m_InARow, Now);
+  if (Outcome == CallOutcome::Silent || Outcome == CallOutcome::Unreachable)
+    eject(UnreachableEjection * m_ConsecutiveFailures, Now);
   else if (m_FailureShare > MaxFailureShare ||
-           m_InARow >= MaxConsecutiveFailures)
+           m_ConsecutiveFailures >= MaxConsecutiveFailures)
     eject(FailingEjection, Now);
 }
 
--- a/src/balance/upstream_state.h
+++ b/src/balance/upstream_state.h
@@ -12,10 +12,10 @@
 class UpstreamHealth {
 public:
   /// Records the end of a call.
-  void ended(CallOutcome Outcome, TimePoint Now);
+  void recordOutcome(CallOutcome Outcome, TimePoint Now);
 
   /// Returns whether the upstream should get no calls now.
-  [[nodiscard]] bool ejected(TimePoint Now) const {
+  [[nodiscard]] bool isEjected(TimePoint Now) const {
     return Now < m_EjectedUntil;
   }
 
@@ -25,23 +25,24 @@
 private:
   void eject(Duration Span, TimePoint Now);
 
-  double m_FailureShare = 0;  ///< Exponentially weighted.
-  unsigned m_InARow = 0;      ///< Failures without a success between them.
+  double m_FailureShare = 0; ///< Exponentially weighted.
+  unsigned m_ConsecutiveFailures =
+      0;                      ///< Failures without a success between them.
   TimePoint m_EjectedUntil{}; ///< In the past: not ejected.
 };
 
 /// One upstream, its load and its health.
 struct UpstreamState {
-  Upstream m_Upstream;               ///< As the directory describes it.
-  std::size_t m_ShortRank = 0;       ///< See roleOrder().
-  CallLoad m_Own;                    ///< This instance's calls.
-  std::optional<LoadReport> m_Load;  ///< Last report.
-  std::uint32_t m_RunningAtLoad = 0; ///< Own calls at its receipt.
-  TimePoint m_LoadAt{};              ///< Receipt of the report.
-  TimePoint m_HeardAt{};             ///< Last byte, on any own call.
-  UpstreamHealth m_Health;           ///< By its answers.
-  TimePoint m_FullUntil{};           ///< Had no room.
-  TimePoint m_LeavingUntil{};        ///< Reported draining.
+  Upstream m_Upstream;                    ///< As the directory describes it.
+  std::size_t m_RoleRank = 0;             ///< See roleOrder().
+  CallLoad m_OwnLoad;                     ///< This instance's calls.
+  std::optional<LoadReport> m_LoadReport; ///< Last report.
+  std::uint32_t m_RunningAtReport = 0;    ///< Own calls at its receipt.
+  TimePoint m_ReportedAt{};               ///< Receipt of the report.
+  TimePoint m_LastByteAt{};               ///< Last byte, on any own call.
+  UpstreamHealth m_Health;                ///< By its answers.
+  TimePoint m_FullUntil{};                ///< Had no room.
+  TimePoint m_DrainingUntil{};            ///< Reported draining.
 };
 
 } // namespace crowstep::balance
--- a/src/claim/claim_client.cpp
+++ b/src/claim/claim_client.cpp
@@ -94,7 +94,7 @@
                             std::move(OnDone)};
   const auto Entry = m_Pending.emplace(m_LastId, std::move(NewRequest)).first;
   send(Entry->second);
-  if (!m_Timer.running())
+  if (!m_Timer.isRunning())
     m_Timer.start(TickInterval, [this] { tick(); });
 }
 
--- a/src/claim/claim_client.h
+++ b/src/claim/claim_client.h
@@ -47,7 +47,7 @@
 
   /// Returns how many requests have no reply yet; a graceful shutdown waits
   /// until the records among them are written.
-  [[nodiscard]] std::size_t pending() const { return m_Pending.size(); }
+  [[nodiscard]] std::size_t pendingCount() const { return m_Pending.size(); }
 
 private:
   struct PendingRequest {
--- a/src/claim/claim_home.cpp
+++ b/src/claim/claim_home.cpp
@@ -16,21 +16,21 @@
 
 using wire::textOf;
 
-Wanted operationOf(const wire::ClaimRequest &Request) {
+RowOperation operationOf(const wire::ClaimRequest &Request) {
   const AttemptId Attempt = textOf(Request.attempt());
   switch (Request.op()) {
   case wire::ClaimOp::Claim:
-    return ClaimWanted{Attempt, Request.body_hash()};
+    return ClaimOperation{Attempt, Request.body_hash()};
   case wire::ClaimOp::NotRun:
-    return NotRunWanted{Attempt};
+    return NotRunOperation{Attempt};
   case wire::ClaimOp::Ran:
-    return RanWanted{Attempt,
-                     {Request.answer_status(), textOf(Request.answer_type()),
-                      textOf(Request.answer())}};
+    return RanOperation{Attempt,
+                        {Request.answer_status(), textOf(Request.answer_type()),
+                         textOf(Request.answer())}};
   case wire::ClaimOp::Read:
     break;
   }
-  return ReadWanted{Request.body_hash()};
+  return ReadOperation{Request.body_hash()};
 }
 
 } // namespace
@@ -52,9 +52,9 @@
   for (const wire::ClaimRequest *Request : *Frame.claim_requests()) {
     const RequestNumber Number(++m_LastNumber);
     m_Requesters[Number] = {Link, Request->id()};
-    handle(RequestCame{Number, textOf(Request->key()), operationOf(*Request),
-                       platform::RowVersion(Request->version()),
-                       Request->body_hash()});
+    handle(RequestReceived{
+        Number, textOf(Request->key()), operationOf(*Request),
+        platform::RowVersion(Request->version()), Request->body_hash()});
   }
 }
 
@@ -85,7 +85,7 @@
                });
 }
 
-void ClaimHome::carryOut(const Reply &Action) {
+void ClaimHome::carryOut(const SendReply &Action) {
   const auto Found = m_Requesters.find(Action.m_Number);
   if (Found == m_Requesters.end())
     return;
--- a/src/claim/claim_home.h
+++ b/src/claim/claim_home.h
@@ -32,7 +32,7 @@
   void handle(const HomeEvent &Event);
   void carryOut(const StartWrite &Action);
   void carryOut(const StartRead &Action);
-  void carryOut(const Reply &Action);
+  void carryOut(const SendReply &Action);
 
   const Clock &m_Clock;            ///< Outlives this object.
   platform::TableService &m_Store; ///< Outlives this object.
--- a/src/claim/claim_home_core.cpp
+++ b/src/claim/claim_home_core.cpp
@@ -15,15 +15,15 @@
 
 /// Returns the row that the requester holds, so that its record needs no read:
 /// an attempt that got Owned knows the content and the version of its row.
-std::optional<ClaimRow> lastWrittenRow(const RequestCame &Request) {
+std::optional<ClaimRow> lastWrittenRow(const RequestReceived &Request) {
   if (Request.m_Version == RowVersion())
     return std::nullopt;
   ClaimRow Row;
   Row.m_State = ClaimState::Claimed;
   Row.m_BodyHash = Request.m_BodyHash;
-  if (const auto *NotRun = std::get_if<NotRunWanted>(&Request.m_What))
+  if (const auto *NotRun = std::get_if<NotRunOperation>(&Request.m_Operation))
     Row.m_Attempt = NotRun->m_Attempt;
-  else if (const auto *Ran = std::get_if<RanWanted>(&Request.m_What))
+  else if (const auto *Ran = std::get_if<RanOperation>(&Request.m_Operation))
     Row.m_Attempt = Ran->m_Attempt;
   else
     return std::nullopt;
@@ -31,10 +31,10 @@
 }
 
 /// Returns whether the row must be read before the request can be decided.
-bool needsRead(const RequestCame &Request) {
-  if (std::holds_alternative<ReadWanted>(Request.m_What))
+bool needsRead(const RequestReceived &Request) {
+  if (std::holds_alternative<ReadOperation>(Request.m_Operation))
     return true;
-  return std::holds_alternative<RanWanted>(Request.m_What) &&
+  return std::holds_alternative<RanOperation>(Request.m_Operation) &&
          Request.m_Version == RowVersion();
 }
 
@@ -53,7 +53,7 @@
   m_Actions = nullptr;
 }
 
-void ClaimHomeCore::on(const RequestCame &Event, TimePoint Now) {
+void ClaimHomeCore::on(const RequestReceived &Event, TimePoint Now) {
   PendingRequest NewRequest{
       Event, Now, lastWrittenRow(Event), Event.m_Version, {}};
   if (!NewRequest.m_KnownRow)
@@ -89,16 +89,16 @@
 
 void ClaimHomeCore::handleRowOutcome(PendingRequest Request,
                                      const RowOutcome &Outcome) {
-  if (Outcome.m_Present)
-    Request.m_Version = Outcome.m_Present->m_Version;
+  if (Outcome.m_CurrentRow)
+    Request.m_Version = Outcome.m_CurrentRow->m_Version;
   if (Outcome.m_Written) {
     reply(Request, Request.m_OutcomeIfWritten);
     return;
   }
   Request.m_KnownRow.reset();
   try {
-    if (Outcome.m_Present)
-      Request.m_KnownRow = readRow(Outcome.m_Present->m_Value);
+    if (Outcome.m_CurrentRow)
+      Request.m_KnownRow = decodeRow(Outcome.m_CurrentRow->m_Value);
     else
       Request.m_Version = RowVersion();
     replyOrQueue(std::move(Request));
@@ -125,7 +125,7 @@
     }
     RowOutcome ReadOutcome;
     if (!Rows->empty())
-      ReadOutcome.m_Present = Rows->front();
+      ReadOutcome.m_CurrentRow = Rows->front();
     handleRowOutcome(std::move(Request), ReadOutcome);
   }
 }
@@ -134,13 +134,13 @@
   // After a freeze of this process, the requesters may have turned to another
   // home long ago; nobody would use or release claims made for them now.
   std::erase_if(m_Waiting, [&](const PendingRequest &Request) {
-    return Request.m_ReceivedAt + m_Config.m_MaxAge < Now;
+    return Request.m_ReceivedAt + m_Config.m_MaxRequestAge < Now;
   });
 }
 
 void ClaimHomeCore::replyOrQueue(PendingRequest Request) {
-  const RowVerdict Verdict =
-      judge(Request.m_Request.m_What, Request.m_KnownRow);
+  const RowDecision Verdict =
+      decideRow(Request.m_Request.m_Operation, Request.m_KnownRow);
   if (const auto *Outcome = std::get_if<ClaimOutcome>(&Verdict)) {
     reply(Request, *Outcome);
     return;
@@ -151,7 +151,7 @@
 void ClaimHomeCore::reply(const PendingRequest &Request,
                           const ClaimOutcome &Outcome) {
   m_Actions->push_back(
-      Reply{Request.m_Request.m_Number, Outcome, Request.m_Version});
+      SendReply{Request.m_Request.m_Number, Outcome, Request.m_Version});
 }
 
 void ClaimHomeCore::startWrite(TimePoint Now) {
@@ -164,18 +164,18 @@
   for (PendingRequest &Request : m_Waiting) {
     // One write per key in a call: the next is decided on the row that the
     // first one leaves.
-    const bool Fits = Action.m_Writes.size() < m_Config.m_MaxBatch &&
+    const bool Fits = Action.m_Writes.size() < m_Config.m_MaxBatchSize &&
                       Keys.insert(Request.m_Request.m_Key).second;
     if (!Fits) {
       Remaining.push_back(std::move(Request));
       continue;
     }
-    const RowVerdict Verdict =
-        judge(Request.m_Request.m_What, Request.m_KnownRow);
+    const RowDecision Verdict =
+        decideRow(Request.m_Request.m_Operation, Request.m_KnownRow);
     const RowChange &Change = std::get<RowChange>(Verdict);
-    Request.m_OutcomeIfWritten = Change.m_IfWritten;
+    Request.m_OutcomeIfWritten = Change.m_OutcomeIfWritten;
     Action.m_Writes.push_back(
-        {Request.m_Request.m_Key, Request.m_Version, writeRow(Change.m_Row)});
+        {Request.m_Request.m_Key, Request.m_Version, encodeRow(Change.m_Row)});
     m_Writing.push_back(std::move(Request));
   }
   m_Waiting = std::move(Remaining);
--- a/src/claim/claim_home_core.h
+++ b/src/claim/claim_home_core.h
@@ -22,10 +22,10 @@
 using RequestNumber = StrongId<struct ClaimRequestTag, std::uint64_t>;
 
 /// A request of an entry arrived.
-struct RequestCame {
+struct RequestReceived {
   RequestNumber m_Number;         ///< For the reply.
   ClaimKey m_Key;                 ///< Key of the claim.
-  Wanted m_What;                  ///< Requested operation.
+  RowOperation m_Operation;       ///< Requested operation.
   platform::RowVersion m_Version; ///< Of the row the requester holds; 0: none.
   std::uint64_t m_BodyHash = 0;   ///< In the row the requester holds.
 };
@@ -40,7 +40,8 @@
 };
 /// The time given by nextDeadline() is reached.
 struct HomeTick {};
-using HomeEvent = std::variant<RequestCame, WriteEnded, ReadEnded, HomeTick>;
+using HomeEvent =
+    std::variant<RequestReceived, WriteEnded, ReadEnded, HomeTick>;
 
 /// Send these conditional writes in one call.
 struct StartWrite {
@@ -51,18 +52,18 @@
   ClaimKey m_Key; ///< Key of the row.
 };
 /// Reply to the requester.
-struct Reply {
+struct SendReply {
   RequestNumber m_Number;         ///< Of the request.
   ClaimOutcome m_Outcome;         ///< Result of the operation.
   platform::RowVersion m_Version; ///< Of the row, where known.
 };
-using HomeAction = std::variant<StartWrite, StartRead, Reply>;
+using HomeAction = std::variant<StartWrite, StartRead, SendReply>;
 
 struct ClaimHomeConfig {
   Duration m_Window = std::chrono::milliseconds(20); ///< Between writes, > 0.
-  std::size_t m_MaxBatch = 256;                      ///< Rows in one call.
+  std::size_t m_MaxBatchSize = 256;                  ///< Rows in one call.
   /// Requests that have waited longer for a write are dropped.
-  Duration m_MaxAge = std::chrono::seconds(5);
+  Duration m_MaxRequestAge = std::chrono::seconds(5);
 };
 
 class ClaimHomeCore {
@@ -78,14 +79,14 @@
 
 private:
   struct PendingRequest {
-    RequestCame m_Request; ///< As received.
+    RequestReceived m_Request; ///< As received.
     TimePoint m_ReceivedAt;
     std::optional<ClaimRow> m_KnownRow; ///< The row as last known.
     platform::RowVersion m_Version;     ///< Of m_KnownRow; 0: no row.
     ClaimOutcome m_OutcomeIfWritten;    ///< Set while in m_Writing.
   };
 
-  void on(const RequestCame &Event, TimePoint Now);
+  void on(const RequestReceived &Event, TimePoint Now);
   void on(const WriteEnded &Event, TimePoint Now);
   void on(const ReadEnded &Event, TimePoint Now);
   void on(const HomeTick &Event, TimePoint Now);
--- a/src/claim/claim_row.cpp
+++ b/src/claim/claim_row.cpp
@@ -57,7 +57,7 @@
 public:
   explicit RowDecider(const std::optional<ClaimRow> &Row) : m_Row(Row) {}
 
-  RowVerdict operator()(const ClaimWanted &Operation) const {
+  RowDecision operator()(const ClaimOperation &Operation) const {
     const RowChange TakeClaim{
         {ClaimState::Claimed, Operation.m_Attempt, Operation.m_BodyHash, {}},
         outcome(ClaimStatus::Owned)};
@@ -78,7 +78,7 @@
     return outcomeForOther(Operation.m_BodyHash, *m_Row);
   }
 
-  RowVerdict operator()(const NotRunWanted &Operation) const {
+  RowDecision operator()(const NotRunOperation &Operation) const {
     // The attempt's insert may still be in flight to the table service. This
     // row makes it fail; otherwise it would claim the key for an attempt that
     // has ended, and nobody would release it.
@@ -94,7 +94,7 @@
         outcome(ClaimStatus::Done)};
   }
 
-  RowVerdict operator()(const RanWanted &Operation) const {
+  RowDecision operator()(const RanOperation &Operation) const {
     const bool SameAttempt = m_Row && m_Row->m_Attempt == Operation.m_Attempt;
     if (SameAttempt && m_Row->m_State == ClaimState::Ran)
       return outcome(ClaimStatus::Done);
@@ -108,7 +108,7 @@
                      outcome(ClaimStatus::Done)};
   }
 
-  RowVerdict operator()(const ReadWanted &Operation) const {
+  RowDecision operator()(const ReadOperation &Operation) const {
     const bool IsFree = !m_Row || m_Row->m_State == ClaimState::NotRun;
     if (IsFree && (!m_Row || bodyMatches(*m_Row, Operation.m_BodyHash)))
       return outcome(ClaimStatus::Done);
@@ -121,7 +121,7 @@
 
 } // namespace
 
-std::string writeRow(const ClaimRow &Row) {
+std::string encodeRow(const ClaimRow &Row) {
   json Value = {{"format", RowFormat},
                 {"state", nameOf(Row.m_State)},
                 {"attempt", Row.m_Attempt},
@@ -135,7 +135,7 @@
   return Value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-ClaimRow readRow(const std::string &Json) {
+ClaimRow decodeRow(const std::string &Json) {
   try {
     const json Value = json::parse(Json);
     if (Value.at("format").get<int>() > RowFormat)
@@ -156,7 +156,8 @@
   }
 }
 
-RowVerdict judge(const Wanted &Operation, const std::optional<ClaimRow> &Row) {
+RowDecision decideRow(const RowOperation &Operation,
+                      const std::optional<ClaimRow> &Row) {
   return std::visit(RowDecider(Row), Operation);
 }
 
--- a/src/claim/claim_row.h
+++ b/src/claim/claim_row.h
@@ -35,42 +35,44 @@
 };
 
 /// Returns the row as JSON with a format number.
-std::string writeRow(const ClaimRow &Row);
+std::string encodeRow(const ClaimRow &Row);
 
 /// Reads JSON of this and all older formats. \throws ClaimRowError.
-ClaimRow readRow(const std::string &Json);
+ClaimRow decodeRow(const std::string &Json);
 
 // ---- Operations on a row ----
 
-struct ClaimWanted {
+struct ClaimOperation {
   AttemptId m_Attempt;          ///< Attempt that requests the claim.
   std::uint64_t m_BodyHash = 0; ///< Of its call's body.
 };
-struct NotRunWanted {
+struct NotRunOperation {
   AttemptId m_Attempt; ///< Attempt that releases the claim.
 };
-struct RanWanted {
+struct RanOperation {
   AttemptId m_Attempt; ///< Attempt whose call ran.
   KeptAnswer m_Answer; ///< To store.
 };
-struct ReadWanted {
+struct ReadOperation {
   std::uint64_t m_BodyHash = 0; ///< Of the reader's call's body.
 };
-using Wanted = std::variant<ClaimWanted, NotRunWanted, RanWanted, ReadWanted>;
+using RowOperation =
+    std::variant<ClaimOperation, NotRunOperation, RanOperation, ReadOperation>;
 
 /// New content of the row; the operation is done once it is written.
 struct RowChange {
-  ClaimRow m_Row;           ///< Replaces the current row.
-  ClaimOutcome m_IfWritten; ///< Reply once the row is written.
+  ClaimRow m_Row;                  ///< Replaces the current row.
+  ClaimOutcome m_OutcomeIfWritten; ///< Reply once the row is written.
 };
 
 /// Either a change to write, or the reply where nothing is to be written.
-using RowVerdict = std::variant<RowChange, ClaimOutcome>;
+using RowDecision = std::variant<RowChange, ClaimOutcome>;
 
 /// Decides \p Operation on the current row \p Row (none: there is no row).
 /// A row in state Claimed is changed only by the attempt that wrote it; this
 /// rule alone makes a call run at most once.
-RowVerdict judge(const Wanted &Operation, const std::optional<ClaimRow> &Row);
+RowDecision decideRow(const RowOperation &Operation,
+                      const std::optional<ClaimRow> &Row);
 
 } // namespace crowstep::claim
 
--- a/src/contract/contract_column.cpp
+++ b/src/contract/contract_column.cpp
@@ -78,7 +78,7 @@
   const CellValue &m_Value; ///< Value to write.
 
   [[nodiscard]] bool inRange(std::int64_t Number) const {
-    return Number >= m_Column.m_Least && Number <= m_Column.m_Greatest;
+    return Number >= m_Column.m_Min && Number <= m_Column.m_Max;
   }
   [[nodiscard]] std::optional<std::int64_t> number() const {
     const auto *Number = std::get_if<std::int64_t>(&m_Value);
@@ -181,7 +181,7 @@
 
 std::string allowedText(const Column &Col) {
   const std::string Range =
-      std::to_string(Col.m_Least) + " to " + std::to_string(Col.m_Greatest);
+      std::to_string(Col.m_Min) + " to " + std::to_string(Col.m_Max);
   if (std::holds_alternative<bool Contract::*>(Col.m_Field))
     return "yes or no";
   if (std::holds_alternative<std::string Contract::*>(Col.m_Field))
--- a/src/contract/contract_column.h
+++ b/src/contract/contract_column.h
@@ -24,8 +24,8 @@
 struct Column {
   std::string m_Name;                   ///< In the CSV header and in JSON.
   ColumnField m_Field;                  ///< Member that the column fills.
-  std::int64_t m_Least = 0;             ///< Of a number, or of a text's length.
-  std::int64_t m_Greatest = 0;          ///< >= m_Min.
+  std::int64_t m_Min = 0;               ///< Of a number, or of a text's length.
+  std::int64_t m_Max = 0;               ///< >= m_Min.
   std::optional<std::string> m_Default; ///< None: the column is required.
   std::string m_Meaning;                ///< Description for operators.
 };
--- a/src/contract/contract_json.cpp
+++ b/src/contract/contract_json.cpp
@@ -25,8 +25,7 @@
   // An unsigned number beyond the signed range exceeds every column's range.
   if (Value.is_number_integer() &&
       (!Value.is_number_unsigned() ||
-       Value.get<std::uint64_t>() <=
-           static_cast<std::uint64_t>(Col.m_Greatest)))
+       Value.get<std::uint64_t>() <= static_cast<std::uint64_t>(Col.m_Max)))
     return Value.get<std::int64_t>();
   throw TableCellError(RowNumber, Col.m_Name, Value.dump(), allowedText(Col));
 }
--- a/src/contract/table_change.h
+++ b/src/contract/table_change.h
@@ -16,40 +16,41 @@
 
 /// State of the process that a change depends on.
 struct ChangeContext {
-  TimePoint m_Now;           ///< Time of the present event.
-  TableVersion m_InForce;    ///< On this instance.
-  TableVersion m_Settled;    ///< No lower version is in use.
-  TableVersion m_Confirmed;  ///< In force here and on the attached entries.
-  InstanceId m_Self;         ///< This instance.
-  Voters m_Wanted;           ///< For a new version.
-  Duration m_Lapse{};        ///< See SettleWatch.
-  const VouchTable &m_Known; ///< Known confirmations.
-  const std::set<std::string> &m_Gone;              ///< No longer listed.
+  TimePoint m_Now;               ///< Time of the present event.
+  TableVersion m_VersionInForce; ///< On this instance.
+  TableVersion m_SettledVersion; ///< No lower version is in use.
+  TableVersion
+      m_ConfirmedVersion;   ///< In force here and on the attached entries.
+  InstanceId m_Self;        ///< This instance.
+  Voters m_NextVoters;      ///< For a new version.
+  Duration m_ExpiryDelay{}; ///< See SettleWatch.
+  const ConfirmationTable &m_Confirmations;         ///< Known confirmations.
+  const std::set<std::string> &m_RemovedVoters;     ///< No longer listed.
   const std::vector<membership::Member> &m_Members; ///< All known members.
 };
 
 /// State machine of one change; its functions append actions to \p Out.
 class ChangeProgress {
 public:
-  ChangeProgress(ChangeAsked Request, CommitId Commit, TimePoint RequestedAt,
-                 TimePoint Deadline);
+  ChangeProgress(ChangeRequested Request, CommitId Commit,
+                 TimePoint RequestedAt, TimePoint Deadline);
 
   /// Handles the result of a read that was sent no earlier than requestedAt().
-  void rowRead(const ChangeContext &Context, const RowImage &Row,
-               TableActions &Out);
-  void readFailed(TableActions &Out);
+  void onRowRead(const ChangeContext &Context, const RowImage &Row,
+                 TableActions &Out);
+  void onReadFailed(TableActions &Out);
   /// Handles the answer to a write. \p Present is none if the write took
   /// effect, else the present row.
-  void written(const ChangeContext &Context,
-               const std::optional<RowImage> &Present, TableActions &Out);
-  void writeFailed(const ChangeContext &Context,
-                   platform::PlatformFailure Failure, TableActions &Out);
+  void onWritten(const ChangeContext &Context,
+                 const std::optional<RowImage> &Present, TableActions &Out);
+  void onWriteFailed(const ChangeContext &Context,
+                     platform::PlatformFailure Failure, TableActions &Out);
   /// Handles the passing of time and changes of \p Context.
   void update(const ChangeContext &Context, TableActions &Out);
 
-  [[nodiscard]] const CommitId &commit() const { return m_Commit; }
-  [[nodiscard]] TimePoint askedAt() const { return m_AskedAt; }
-  [[nodiscard]] bool finished() const { return m_Finished; }
+  [[nodiscard]] const CommitId &commitId() const { return m_CommitId; }
+  [[nodiscard]] TimePoint requestedAt() const { return m_RequestedAt; }
+  [[nodiscard]] bool isFinished() const { return m_Finished; }
 
   /// Returns the document that this change has committed; only the first call
   /// after the commit returns it.
@@ -66,25 +67,26 @@
     bool m_MayHaveCommitted = false;    ///< An answer was lost.
   };
   /// Committed; waits until the version is confirmed and settled.
-  struct Spreading {
+  struct Propagating {
     SettleWatch m_Watch; ///< Of the committed version.
   };
 
   void finish(ChangeOutcome Outcome, TableActions &Out);
-  void spread(const ChangeContext &Context, const TableDocument &Committed);
+  void startPropagation(const ChangeContext &Context,
+                        const TableDocument &Committed);
   void updateState(const ChangeContext &Context, Reading &State,
                    TableActions &Out);
   void updateState(const ChangeContext &Context, Writing &State,
                    TableActions &Out);
-  void updateState(const ChangeContext &Context, Spreading &State,
+  void updateState(const ChangeContext &Context, Propagating &State,
                    TableActions &Out);
 
-  ChangeAsked m_Asked; ///< As received.
-  CommitId m_Commit;   ///< Unique to this change.
-  TimePoint m_AskedAt; ///< Reads that were sent earlier are stale.
-  TimePoint m_Until;   ///< The outcome is reported by then.
-  std::variant<Reading, Writing, Spreading> m_State; ///< Of this change.
-  std::optional<TableDocument> m_Committed;          ///< Until taken.
+  ChangeRequested m_Request; ///< As received.
+  CommitId m_CommitId;       ///< Unique to this change.
+  TimePoint m_RequestedAt;   ///< Reads that were sent earlier are stale.
+  TimePoint m_Deadline;      ///< The outcome is reported by then.
+  std::variant<Reading, Writing, Propagating> m_State; ///< Of this change.
+  std::optional<TableDocument> m_Committed;            ///< Until taken.
   bool m_Finished = false; ///< The outcome was reported.
 };
 
--- a/src/contract/table_commit.cpp
+++ b/src/contract/table_commit.cpp
@@ -27,11 +27,11 @@
   TableDocument Next = Present;
   Next.m_Table.m_Version = TableVersion(Present.version().value() + 1);
   Next.m_Commit = Context.m_Commit;
-  if (Context.m_Settled)
+  if (Context.m_IsSettled)
     Next.m_Quorums.clear();
   addQuorum(Next.m_Quorums, Present.m_Voters);
-  if (Context.m_Settled || Present.m_Voters.empty())
-    Next.m_Voters = Context.m_Wanted;
+  if (Context.m_IsSettled || Present.m_Voters.empty())
+    Next.m_Voters = Context.m_NextVoters;
   return Next;
 }
 
@@ -56,23 +56,24 @@
 }
 
 ChangeTest testChange(const TableDocument &Present,
-                      const ChangeAsked &Request) {
+                      const ChangeRequested &Request) {
   ContractTable Changed;
   Changed.m_Contracts = Request.m_Contracts;
   std::vector<std::string> Difference = difference(Present.m_Table, Changed);
-  if (Request.m_Read < Present.m_Edited || Request.m_Read > Present.version())
+  if (Request.m_BaseVersion < Present.m_EditedVersion ||
+      Request.m_BaseVersion > Present.version())
     return ChangeConflict{Present.version(), std::move(Difference)};
   if (Difference.empty())
     return NothingToChange();
   return Changeable();
 }
 
-TableDocument changedDocument(const TableDocument &Present,
-                              const ChangeAsked &Request,
-                              const CommitContext &Context) {
+TableDocument documentWithNewRows(const TableDocument &Present,
+                                  const ChangeRequested &Request,
+                                  const CommitContext &Context) {
   TableDocument Next = nextDocument(Present, Context);
   Next.m_Table.m_Contracts = Request.m_Contracts;
-  Next.m_Edited = Next.version();
+  Next.m_EditedVersion = Next.version();
   Next.m_History.insert(
       Next.m_History.begin(),
       {Next.version(), Context.m_Commit, Request.m_Operator, Request.m_Time});
@@ -81,8 +82,8 @@
   return Next;
 }
 
-TableDocument revotedDocument(const TableDocument &Present,
-                              const CommitContext &Context) {
+TableDocument documentWithNewVoters(const TableDocument &Present,
+                                    const CommitContext &Context) {
   return nextDocument(Present, Context);
 }
 
--- a/src/contract/table_commit.h
+++ b/src/contract/table_commit.h
@@ -25,24 +25,25 @@
 using ChangeTest = std::variant<Changeable, NothingToChange, ChangeConflict>;
 
 /// Checks \p Request against the document that the table service holds.
-ChangeTest testChange(const TableDocument &Present, const ChangeAsked &Request);
+ChangeTest testChange(const TableDocument &Present,
+                      const ChangeRequested &Request);
 
 /// Data for a new version besides its rows.
 struct CommitContext {
-  CommitId m_Commit;      ///< Of the new version.
-  bool m_Settled = false; ///< No version below the present one is in
-                          ///< use.
-  Voters m_Wanted;        ///< Of the new version, if they can be replaced.
+  CommitId m_Commit;        ///< Of the new version.
+  bool m_IsSettled = false; ///< No version below the present one is in
+                            ///< use.
+  Voters m_NextVoters;      ///< Of the new version, if they can be replaced.
 };
 
 /// Returns the version after \p Present with the rows of \p Request.
-TableDocument changedDocument(const TableDocument &Present,
-                              const ChangeAsked &Request,
-                              const CommitContext &Context);
+TableDocument documentWithNewRows(const TableDocument &Present,
+                                  const ChangeRequested &Request,
+                                  const CommitContext &Context);
 
 /// Returns the version after \p Present with new voters and the same rows.
-TableDocument revotedDocument(const TableDocument &Present,
-                              const CommitContext &Context);
+TableDocument documentWithNewVoters(const TableDocument &Present,
+                                    const CommitContext &Context);
 
 /// Chooses up to \p Limit voters among the present \p Members: first those in
 /// \p Present, then members in the availability zones with the fewest voters.
--- a/src/contract/table_core.cpp
+++ b/src/contract/table_core.cpp
@@ -22,8 +22,8 @@
 TableCore::TableCore(TableKeeperConfig Config, std::string CommitPrefix,
                      TimePoint Now)
     : m_Config(std::move(Config)), m_CommitPrefix(std::move(CommitPrefix)),
-      m_Self(instanceIdOf(m_Config.m_Name)), m_Start(Now), m_Now(Now),
-      m_Random(seedOf(m_Config)), m_NextProbe(Now), m_WantedSince(Now) {
+      m_Self(instanceIdOf(m_Config.m_Name)), m_StartedAt(Now), m_Now(Now),
+      m_Random(seedOf(m_Config)), m_NextProbe(Now), m_NextVotersSince(Now) {
   // Spreads the first reads of instances that start at the same time.
   std::uniform_int_distribution<Duration::rep> Delay(
       0, m_Config.m_PollInterval.count() / 2);
@@ -34,13 +34,14 @@
   m_Now = std::max(m_Now, Now);
   m_Out.clear();
   std::visit([this](const auto &Alternative) { on(Alternative); }, Event);
-  catchUp();
+  updateCaughtUp();
   if (m_CaughtUp)
-    m_Known.add(m_Self, {m_Config.m_Incarnation, m_Document.version(), m_Now});
+    m_Confirmations.add(m_Self,
+                        {m_Config.m_Incarnation, m_Document.version(), m_Now});
   if (m_Watch)
-    m_Watch->update(m_Known, m_Gone, m_Now);
+    m_Watch->update(m_Confirmations, m_RemovedVoters, m_Now);
   updateChanges();
-  publish();
+  publishIfChanged();
   return std::move(m_Out);
 }
 
@@ -48,80 +49,82 @@
   if (!m_CaughtUp || m_Document.version() == TableVersion())
     return false;
   const TableVersion Version = m_Document.version();
-  const std::optional<StoreVouch> &Store = m_Known.store();
+  const std::optional<StoreConfirmation> &Store = m_Confirmations.store();
   if (Store && Store->m_Version <= Version &&
-      Now < Store->m_Time + m_Config.m_RightToServe)
+      Now < Store->m_ConfirmedAt + m_Config.m_RightDuration)
     return true;
-  const auto MajorityTime =
-      m_Known.majorityAtMost(m_Document.m_Voters, Version, m_Self, true);
+  const auto MajorityTime = m_Confirmations.lastMajorityTime(
+      m_Document.m_Voters, Version, m_Self, true);
   return MajorityTime && (*MajorityTime == TimePoint::max() ||
-                          Now < *MajorityTime + m_Config.m_RightToServe);
+                          Now < *MajorityTime + m_Config.m_RightDuration);
 }
 
 TableVersion TableCore::settledVersion() const {
-  return m_Watch && m_Watch->settled() ? m_Watch->version() : TableVersion();
+  return m_Watch && m_Watch->isSettled() ? m_Watch->version() : TableVersion();
 }
 
 // ---- The table service ----
 
 void TableCore::on(const StoreRead &Event) {
-  m_Reads -= m_Reads > 0 ? 1 : 0;
-  m_Failed = 0;
-  const std::optional<RowImage> Row = imageOf(Event.m_Row);
+  m_PendingReads -= m_PendingReads > 0 ? 1 : 0;
+  m_FailedReads = 0;
+  const std::optional<RowImage> Row = decodeRow(Event.m_Row);
   if (!Row) {
     for (ChangeProgress &Change : m_Changes)
-      Change.readFailed(m_Out);
+      Change.onReadFailed(m_Out);
     return;
   }
-  learnRow(*Row, Event.m_SentAt);
+  applyRow(*Row, Event.m_SentAt);
   for (ChangeProgress &Change : m_Changes)
-    if (Event.m_SentAt >= Change.askedAt())
-      Change.rowRead(context(), *Row, m_Out);
+    if (Event.m_SentAt >= Change.requestedAt())
+      Change.onRowRead(context(), *Row, m_Out);
 }
 
 void TableCore::on(const StoreReadFailed &) {
-  m_Reads -= m_Reads > 0 ? 1 : 0;
+  m_PendingReads -= m_PendingReads > 0 ? 1 : 0;
   constexpr std::size_t MaxBackoffExponent = 2; // 4 intervals.
-  const Duration Wait =
-      m_Config.m_PollInterval * (1 << std::min(m_Failed, MaxBackoffExponent));
-  ++m_Failed;
+  const Duration Wait = m_Config.m_PollInterval *
+                        (1 << std::min(m_FailedReads, MaxBackoffExponent));
+  ++m_FailedReads;
   m_NextRead = m_Now + jittered(Wait);
   for (ChangeProgress &Change : m_Changes)
-    Change.readFailed(m_Out);
+    Change.onReadFailed(m_Out);
 }
 
 void TableCore::on(const StoreWritten &Event) {
   const bool Written = Event.m_Outcome.m_Written;
-  const std::optional<RowImage> Present = imageOf(Event.m_Outcome.m_Present);
+  const std::optional<RowImage> Present =
+      decodeRow(Event.m_Outcome.m_CurrentRow);
   if (Present)
     m_Row = Present;
-  if (m_OwnWrite == Event.m_Commit) {
-    m_OwnWrite.reset();
+  if (m_MaintenanceWrite == Event.m_Commit) {
+    m_MaintenanceWrite.reset();
     if (Written) {
-      m_Out.push_back(Notify{TableNotice::RowReplaced,
-                             std::to_string(m_OwnDocument.version().value())});
-      adopt(m_OwnDocument);
+      m_Out.push_back(
+          Notify{TableNotice::RowReplaced,
+                 std::to_string(m_MaintenanceDocument.version().value())});
+      adopt(m_MaintenanceDocument);
     }
     return;
   }
   for (ChangeProgress &Change : m_Changes)
-    if (Change.commit() == Event.m_Commit && (Written || Present))
-      Change.written(context(), Written ? std::nullopt : Present, m_Out);
-    else if (Change.commit() == Event.m_Commit)
-      Change.writeFailed(context(), platform::PlatformFailure::Uncertain,
-                         m_Out);
+    if (Change.commitId() == Event.m_Commit && (Written || Present))
+      Change.onWritten(context(), Written ? std::nullopt : Present, m_Out);
+    else if (Change.commitId() == Event.m_Commit)
+      Change.onWriteFailed(context(), platform::PlatformFailure::Uncertain,
+                           m_Out);
 }
 
 void TableCore::on(const StoreWriteFailed &Event) {
-  if (m_OwnWrite == Event.m_Commit)
-    m_OwnWrite.reset();
+  if (m_MaintenanceWrite == Event.m_Commit)
+    m_MaintenanceWrite.reset();
   for (ChangeProgress &Change : m_Changes)
-    if (Change.commit() == Event.m_Commit)
-      Change.writeFailed(context(), Event.m_Failure, m_Out);
+    if (Change.commitId() == Event.m_Commit)
+      Change.onWriteFailed(context(), Event.m_Failure, m_Out);
 }
 
 std::optional<RowImage>
-TableCore::imageOf(const std::optional<platform::Row> &Row) {
+TableCore::decodeRow(const std::optional<platform::Row> &Row) {
   if (!Row)
     return RowImage();
   try {
@@ -132,21 +135,21 @@
   }
 }
 
-void TableCore::learnRow(const RowImage &Row, TimePoint SentAt) {
+void TableCore::applyRow(const RowImage &Row, TimePoint SentAt) {
   m_Row = Row;
   m_NextRead = m_Now + jittered(m_Config.m_PollInterval);
   const TableVersion Version = Row.m_Document.version();
   // An older version is expected in a read that was sent before the document
   // came into force. In a later read it means that the table service has lost
   // writes: the document stays in force, and the read is not a confirmation.
-  m_StoreWentBack = Version < m_Document.version() && SentAt > m_AdoptedAt;
-  if (m_StoreWentBack) {
+  m_StoreIsBehind = Version < m_Document.version() && SentAt > m_AdoptedAt;
+  if (m_StoreIsBehind) {
     m_Out.push_back(
         Notify{TableNotice::StoreWentBack, std::to_string(Version.value())});
     return;
   }
   adopt(Row.m_Document);
-  m_Known.addStore({Version, SentAt});
+  m_Confirmations.addStore({Version, SentAt});
 }
 
 // ---- Documents ----
@@ -157,7 +160,7 @@
   m_Document = Document;
   m_AdoptedAt = m_Now;
   m_NextProbe = m_Now;
-  m_Watch.emplace(Document.version(), Document.m_Quorums, m_Now, lapse());
+  m_Watch.emplace(Document.version(), Document.m_Quorums, m_Now, expiryDelay());
   m_Out.push_back(TableChanged());
   // Entries get the document at once. Peers get a probe with the version and
   // request the document unless another peer has sent it already, so that each
@@ -166,39 +169,40 @@
     if (Peer.m_IsEntry)
       m_Out.push_back(SendDocument{Link});
     else
-      probe(Link, Peer);
+      sendProbe(Link, Peer);
 }
 
-void TableCore::on(const DocumentArrived &Event) { adopt(Event.m_Document); }
+void TableCore::on(const DocumentReceived &Event) { adopt(Event.m_Document); }
 
-void TableCore::on(const DocumentWanted &Event) {
+void TableCore::on(const DocumentRequested &Event) {
   if (m_Document.version() != TableVersion())
     m_Out.push_back(SendDocument{Event.m_Link});
 }
 
-void TableCore::want(link::LinkId Link, PeerState &Peer, TableVersion Version) {
+void TableCore::requestIfNewer(link::LinkId Link, PeerState &Peer,
+                               TableVersion Version) {
   constexpr std::chrono::milliseconds RequestTimeout{500};
   if (Version <= m_Document.version())
     return;
   const bool IsRequested = std::ranges::any_of(m_Peers, [&](const auto &Other) {
-    return Other.second.m_Wanted >= Version &&
-           m_Now < Other.second.m_WantedAt + RequestTimeout;
+    return Other.second.m_RequestedVersion >= Version &&
+           m_Now < Other.second.m_RequestedAt + RequestTimeout;
   });
   if (IsRequested)
     return;
-  Peer.m_Wanted = Version;
-  Peer.m_WantedAt = m_Now;
-  m_Out.push_back(WantDocument{Link, Version});
+  Peer.m_RequestedVersion = Version;
+  Peer.m_RequestedAt = m_Now;
+  m_Out.push_back(RequestDocument{Link, Version});
 }
 
 // ---- Peers ----
 
 void TableCore::on(const PeerUp &Event) {
   PeerState &Peer = m_Peers[Event.m_Link];
-  Peer.m_Who = Event.m_Who;
+  Peer.m_Instance = Event.m_Instance;
   Peer.m_IsEntry = Event.m_IsEntry;
   if (!Peer.m_IsEntry)
-    probe(Event.m_Link, Peer);
+    sendProbe(Event.m_Link, Peer);
   else if (m_Document.version() != TableVersion())
     m_Out.push_back(SendDocument{Event.m_Link});
 }
@@ -207,11 +211,11 @@
 
 void TableCore::on(const MembersChanged &Event) {
   m_Members = Event.m_Members;
-  findGone();
+  findRemovedVoters();
 }
 
-void TableCore::on(const EntriesHold &Event) {
-  m_EntriesHold = Event.m_Version;
+void TableCore::on(const EntriesVersionChanged &Event) {
+  m_EntriesVersion = Event.m_Version;
 }
 
 void TableCore::on(const InstancesListed &Event) {
@@ -219,8 +223,8 @@
   m_Listed = m_LastList;
   m_Listed.insert(Names.begin(), Names.end());
   m_LastList = Names;
-  ++m_Lists;
-  findGone();
+  ++m_ListCount;
+  findRemovedVoters();
 }
 
 /// Finds voters that count as removed. Without this, a fleet that was replaced
@@ -228,53 +232,53 @@
 /// wait for the old voters for ever. The list lags, so a voter counts as
 /// removed only if it is absent from two lists in a row and is not a present
 /// member.
-void TableCore::findGone() {
-  m_Gone.clear();
-  if (m_Lists < 2)
+void TableCore::findRemovedVoters() {
+  m_RemovedVoters.clear();
+  if (m_ListCount < 2)
     return;
   std::vector<Voters> Lists = m_Document.m_Quorums;
   Lists.push_back(m_Document.m_Voters);
   for (const Voters &List : Lists)
     for (const std::string &Name : List)
       if (!m_Listed.contains(Name) && !isPresent(m_Members, Name))
-        m_Gone.insert(Name);
+        m_RemovedVoters.insert(Name);
 }
 
 // ---- Catching up and publishing ----
 
-void TableCore::catchUp() {
+void TableCore::updateCaughtUp() {
   if (m_CaughtUp)
     return;
   const TableVersion Version = m_Document.version();
-  const std::optional<StoreVouch> &Store = m_Known.store();
-  const auto MajorityTime =
-      m_Known.majorityAtMost(m_Document.m_Voters, Version, m_Self, false);
-  m_CaughtUp =
-      (Store && Store->m_Version <= Version && Store->m_Time >= m_Start) ||
-      (MajorityTime && *MajorityTime >= m_Start);
+  const std::optional<StoreConfirmation> &Store = m_Confirmations.store();
+  const auto MajorityTime = m_Confirmations.lastMajorityTime(
+      m_Document.m_Voters, Version, m_Self, false);
+  m_CaughtUp = (Store && Store->m_Version <= Version &&
+                Store->m_ConfirmedAt >= m_StartedAt) ||
+               (MajorityTime && *MajorityTime >= m_StartedAt);
   if (m_CaughtUp)
     m_Out.push_back(
         Notify{TableNotice::CaughtUp, std::to_string(Version.value())});
 }
 
-TableVersion TableCore::confirmed() const {
-  return m_CaughtUp ? std::min(m_Document.version(), m_EntriesHold)
+TableVersion TableCore::confirmedVersion() const {
+  return m_CaughtUp ? std::min(m_Document.version(), m_EntriesVersion)
                     : TableVersion();
 }
 
-void TableCore::publish() {
-  if (confirmed() == m_Published)
+void TableCore::publishIfChanged() {
+  if (confirmedVersion() == m_PublishedVersion)
     return;
-  m_Published = confirmed();
-  m_Out.push_back(PublishVersion{m_Published});
+  m_PublishedVersion = confirmedVersion();
+  m_Out.push_back(PublishVersion{m_PublishedVersion});
 }
 
 // ---- Changes ----
 
-void TableCore::on(const ChangeAsked &Event) {
-  m_Changes.emplace_back(Event, nextCommit(), m_Now,
-                         m_Now + m_Config.m_AcceptLimit);
-  ++m_Reads;
+void TableCore::on(const ChangeRequested &Event) {
+  m_Changes.emplace_back(Event, nextCommitId(), m_Now,
+                         m_Now + m_Config.m_AcceptTimeout);
+  ++m_PendingReads;
   m_Out.push_back(ReadStore());
 }
 
@@ -285,27 +289,28 @@
     Change.update(context(), m_Out);
   }
   std::erase_if(m_Changes,
-                [](const auto &Change) { return Change.finished(); });
+                [](const auto &Change) { return Change.isFinished(); });
 }
 
 ChangeContext TableCore::context() const {
   return {m_Now,
           m_Document.version(),
           settledVersion(),
-          confirmed(),
+          confirmedVersion(),
           m_Self,
           chooseVoters(m_Document.m_Voters, m_Members, m_Config.m_MaxVoters),
-          lapse(),
-          m_Known,
-          m_Gone,
+          expiryDelay(),
+          m_Confirmations,
+          m_RemovedVoters,
           m_Members};
 }
 
-Duration TableCore::lapse() const {
-  return m_Config.m_RightToServe + m_Config.m_EntryRight + m_Config.m_Margin;
+Duration TableCore::expiryDelay() const {
+  return m_Config.m_RightDuration + m_Config.m_EntryRightDuration +
+         m_Config.m_Margin;
 }
 
-CommitId TableCore::nextCommit() {
+CommitId TableCore::nextCommitId() {
   return m_CommitPrefix + "/" + std::to_string(++m_LastCommit);
 }
 
--- a/src/contract/table_core.h
+++ b/src/contract/table_core.h
@@ -34,7 +34,7 @@
 
   /// Returns whether this process knows every version that was accepted before
   /// it started.
-  [[nodiscard]] bool caughtUp() const { return m_CaughtUp; }
+  [[nodiscard]] bool hasCaughtUp() const { return m_CaughtUp; }
 
   /// Returns the version in force if it is known that no lower version is in
   /// use, else 0.
@@ -42,12 +42,12 @@
 
 private:
   struct PeerState {
-    InstanceId m_Who;      ///< At the other end.
+    InstanceId m_Instance; ///< At the other end.
     bool m_IsEntry = true; ///< Receives documents and is not probed.
     std::map<std::uint64_t, TimePoint> m_Probes; ///< Send times of unanswered
                                                  ///< probes, by sequence.
-    TableVersion m_Wanted;                       ///< Last requested.
-    TimePoint m_WantedAt;                        ///< Time of the last request.
+    TableVersion m_RequestedVersion;             ///< Last requested.
+    TimePoint m_RequestedAt;                     ///< Time of the last request.
   };
 
   // One handler for each type of event.
@@ -57,45 +57,45 @@
   void on(const StoreWriteFailed &Event);
   void on(const PeerUp &Event);
   void on(const PeerDown &Event);
-  void on(const DocumentArrived &Event);
-  void on(const DocumentWanted &Event);
-  void on(const ProbeArrived &Event);
-  void on(const ProbeAnswered &Event);
+  void on(const DocumentReceived &Event);
+  void on(const DocumentRequested &Event);
+  void on(const ProbeReceived &Event);
+  void on(const ProbeAnswerReceived &Event);
   void on(const MembersChanged &Event);
-  void on(const EntriesHold &Event);
+  void on(const EntriesVersionChanged &Event);
   void on(const InstancesListed &Event);
-  void on(const ChangeAsked &Event);
+  void on(const ChangeRequested &Event);
   void on(const Tick &Event);
 
   void adopt(const TableDocument &Document);
-  void learnRow(const RowImage &Row, TimePoint SentAt);
-  std::optional<RowImage> imageOf(const std::optional<platform::Row> &Row);
-  void probe(link::LinkId Link, PeerState &Peer);
-  void probeSome();
-  [[nodiscard]] TimePoint lastWordOf(InstanceId Instance) const;
+  void applyRow(const RowImage &Row, TimePoint SentAt);
+  std::optional<RowImage> decodeRow(const std::optional<platform::Row> &Row);
+  void sendProbe(link::LinkId Link, PeerState &Peer);
+  void probeIfDue();
+  [[nodiscard]] TimePoint lastConfirmationOf(InstanceId Instance) const;
   void pollIfDue();
   void replaceVotersIfDue();
   void writeVoters(const Voters &Wanted);
   void repairStoreIfDue();
   void writeRow(const TableDocument &Document, platform::RowVersion Expected);
-  [[nodiscard]] bool keepsRow() const;
-  void want(link::LinkId Link, PeerState &Peer, TableVersion Version);
-  void addVouches(ProbeAnswer &Answer) const;
-  void findGone();
-  void catchUp();
-  void publish();
+  [[nodiscard]] bool maintainsRow() const;
+  void requestIfNewer(link::LinkId Link, PeerState &Peer, TableVersion Version);
+  void addConfirmations(ProbeAnswer &Answer) const;
+  void findRemovedVoters();
+  void updateCaughtUp();
+  void publishIfChanged();
   void updateChanges();
-  [[nodiscard]] TableVersion confirmed() const;
+  [[nodiscard]] TableVersion confirmedVersion() const;
   ChangeContext context() const;
-  [[nodiscard]] Duration lapse() const;
-  [[nodiscard]] bool calm() const;
+  [[nodiscard]] Duration expiryDelay() const;
+  [[nodiscard]] bool isSteady() const;
   Duration jittered(Duration Mean);
-  CommitId nextCommit();
+  CommitId nextCommitId();
 
   TableKeeperConfig m_Config; ///< As passed in.
   std::string m_CommitPrefix; ///< Unique to this process.
   InstanceId m_Self;          ///< Derived from the name.
-  TimePoint m_Start;          ///< Start of this process.
+  TimePoint m_StartedAt;      ///< Start of this process.
   TimePoint m_Now;            ///< Time of the present event.
   TableActions m_Out;         ///< Of the present event.
   std::mt19937_64 m_Random;   ///< For jitter and for choosing peers.
@@ -105,34 +105,34 @@
   std::optional<SettleWatch> m_Watch; ///< Of m_Document; none at version 0.
   bool m_CaughtUp = false;            ///< If not, this process sends no
                                       ///< confirmations of its own.
-  TableVersion m_EntriesHold;         ///< In force on all attached entries.
-  TableVersion m_Published;           ///< Last one published.
-  VouchTable m_Known;                 ///< By other instances and this one.
+  TableVersion m_EntriesVersion;      ///< In force on all attached entries.
+  TableVersion m_PublishedVersion;    ///< Last one published.
+  ConfirmationTable m_Confirmations;  ///< By other instances and this one.
 
   std::map<link::LinkId, PeerState> m_Peers; ///< By open link.
   TimePoint m_NextProbe;                     ///< When peers are probed next.
   std::uint64_t m_LastSequence = 0;          ///< Of the last probe.
 
-  std::size_t m_Reads = 0;       ///< Reads without an answer.
-  std::size_t m_Failed = 0;      ///< Reads that failed in a row.
-  TimePoint m_NextRead;          ///< Earliest time of the next poll.
-  std::optional<RowImage> m_Row; ///< As last read, or in the answer to
-                                 ///< a write.
+  std::size_t m_PendingReads = 0; ///< Reads without an answer.
+  std::size_t m_FailedReads = 0;  ///< Reads that failed in a row.
+  TimePoint m_NextRead;           ///< Earliest time of the next poll.
+  std::optional<RowImage> m_Row;  ///< As last read, or in the answer to
+                                  ///< a write.
 
   std::vector<membership::Member> m_Members; ///< All known members.
-  std::set<std::string> m_Listed;   ///< In either of the last two lists.
-  std::set<std::string> m_LastList; ///< In the last list.
-  std::size_t m_Lists = 0;          ///< Lists received.
-  std::set<std::string> m_Gone;     ///< Voters that count as removed.
+  std::set<std::string> m_Listed;        ///< In either of the last two lists.
+  std::set<std::string> m_LastList;      ///< In the last list.
+  std::size_t m_ListCount = 0;           ///< Lists received.
+  std::set<std::string> m_RemovedVoters; ///< Voters that count as removed.
 
   std::list<ChangeProgress> m_Changes; ///< Operators' changes in progress.
   std::uint64_t m_LastCommit = 0;      ///< Part of the last commit id.
-  Voters m_WantedVoters;               ///< As chosen last.
-  TimePoint m_WantedSince;             ///< When m_NextVoters last changed.
-  std::optional<CommitId> m_OwnWrite;  ///< Pending write that replaces voters
-                                       ///< or repairs the row.
-  TableDocument m_OwnDocument;         ///< Written by m_MaintenanceWrite.
-  bool m_StoreWentBack = false;        ///< m_Row is older than m_Document, and
+  Voters m_NextVoters;                 ///< As chosen last.
+  TimePoint m_NextVotersSince;         ///< When m_NextVoters last changed.
+  std::optional<CommitId> m_MaintenanceWrite; ///< Pending write that replaces
+                                              ///< voters or repairs the row.
+  TableDocument m_MaintenanceDocument; ///< Written by m_MaintenanceWrite.
+  bool m_StoreIsBehind = false;        ///< m_Row is older than m_Document, and
                                        ///< a repair is due.
 };
 
--- a/src/contract/table_core_type.h
+++ b/src/contract/table_core_type.h
@@ -16,26 +16,27 @@
 using ChangeId = StrongId<struct ChangeTag, std::uint64_t>;
 
 /// A voter's confirmation as a peer passes it on.
-struct RelayedVouch {
-  InstanceId m_Who;       ///< The voter.
-  Incarnation m_Start;    ///< Of the voter.
-  TableVersion m_Version; ///< In force on the voter.
-  Duration m_Age{};       ///< At the time of the peer's answer.
+struct RelayedConfirmation {
+  InstanceId m_Instance;     ///< The voter.
+  Incarnation m_Incarnation; ///< Of the voter.
+  TableVersion m_Version;    ///< In force on the voter.
+  Duration m_Age{};          ///< At the time of the peer's answer.
 };
 
 /// The freshest read of the table service as a peer passes it on.
-struct RelayedStoreVouch {
+struct RelayedStoreConfirmation {
   TableVersion m_Version; ///< Of the row.
   Duration m_Age{};       ///< At the time of the peer's answer.
 };
 
 /// Answer to a probe.
 struct ProbeAnswer {
-  std::uint64_t m_Sequence = 0;             ///< Of the probe.
-  TableVersion m_Version;                   ///< In force on the peer.
-  std::optional<RelayedStoreVouch> m_Store; ///< None: no read is known.
-  std::vector<RelayedVouch> m_Vouches;      ///< By voters of the document
-                                            ///< and its quorums.
+  std::uint64_t m_Sequence = 0;                    ///< Of the probe.
+  TableVersion m_Version;                          ///< In force on the peer.
+  std::optional<RelayedStoreConfirmation> m_Store; ///< None: no read is known.
+  std::vector<RelayedConfirmation>
+      m_Confirmations; ///< By voters of the document
+                       ///< and its quorums.
 };
 
 // ---- Events ----
@@ -57,41 +58,41 @@
 };
 struct PeerUp {
   link::LinkId m_Link;   ///< The new link.
-  InstanceId m_Who;      ///< At the other end.
+  InstanceId m_Instance; ///< At the other end.
   bool m_IsEntry = true; ///< Entries receive documents and are not probed.
 };
 struct PeerDown {
   link::LinkId m_Link; ///< The closed link.
 };
-struct DocumentArrived {
+struct DocumentReceived {
   link::LinkId m_Link;      ///< From the sender.
   TableDocument m_Document; ///< Validated.
 };
-struct DocumentWanted {
+struct DocumentRequested {
   link::LinkId m_Link; ///< From the requester.
 };
-struct ProbeArrived {
+struct ProbeReceived {
   link::LinkId m_Link;          ///< From the prober.
   std::uint64_t m_Sequence = 0; ///< To be returned in the answer.
   TableVersion m_Version;       ///< In force on the prober.
 };
-struct ProbeAnswered {
+struct ProbeAnswerReceived {
   link::LinkId m_Link;  ///< From the answering peer.
   ProbeAnswer m_Answer; ///< As received.
 };
 struct MembersChanged {
   std::vector<membership::Member> m_Members; ///< All known members.
 };
-struct EntriesHold {
+struct EntriesVersionChanged {
   TableVersion m_Version; ///< In force, or a later one, on each attached entry.
 };
 struct InstancesListed {
   std::vector<std::string> m_Names; ///< In the platform's instance list.
 };
-struct ChangeAsked {
+struct ChangeRequested {
   ChangeId m_Id;                     ///< Returned in FinishChange.
   std::vector<Contract> m_Contracts; ///< All rows of the new table; validated.
-  TableVersion m_Read;               ///< The version that the operator read.
+  TableVersion m_BaseVersion;        ///< The version that the operator read.
   std::string m_Operator;            ///< For the history.
   std::string m_Time;                ///< Wall-clock time, for the history.
 };
@@ -100,9 +101,9 @@
 
 using TableEvent =
     std::variant<StoreRead, StoreReadFailed, StoreWritten, StoreWriteFailed,
-                 PeerUp, PeerDown, DocumentArrived, DocumentWanted,
-                 ProbeArrived, ProbeAnswered, MembersChanged, EntriesHold,
-                 InstancesListed, ChangeAsked, Tick>;
+                 PeerUp, PeerDown, DocumentReceived, DocumentRequested,
+                 ProbeReceived, ProbeAnswerReceived, MembersChanged,
+                 EntriesVersionChanged, InstancesListed, ChangeRequested, Tick>;
 
 // ---- Actions ----
 
@@ -118,7 +119,7 @@
   link::LinkId m_Link; ///< To the receiver.
 };
 /// Requests a document.
-struct WantDocument {
+struct RequestDocument {
   link::LinkId m_Link;    ///< To the peer that has it.
   TableVersion m_Version; ///< Lowest version wanted.
 };
@@ -150,14 +151,14 @@
   RowReplaced,   ///< This process wrote new voters or repaired the row.
 };
 struct Notify {
-  TableNotice m_What;   ///< The event.
+  TableNotice m_Notice; ///< The event.
   std::string m_Detail; ///< Version or error, for the log.
 };
 
 using TableAction =
-    std::variant<ReadStore, WriteStore, SendDocument, WantDocument, SendProbe,
-                 SendProbeAnswer, PublishVersion, TableChanged, FinishChange,
-                 Notify>;
+    std::variant<ReadStore, WriteStore, SendDocument, RequestDocument,
+                 SendProbe, SendProbeAnswer, PublishVersion, TableChanged,
+                 FinishChange, Notify>;
 using TableActions = std::vector<TableAction>;
 
 } // namespace crowstep::contract
--- a/src/contract/table_document.cpp
+++ b/src/contract/table_document.cpp
@@ -39,7 +39,7 @@
 
 std::string encodeDocument(const TableDocument &Value) {
   json Result = tableToJson(Value.m_Table);
-  Result["edited"] = Value.m_Edited.value();
+  Result["edited"] = Value.m_EditedVersion.value();
   Result["commit"] = Value.m_Commit;
   Result["voters"] = Value.m_Voters;
   Result["quorums"] = Value.m_Quorums;
@@ -58,7 +58,7 @@
   validate(Result.m_Table);
   try {
     // A row that was written by hand may hold only the table.
-    Result.m_Edited =
+    Result.m_EditedVersion =
         TableVersion(Value.value("edited", Result.version().value()));
     Result.m_Commit = Value.value("commit", CommitId());
     Result.m_Voters = Value.value("voters", Voters());
--- a/src/contract/table_keeper.cpp
+++ b/src/contract/table_keeper.cpp
@@ -62,9 +62,9 @@
        platform::TableService &Store, membership::Membership &Fleet,
        link::Links &Links, Metrics &Stats)
       : m_Clock(Time), m_Store(Store), m_Fleet(Fleet), m_Links(Links),
-        m_Stats(Stats), m_Core(checked(Config), randomName(), Time.fresh()),
-        m_Timer(Timers), m_Version(Stats.gauge("crowstep_table_version")),
-        m_Right(Stats.gauge("crowstep_table_right_to_serve")) {
+        m_Stats(Stats), m_Core(checked(Config), randomName(), Time.readNow()),
+        m_Timer(Timers), m_VersionGauge(Stats.gauge("crowstep_table_version")),
+        m_RightGauge(Stats.gauge("crowstep_table_right_to_serve")) {
     for (const char *Name : {"accepted", "pending", "conflict", "unavailable"})
       outcomeCounter(Name);
   }
@@ -72,20 +72,21 @@
   void start() { tick(); }
 
   void handle(const TableEvent &Event) {
-    const TableActions Actions = m_Core.handle(m_Clock.fresh(), Event);
+    const TableActions Actions = m_Core.handle(m_Clock.readNow(), Event);
     for (const TableAction &Action : Actions)
       std::visit([this](const auto &Alternative) { run(Alternative); }, Action);
   }
 
-  void change(ChangeAsked Request, std::function<void(ChangeOutcome)> Done) {
+  void change(ChangeRequested Request,
+              std::function<void(ChangeOutcome)> Done) {
     Request.m_Id = ChangeId(++m_LastChange);
     Request.m_Time = wallClock();
-    m_Changes.emplace(Request.m_Id, std::move(Done));
+    m_Waiters.emplace(Request.m_Id, std::move(Done));
     handle(std::move(Request));
   }
 
   [[nodiscard]] const TableCore &core() const { return m_Core; }
-  [[nodiscard]] TimePoint fresh() const { return m_Clock.fresh(); }
+  [[nodiscard]] TimePoint fresh() const { return m_Clock.readNow(); }
 
   std::vector<std::function<void()>> m_Listeners; ///< See onChange().
 
@@ -107,7 +108,7 @@
       handle(MembersChanged{m_Members});
     }
     handle(Tick());
-    m_Right.set(m_Core.rightToServe(m_Clock.fresh()) ? 1 : 0);
+    m_RightGauge.set(m_Core.rightToServe(m_Clock.readNow()) ? 1 : 0);
     m_Timer.start(TickInterval, [this] { tick(); });
   }
 
@@ -121,14 +122,14 @@
   }
 
   void run(const ReadStore &) {
-    const TimePoint SentAt = m_Clock.fresh();
+    const TimePoint SentAt = m_Clock.readNow();
     m_Store.read(platform::ContractTableName, CurrentRowKey,
                  guarded<platform::ReadResult>(
                      [this, SentAt](const platform::ReadResult &Result) {
-                       wasRead(SentAt, Result);
+                       onReadDone(SentAt, Result);
                      }));
   }
-  void wasRead(TimePoint SentAt, const platform::ReadResult &Result) {
+  void onReadDone(TimePoint SentAt, const platform::ReadResult &Result) {
     const auto *Rows = std::get_if<std::vector<platform::Row>>(&Result);
     if (Rows == nullptr)
       handle(StoreReadFailed());
@@ -142,10 +143,11 @@
                   guarded<platform::WriteResult>(
                       [this, Commit = Action.m_Commit](
                           const platform::WriteResult &Result) {
-                        wasWritten(Commit, Result);
+                        onWriteDone(Commit, Result);
                       }));
   }
-  void wasWritten(const CommitId &Commit, const platform::WriteResult &Result) {
+  void onWriteDone(const CommitId &Commit,
+                   const platform::WriteResult &Result) {
     const auto *Failure = std::get_if<platform::PlatformFailure>(&Result);
     if (Failure != nullptr)
       handle(StoreWriteFailed{Commit, *Failure});
@@ -156,8 +158,8 @@
   void run(const SendDocument &Action) {
     addDocument(m_Core.document(), m_Links.outbox(Action.m_Link));
   }
-  void run(const WantDocument &Action) {
-    addRequest(Action.m_Version, m_Links.outbox(Action.m_Link));
+  void run(const RequestDocument &Action) {
+    addDocumentRequest(Action.m_Version, m_Links.outbox(Action.m_Link));
   }
   void run(const SendProbe &Action) {
     addProbe(Action, m_Links.outbox(Action.m_Link));
@@ -170,7 +172,7 @@
   }
   void run(const TableChanged &) {
     const std::uint64_t Version = m_Core.document().version().value();
-    m_Version.set(static_cast<double>(Version));
+    m_VersionGauge.set(static_cast<double>(Version));
     logEvent(LogEvent::TableInForce, {{"version", std::to_string(Version)}});
     for (const auto &Listener : m_Listeners)
       Listener();
@@ -179,12 +181,12 @@
     const char *Name = nameOf(Action.m_Outcome);
     outcomeCounter(Name).add();
     logEvent(LogEvent::TableChangeEnded, {{"outcome", Name}});
-    const auto Found = m_Changes.extract(Action.m_Id);
+    const auto Found = m_Waiters.extract(Action.m_Id);
     if (Found)
       Found.mapped()(Action.m_Outcome);
   }
   void run(const Notify &Action) {
-    logEvent(eventOf(Action.m_What), {{"detail", Action.m_Detail}});
+    logEvent(eventOf(Action.m_Notice), {{"detail", Action.m_Detail}});
   }
 
   const Clock &m_Clock;            ///< Read for every event.
@@ -195,11 +197,11 @@
   TableCore m_Core;                ///< State machine.
   Timer m_Timer;                   ///< For ticks.
   std::vector<membership::Member> m_Members; ///< As last passed to m_Core.
-  Gauge &m_Version;                          ///< Version in force.
-  Gauge &m_Right;                 ///< 1: this instance may take new work.
+  Gauge &m_VersionGauge;                     ///< Version in force.
+  Gauge &m_RightGauge;            ///< 1: this instance may take new work.
   std::uint64_t m_LastChange = 0; ///< Last change id.
   std::map<ChangeId, std::function<void(ChangeOutcome)>>
-      m_Changes; ///< Callbacks for outcomes.
+      m_Waiters; ///< Callbacks for outcomes.
   std::shared_ptr<bool> m_Alive =
       std::make_shared<bool>(true); ///< See the head of the class.
 };
@@ -242,8 +244,8 @@
   m_Impl->m_Listeners.push_back(std::move(Listener));
 }
 
-void TableKeeper::entriesHold(TableVersion Version) {
-  m_Impl->handle(EntriesHold{Version});
+void TableKeeper::setEntriesVersion(TableVersion Version) {
+  m_Impl->handle(EntriesVersionChanged{Version});
 }
 
 bool TableKeeper::rightToServe() const {
--- a/src/contract/table_keeper.h
+++ b/src/contract/table_keeper.h
@@ -47,7 +47,7 @@
 
   /// Sets the lowest version that an attached entry with a right to serve may
   /// have in force. This instance confirms no higher version.
-  void entriesHold(TableVersion Version);
+  void setEntriesVersion(TableVersion Version);
 
   /// Must be called each time the platform's instance list was read. A voter
   /// that is in neither of the last two lists, and is not a present member,
--- a/src/contract/table_settle.cpp
+++ b/src/contract/table_settle.cpp
@@ -8,20 +8,20 @@
 SettleWatch::SettleWatch(TableVersion Version, std::vector<Voters> Quorums,
                          TimePoint Since, Duration ExpiryDelay)
     : m_Version(Version), m_Quorums(std::move(Quorums)), m_Since(Since),
-      m_Lapse(ExpiryDelay) {}
+      m_ExpiryDelay(ExpiryDelay) {}
 
-void SettleWatch::update(const VouchTable &Confirmations,
+void SettleWatch::update(const ConfirmationTable &Confirmations,
                          const std::set<std::string> &Removed, TimePoint Now) {
   if (!m_Confirmed) {
-    findMoment(Confirmations, Removed, Now);
-    m_Confirmed = m_Moment && confirmed(Confirmations, Removed);
+    findMajorityTime(Confirmations, Removed, Now);
+    m_Confirmed = m_MajorityAt && isConfirmed(Confirmations, Removed);
   }
-  if (m_Confirmed && Now >= std::max(m_Since, *m_Moment) + m_Lapse)
+  if (m_Confirmed && Now >= std::max(m_Since, *m_MajorityAt) + m_ExpiryDelay)
     m_Settled = true;
 }
 
-bool SettleWatch::majorityIn(const Starts &Holders,
-                             const std::set<std::string> &Removed) const {
+bool SettleWatch::hasMajorities(const Incarnations &Holders,
+                                const std::set<std::string> &Removed) const {
   return std::ranges::all_of(m_Quorums, [&](const Voters &Quorum) {
     std::size_t Listed = 0;
     std::size_t Holding = 0;
@@ -38,36 +38,36 @@
 
 /// A new holder, or a new incarnation of one, sets the time anew, so that it
 /// can replace a holder that died before it could confirm the version again.
-void SettleWatch::findMoment(const VouchTable &Confirmations,
-                             const std::set<std::string> &Removed,
-                             TimePoint Now) {
-  bool Changed = !m_Moment;
-  for (const auto &[Id, Report] : Confirmations.voters()) {
+void SettleWatch::findMajorityTime(const ConfirmationTable &Confirmations,
+                                   const std::set<std::string> &Removed,
+                                   TimePoint Now) {
+  bool Changed = !m_MajorityAt;
+  for (const auto &[Id, Report] : Confirmations.byVoter()) {
     if (Report.m_Version < m_Version)
       continue;
-    const auto [Found, IsNew] = m_Held.try_emplace(Id, Report.m_Start);
-    Changed = Changed || IsNew || Found->second != Report.m_Start;
-    Found->second = Report.m_Start;
+    const auto [Found, IsNew] = m_Holders.try_emplace(Id, Report.m_Incarnation);
+    Changed = Changed || IsNew || Found->second != Report.m_Incarnation;
+    Found->second = Report.m_Incarnation;
   }
-  if (Changed && majorityIn(m_Held, Removed))
-    m_Moment = Now;
+  if (Changed && hasMajorities(m_Holders, Removed))
+    m_MajorityAt = Now;
 }
 
 /// A voter that confirmed the version and restarted before the others had it
 /// may have returned with a lower version and confirmed that one. Only a voter
 /// that confirms it with the same incarnation at or after m_MajorityAt is known
 /// to have held it at that time.
-bool SettleWatch::confirmed(const VouchTable &Confirmations,
-                            const std::set<std::string> &Removed) const {
-  Starts StillHolding;
-  for (const auto &[Id, HolderIncarnation] : m_Held) {
-    const auto Found = Confirmations.voters().find(Id);
-    if (Found != Confirmations.voters().end() &&
-        Found->second.m_Start == HolderIncarnation &&
-        Found->second.m_Time >= *m_Moment)
+bool SettleWatch::isConfirmed(const ConfirmationTable &Confirmations,
+                              const std::set<std::string> &Removed) const {
+  Incarnations StillHolding;
+  for (const auto &[Id, HolderIncarnation] : m_Holders) {
+    const auto Found = Confirmations.byVoter().find(Id);
+    if (Found != Confirmations.byVoter().end() &&
+        Found->second.m_Incarnation == HolderIncarnation &&
+        Found->second.m_ConfirmedAt >= *m_MajorityAt)
       StillHolding.emplace(Id, HolderIncarnation);
   }
-  return majorityIn(StillHolding, Removed);
+  return hasMajorities(StillHolding, Removed);
 }
 
 } // namespace crowstep::contract
--- a/src/contract/table_settle.h
+++ b/src/contract/table_settle.h
@@ -23,36 +23,36 @@
 
   /// Evaluates the confirmations known at \p Now. \p Removed are voters that
   /// the platform no longer lists; they count in no quorum.
-  void update(const VouchTable &Confirmations,
+  void update(const ConfirmationTable &Confirmations,
               const std::set<std::string> &Removed, TimePoint Now);
 
   /// Returns whether no lower version can be in use any more.
-  [[nodiscard]] bool settled() const { return m_Settled; }
+  [[nodiscard]] bool isSettled() const { return m_Settled; }
 
   [[nodiscard]] TableVersion version() const { return m_Version; }
   [[nodiscard]] const std::vector<Voters> &quorums() const { return m_Quorums; }
 
 private:
-  using Starts = std::map<InstanceId, Incarnation>;
-
-  bool majorityIn(const Starts &Holders,
-                  const std::set<std::string> &Removed) const;
-  void findMoment(const VouchTable &Confirmations,
-                  const std::set<std::string> &Removed, TimePoint Now);
-  bool confirmed(const VouchTable &Confirmations,
-                 const std::set<std::string> &Removed) const;
-
-  TableVersion m_Version;            ///< The version that is watched.
-  std::vector<Voters> m_Quorums;     ///< A majority is needed in each.
-  TimePoint m_Since;                 ///< m_Version was committed by then.
-  Duration m_Lapse;                  ///< See the constructor.
-  Starts m_Held;                     ///< Instances that have confirmed the
-                                     ///< version at any time.
-  std::optional<TimePoint> m_Moment; ///< When m_Holders last changed and had
-                                     ///< a majority of every quorum.
-  bool m_Confirmed = false;          ///< A majority of every quorum held the
-                                     ///< version at m_MajorityAt.
-  bool m_Settled = false;            ///< Never reset.
+  using Incarnations = std::map<InstanceId, Incarnation>;
+
+  bool hasMajorities(const Incarnations &Holders,
+                     const std::set<std::string> &Removed) const;
+  void findMajorityTime(const ConfirmationTable &Confirmations,
+                        const std::set<std::string> &Removed, TimePoint Now);
+  bool isConfirmed(const ConfirmationTable &Confirmations,
+                   const std::set<std::string> &Removed) const;
+
+  TableVersion m_Version;                ///< The version that is watched.
+  std::vector<Voters> m_Quorums;         ///< A majority is needed in each.
+  TimePoint m_Since;                     ///< m_Version was committed by then.
+  Duration m_ExpiryDelay;                ///< See the constructor.
+  Incarnations m_Holders;                ///< Instances that have confirmed the
+                                         ///< version at any time.
+  std::optional<TimePoint> m_MajorityAt; ///< When m_Holders last changed and
+                                         ///< had a majority of every quorum.
+  bool m_Confirmed = false; ///< A majority of every quorum held the
+                            ///< version at m_MajorityAt.
+  bool m_Settled = false;   ///< Never reset.
 };
 
 } // namespace crowstep::contract
--- a/src/contract/table_type.h
+++ b/src/contract/table_type.h
@@ -18,23 +18,23 @@
                              ///< starts.
   Duration m_PollInterval = std::chrono::seconds(1); ///< Of the table service.
   Duration m_ProbeInterval = std::chrono::milliseconds(500); ///< Of peers.
-  std::size_t m_ProbeLinks = 4;     ///< Peers probed in each interval, at most.
-  std::size_t m_CalmProbeLinks = 2; ///< The same in the steady state; see
-                                    ///< TableCore::isSteady().
-  std::size_t m_MaxVoters = 9;      ///< Of one version.
+  std::size_t m_ProbeLinks = 4; ///< Peers probed in each interval, at most.
+  std::size_t m_SteadyProbeLinks = 2; ///< The same in the steady state; see
+                                      ///< TableCore::isSteady().
+  std::size_t m_MaxVoters = 9;        ///< Of one version.
   /// For how long a new choice of voters must be stable before it replaces the
   /// old one.
-  Duration m_VotersDelay = std::chrono::seconds(3);
+  Duration m_VoterReplacementDelay = std::chrono::seconds(3);
   /// For how long the right to serve lasts after the confirmations that it
   /// rests on.
-  Duration m_RightToServe = std::chrono::milliseconds(2000);
+  Duration m_RightDuration = std::chrono::milliseconds(2000);
   /// For how long an entry may serve after this instance lost its right.
-  Duration m_EntryRight = std::chrono::seconds(1);
+  Duration m_EntryRightDuration = std::chrono::seconds(1);
   /// Allowance for clocks that run at different rates.
   Duration m_Margin = std::chrono::milliseconds(100);
   /// Limit for the outcome of a change; if it is committed but not accepted by
   /// then, it is reported as pending.
-  Duration m_AcceptLimit = std::chrono::seconds(7);
+  Duration m_AcceptTimeout = std::chrono::seconds(7);
   std::uint64_t m_Seed = 0; ///< For jitter; 0: derived from the name and
                             ///< incarnation.
 };
@@ -52,7 +52,7 @@
 };
 /// The rows have changed since the version that the operator read.
 struct ChangeConflict {
-  TableVersion m_Present;                ///< Version in the table service.
+  TableVersion m_PresentVersion;         ///< Version in the table service.
   std::vector<std::string> m_Difference; ///< From the present rows to the
                                          ///< requested ones; see difference().
 };
--- a/src/contract/table_vouch.cpp
+++ b/src/contract/table_vouch.cpp
@@ -6,30 +6,29 @@
 
 namespace crowstep::contract {
 
-void VouchTable::add(InstanceId Instance, const Vouch &Report) {
-  const auto [Found, Inserted] = m_Voters.try_emplace(Instance, Report);
-  if (!Inserted && Report.m_Time > Found->second.m_Time)
+void ConfirmationTable::add(InstanceId Instance, const Confirmation &Report) {
+  const auto [Found, Inserted] = m_ByVoter.try_emplace(Instance, Report);
+  if (!Inserted && Report.m_ConfirmedAt > Found->second.m_ConfirmedAt)
     Found->second = Report;
 }
 
-void VouchTable::addStore(const StoreVouch &Report) {
-  if (!m_Store || Report.m_Time > m_Store->m_Time)
+void ConfirmationTable::addStore(const StoreConfirmation &Report) {
+  if (!m_Store || Report.m_ConfirmedAt > m_Store->m_ConfirmedAt)
     m_Store = Report;
 }
 
-std::optional<TimePoint> VouchTable::majorityAtMost(const Voters &Quorum,
-                                                    TableVersion Version,
-                                                    InstanceId Self,
-                                                    bool CountSelf) const {
+std::optional<TimePoint>
+ConfirmationTable::lastMajorityTime(const Voters &Quorum, TableVersion Version,
+                                    InstanceId Self, bool CountSelf) const {
   std::vector<TimePoint> Times;
   for (const std::string &Name : Quorum) {
     const InstanceId Id = instanceIdOf(Name);
-    const auto Found = m_Voters.find(Id);
+    const auto Found = m_ByVoter.find(Id);
     if (Id == Self && CountSelf)
       Times.push_back(TimePoint::max());
-    else if (Id != Self && Found != m_Voters.end() &&
+    else if (Id != Self && Found != m_ByVoter.end() &&
              Found->second.m_Version <= Version)
-      Times.push_back(Found->second.m_Time);
+      Times.push_back(Found->second.m_ConfirmedAt);
   }
   const std::size_t Needed = majorityOf(Quorum.size());
   if (Times.size() < Needed)
@@ -38,9 +37,9 @@
   return Times[Needed - 1];
 }
 
-void VouchTable::expire(TimePoint Oldest) {
-  std::erase_if(m_Voters, [&](const auto &Known) {
-    return Known.second.m_Time < Oldest;
+void ConfirmationTable::expire(TimePoint Oldest) {
+  std::erase_if(m_ByVoter, [&](const auto &Known) {
+    return Known.second.m_ConfirmedAt < Oldest;
   });
 }
 
--- a/src/contract/table_vouch.h
+++ b/src/contract/table_vouch.h
@@ -20,30 +20,30 @@
 namespace crowstep::contract {
 
 /// The version that an instance had in force at a given time.
-struct Vouch {
-  Incarnation m_Start;    ///< Of the instance, to detect a restart.
-  TableVersion m_Version; ///< In force there.
-  TimePoint m_Time;       ///< On this process's clock; never later
-                          ///< than the true time.
+struct Confirmation {
+  Incarnation m_Incarnation; ///< Of the instance, to detect a restart.
+  TableVersion m_Version;    ///< In force there.
+  TimePoint m_ConfirmedAt;   ///< On this process's clock; never later
+                             ///< than the true time.
 };
 
 /// The version that a read of the table service returned.
-struct StoreVouch {
-  TableVersion m_Version; ///< Of the row; 0: there was no row.
-  TimePoint m_Time;       ///< When the read was sent, or earlier.
+struct StoreConfirmation {
+  TableVersion m_Version;  ///< Of the row; 0: there was no row.
+  TimePoint m_ConfirmedAt; ///< When the read was sent, or earlier.
 };
 
 /// The freshest known confirmation of each instance and the table service.
-class VouchTable {
+class ConfirmationTable {
 public:
   /// Adds \p Report unless a fresher one is known.
-  void add(InstanceId Instance, const Vouch &Report);
-  void addStore(const StoreVouch &Report);
+  void add(InstanceId Instance, const Confirmation &Report);
+  void addStore(const StoreConfirmation &Report);
 
-  [[nodiscard]] const std::map<InstanceId, Vouch> &voters() const {
-    return m_Voters;
+  [[nodiscard]] const std::map<InstanceId, Confirmation> &byVoter() const {
+    return m_ByVoter;
   }
-  [[nodiscard]] const std::optional<StoreVouch> &store() const {
+  [[nodiscard]] const std::optional<StoreConfirmation> &store() const {
     return m_Store;
   }
 
@@ -51,17 +51,18 @@
   /// \p Version or a lower one at T or later, or none.
   /// Confirmations by \p Self are ignored; if \p CountSelf, it counts as
   /// confirming at any time (TimePoint::max()).
-  [[nodiscard]] std::optional<TimePoint> majorityAtMost(const Voters &Quorum,
-                                                        TableVersion Version,
-                                                        InstanceId Self,
-                                                        bool CountSelf) const;
+  [[nodiscard]] std::optional<TimePoint> lastMajorityTime(const Voters &Quorum,
+                                                          TableVersion Version,
+                                                          InstanceId Self,
+                                                          bool CountSelf) const;
 
   /// Removes confirmations by instances from before \p Oldest.
   void expire(TimePoint Oldest);
 
 private:
-  std::map<InstanceId, Vouch> m_Voters; ///< The freshest of each instance.
-  std::optional<StoreVouch> m_Store;    ///< None before the first read.
+  std::map<InstanceId, Confirmation>
+      m_ByVoter;                            ///< The freshest of each instance.
+  std::optional<StoreConfirmation> m_Store; ///< None before the first read.
 };
 
 /// Returns the smallest number that is more than half of \p Size voters.
--- a/src/contract/table_wire.cpp
+++ b/src/contract/table_wire.cpp
@@ -25,7 +25,7 @@
   try {
     const std::string Text =
         Update.json() == nullptr ? "" : Update.json()->str();
-    Events.emplace_back(DocumentArrived{Link, decodeDocument(Text)});
+    Events.emplace_back(DocumentReceived{Link, decodeDocument(Text)});
   } catch (const Error &Failure) {
     logEvent(LogEvent::TableFrameUnreadable, {{"why", Failure.what()}});
   }
@@ -41,7 +41,7 @@
   if (Ack.vouches() == nullptr)
     return Result;
   for (const wire::TableVouch *Report : *Ack.vouches())
-    Result.m_Vouches.push_back(
+    Result.m_Confirmations.push_back(
         {InstanceId(Report->instance()), Incarnation(Report->start()),
          TableVersion(Report->version()), milliseconds(Report->age_ms())});
   return Result;
@@ -55,12 +55,12 @@
   if (Frame.table_update() != nullptr)
     readDocument(Link, *Frame.table_update(), Result);
   if (Frame.table_request() != nullptr)
-    Result.emplace_back(DocumentWanted{Link});
+    Result.emplace_back(DocumentRequested{Link});
   if (const wire::TableProbe *Probe = Frame.table_probe())
     Result.emplace_back(
-        ProbeArrived{Link, Probe->sequence(), TableVersion(Probe->version())});
+        ProbeReceived{Link, Probe->sequence(), TableVersion(Probe->version())});
   if (const wire::TableProbeAck *Ack = Frame.table_probe_ack())
-    Result.emplace_back(ProbeAnswered{Link, answerOf(*Ack)});
+    Result.emplace_back(ProbeAnswerReceived{Link, answerOf(*Ack)});
   return Result;
 }
 
@@ -70,7 +70,7 @@
   Frame.table_update->json = encodeDocument(Value);
 }
 
-void addRequest(TableVersion Version, wire::FrameT &Frame) {
+void addDocumentRequest(TableVersion Version, wire::FrameT &Frame) {
   Frame.table_request = std::make_unique<wire::TableRequestT>();
   Frame.table_request->version = Version.value();
 }
@@ -90,10 +90,10 @@
     Ack->store_version = Answer.m_Store->m_Version.value();
     Ack->store_age_ms = toMilliseconds(Answer.m_Store->m_Age);
   }
-  for (const RelayedVouch &Report : Answer.m_Vouches)
-    Ack->vouches.emplace_back(Report.m_Who.value(), Report.m_Start.value(),
-                              Report.m_Version.value(),
-                              toMilliseconds(Report.m_Age));
+  for (const RelayedConfirmation &Report : Answer.m_Confirmations)
+    Ack->vouches.emplace_back(
+        Report.m_Instance.value(), Report.m_Incarnation.value(),
+        Report.m_Version.value(), toMilliseconds(Report.m_Age));
   Frame.table_probe_ack = std::move(Ack);
 }
 
--- a/src/contract/table_wire.h
+++ b/src/contract/table_wire.h
@@ -12,7 +12,7 @@
                                       const wire::Frame &Frame);
 
 void addDocument(const TableDocument &Value, wire::FrameT &Frame);
-void addRequest(TableVersion Version, wire::FrameT &Frame);
+void addDocumentRequest(TableVersion Version, wire::FrameT &Frame);
 void addProbe(const SendProbe &Probe, wire::FrameT &Frame);
 void addProbeAnswer(const ProbeAnswer &Answer, wire::FrameT &Frame);
 
--- a/src/core/clock.cpp
+++ b/src/core/clock.cpp
@@ -8,10 +8,10 @@
 TimePoint LoopClock::now() const {
   if (GSource *Current = g_main_current_source())
     return TimePoint(Duration(g_source_get_time(Current)));
-  return fresh();
+  return readNow();
 }
 
-TimePoint LoopClock::fresh() const {
+TimePoint LoopClock::readNow() const {
   return TimePoint(Duration(g_get_monotonic_time()));
 }
 
--- a/src/core/clock.h
+++ b/src/core/clock.h
@@ -34,21 +34,21 @@
   /// Reads the clock. now() is stale in a process that was stopped during an
   /// iteration, so the last check before sending a call that may not be retried
   /// must use this function, which includes the time of the stop.
-  [[nodiscard]] virtual TimePoint fresh() const = 0;
+  [[nodiscard]] virtual TimePoint readNow() const = 0;
 };
 
 /// Clock of a daemon: the main loop's monotonic clock.
 class LoopClock final : public Clock {
 public:
   [[nodiscard]] TimePoint now() const override;
-  [[nodiscard]] TimePoint fresh() const override;
+  [[nodiscard]] TimePoint readNow() const override;
 };
 
 /// Clock for tests; changes only when it is advanced.
 class ManualClock final : public Clock {
 public:
   [[nodiscard]] TimePoint now() const override { return m_Now; }
-  [[nodiscard]] TimePoint fresh() const override { return m_Now; }
+  [[nodiscard]] TimePoint readNow() const override { return m_Now; }
 
   /// Advances the time by \p Step, which must not be negative.
   void advance(Duration Step) { m_Now += Step; }
--- a/src/core/http_server.cpp
+++ b/src/core/http_server.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-GSocket *listeningSocket(const Address &BindAddress) {
+GSocket *openListeningSocket(const Address &BindAddress) {
   GError *Failure = nullptr;
   GSocket *Socket = g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM,
                                  G_SOCKET_PROTOCOL_TCP, &Failure);
@@ -51,7 +51,7 @@
 
 void HttpServer::listen(const Address &BindAddress, Handler OnRequest) {
   m_Handler = std::move(OnRequest);
-  GSocket *Socket = listeningSocket(BindAddress);
+  GSocket *Socket = openListeningSocket(BindAddress);
   m_Server = soup_server_new("server-header", "crowstep", nullptr);
   soup_server_add_handler(
       m_Server, nullptr,
@@ -71,11 +71,11 @@
 }
 
 void HttpServer::onHeaders(std::function<void(SoupServerMessage *)> Hook) {
-  m_Hook = std::move(Hook);
+  m_HeadersHook = std::move(Hook);
   const auto Started =
       +[](SoupServer *, SoupServerMessage *Message, gpointer Self) {
         const auto GotHeaders = +[](SoupServerMessage *Ready, gpointer Owner) {
-          static_cast<HttpServer *>(Owner)->m_Hook(Ready);
+          static_cast<HttpServer *>(Owner)->m_HeadersHook(Ready);
         };
         g_signal_connect(Message, "got-headers", G_CALLBACK(GotHeaders), Self);
       };
--- a/src/core/http_server.h
+++ b/src/core/http_server.h
@@ -44,9 +44,9 @@
   [[nodiscard]] SoupServer *native() const { return m_Server; }
 
 private:
-  SoupServer *m_Server = nullptr;                  ///< Null before listen().
-  Handler m_Handler;                               ///< Called for each request.
-  std::function<void(SoupServerMessage *)> m_Hook; ///< May be empty.
+  SoupServer *m_Server = nullptr; ///< Null before listen().
+  Handler m_Handler;              ///< Called for each request.
+  std::function<void(SoupServerMessage *)> m_HeadersHook; ///< May be empty.
 };
 
 /// Answers \p Message with \p Body of the media type \p ContentType.
@@ -64,7 +64,7 @@
 
 /// Binds and listens on \p BindAddress with a backlog that is large enough for
 /// a burst of callers. The caller owns the socket. \throws ListenError.
-GSocket *listeningSocket(const Address &BindAddress);
+GSocket *openListeningSocket(const Address &BindAddress);
 
 } // namespace crowstep
 
--- a/src/core/scheduler.cpp
+++ b/src/core/scheduler.cpp
@@ -12,7 +12,7 @@
   LoopScheduler *m_Owner; ///< Destroys the source in its destructor.
 
   static gboolean dispatch(GSource *Base, GSourceFunc, gpointer) {
-    reinterpret_cast<Source *>(Base)->m_Owner->runDue();
+    reinterpret_cast<Source *>(Base)->m_Owner->runDueJobs();
     return G_SOURCE_CONTINUE;
   }
 };
@@ -31,14 +31,14 @@
   g_source_unref(&m_Source->m_Base);
 }
 
-void LoopScheduler::arm() {
+void LoopScheduler::updateReadyTime() {
   const gint64 Ready =
       m_Jobs.empty() ? -1
                      : m_Jobs.begin()->first.first.time_since_epoch().count();
   g_source_set_ready_time(&m_Source->m_Base, Ready);
 }
 
-void LoopScheduler::runDue() {
+void LoopScheduler::runDueJobs() {
   const TimePoint Now{Duration(g_get_monotonic_time())};
   // Timers that these jobs start, even without delay, wait for the next
   // iteration, so that a job that restarts itself does not starve the loop.
@@ -46,34 +46,34 @@
   while (!m_Jobs.empty() && m_Jobs.begin()->first.first <= Now &&
          m_Jobs.begin()->first.second <= Newest) {
     const auto Next = m_Jobs.extract(m_Jobs.begin());
-    m_DueOf.erase(Next.key().second);
+    m_DueTimes.erase(Next.key().second);
     Next.mapped()();
   }
-  arm();
+  updateReadyTime();
 }
 
-TimerId LoopScheduler::after(Duration Delay, std::function<void()> Job) {
+TimerId LoopScheduler::runAfter(Duration Delay, std::function<void()> Job) {
   const TimerId Id(++m_LastId);
   const TimePoint DueTime = TimePoint(Duration(g_get_monotonic_time())) +
                             std::max(Delay, Duration::zero());
-  m_Jobs.emplace(Due(DueTime, Id), std::move(Job));
-  m_DueOf.emplace(Id, DueTime);
+  m_Jobs.emplace(JobKey(DueTime, Id), std::move(Job));
+  m_DueTimes.emplace(Id, DueTime);
   if (m_Jobs.begin()->first.second == Id)
-    arm();
+    updateReadyTime();
   return Id;
 }
 
 void LoopScheduler::cancel(TimerId Timer) {
-  const auto Found = m_DueOf.find(Timer);
-  if (Found == m_DueOf.end())
+  const auto Found = m_DueTimes.find(Timer);
+  if (Found == m_DueTimes.end())
     return;
-  m_Jobs.erase(Due(Found->second, Timer));
-  m_DueOf.erase(Found);
+  m_Jobs.erase(JobKey(Found->second, Timer));
+  m_DueTimes.erase(Found);
 }
 
-TimerId ManualScheduler::after(Duration Delay, std::function<void()> Job) {
+TimerId ManualScheduler::runAfter(Duration Delay, std::function<void()> Job) {
   const TimerId Id(++m_LastId);
-  m_Jobs.emplace(Due(m_Clock.now() + Delay, Id), std::move(Job));
+  m_Jobs.emplace(JobKey(m_Clock.now() + Delay, Id), std::move(Job));
   return Id;
 }
 
@@ -96,7 +96,7 @@
 
 void Timer::start(Duration Delay, std::function<void()> Job) {
   stop();
-  m_Id = m_Scheduler.after(Delay, [this, Job = std::move(Job)] {
+  m_Id = m_Scheduler.runAfter(Delay, [this, Job = std::move(Job)] {
     m_Id = TimerId();
     Job();
   });
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -21,7 +21,7 @@
   virtual ~Scheduler() = default;
 
   /// Calls \p Job once after \p Delay; returns the timer's id.
-  virtual TimerId after(Duration Delay, std::function<void()> Job) = 0;
+  virtual TimerId runAfter(Duration Delay, std::function<void()> Job) = 0;
 
   /// Cancels a timer; one that has run or does not exist is ignored.
   virtual void cancel(TimerId Timer) = 0;
@@ -37,20 +37,20 @@
   LoopScheduler(const LoopScheduler &) = delete;
   LoopScheduler &operator=(const LoopScheduler &) = delete;
 
-  TimerId after(Duration Delay, std::function<void()> Job) override;
+  TimerId runAfter(Duration Delay, std::function<void()> Job) override;
   void cancel(TimerId Timer) override;
 
 private:
-  using Due = std::pair<TimePoint, TimerId>;
+  using JobKey = std::pair<TimePoint, TimerId>;
   struct Source;
 
-  void runDue();
-  void arm();
+  void runDueJobs();
+  void updateReadyTime();
 
-  Source *m_Source;                               ///< Owned.
-  std::uint64_t m_LastId = 0;                     ///< Ids start at 1.
-  std::map<Due, std::function<void()>> m_Jobs;    ///< Ordered by due time.
-  std::unordered_map<TimerId, TimePoint> m_DueOf; ///< Due time of each job.
+  Source *m_Source;                                  ///< Owned.
+  std::uint64_t m_LastId = 0;                        ///< Ids start at 1.
+  std::map<JobKey, std::function<void()>> m_Jobs;    ///< Ordered by due time.
+  std::unordered_map<TimerId, TimePoint> m_DueTimes; ///< Due time of each job.
 };
 
 /// Timers for tests; they run within advance().
@@ -58,17 +58,17 @@
 public:
   explicit ManualScheduler(ManualClock &Time) : m_Clock(Time) {}
 
-  TimerId after(Duration Delay, std::function<void()> Job) override;
+  TimerId runAfter(Duration Delay, std::function<void()> Job) override;
   void cancel(TimerId Timer) override;
 
   /// Advances the clock by \p Step and runs the timers that are due, in order.
   void advance(Duration Step);
 
 private:
-  using Due = std::pair<TimePoint, TimerId>;
-  ManualClock &m_Clock;                        ///< Advanced by advance().
-  std::uint64_t m_LastId = 0;                  ///< Ids start at 1.
-  std::map<Due, std::function<void()>> m_Jobs; ///< Ordered by due time.
+  using JobKey = std::pair<TimePoint, TimerId>;
+  ManualClock &m_Clock;                           ///< Advanced by advance().
+  std::uint64_t m_LastId = 0;                     ///< Ids start at 1.
+  std::map<JobKey, std::function<void()>> m_Jobs; ///< Ordered by due time.
 };
 
 /// A timer that its destructor cancels and that start() sets again.
@@ -85,7 +85,7 @@
   /// Cancels the job that is set, if any.
   void stop();
 
-  [[nodiscard]] bool running() const { return m_Id != TimerId(); }
+  [[nodiscard]] bool isRunning() const { return m_Id != TimerId(); }
 
 private:
   Scheduler &m_Scheduler; ///< Outlives the timer.
--- a/src/core/settings.cpp
+++ b/src/core/settings.cpp
@@ -56,7 +56,7 @@
 
 std::optional<std::string> Settings::find(const std::string &Section,
                                           const std::string &Key) {
-  m_Asked.emplace(Section, Key);
+  m_KnownKeys.emplace(Section, Key);
   char *Value = g_key_file_get_string(m_File.get(), Section.c_str(),
                                       Key.c_str(), nullptr);
   if (Value == nullptr)
@@ -66,9 +66,10 @@
   return Result;
 }
 
-void Settings::fail(const std::string &Section, const std::string &Key,
-                    const std::string &Value,
-                    const std::string &Allowed) const {
+void Settings::throwSettingError(const std::string &Section,
+                                 const std::string &Key,
+                                 const std::string &Value,
+                                 const std::string &Allowed) const {
   throw SettingError(m_Name, Section, Key, Value, Allowed);
 }
 
@@ -78,7 +79,7 @@
   if (Value)
     return *Value;
   if (!Default)
-    fail(Section, Key, "", "a text; it must be given");
+    throwSettingError(Section, Key, "", "a text; it must be given");
   return *Default;
 }
 
@@ -91,7 +92,7 @@
       rangeText(std::to_string(Min), std::to_string(Max));
   if (!Value) {
     if (!Default)
-      fail(Section, Key, "", Allowed + "; it must be given");
+      throwSettingError(Section, Key, "", Allowed + "; it must be given");
     return *Default;
   }
   Number Result{};
@@ -100,7 +101,7 @@
   // Comparisons with "nan" are false, so this form rejects it.
   const bool InRange = Result >= Min && Result <= Max;
   if (Parsed.ec != std::errc() || Parsed.ptr != End || !InRange)
-    fail(Section, Key, *Value, Allowed);
+    throwSettingError(Section, Key, *Value, Allowed);
   return Result;
 }
 
@@ -121,11 +122,11 @@
   const std::optional<std::string> Value = find(Section, Key);
   if (!Value) {
     if (!Default)
-      fail(Section, Key, "", "yes or no; it must be given");
+      throwSettingError(Section, Key, "", "yes or no; it must be given");
     return *Default;
   }
   if (*Value != "yes" && *Value != "no")
-    fail(Section, Key, *Value, "yes or no");
+    throwSettingError(Section, Key, *Value, "yes or no");
   return *Value == "yes";
 }
 
@@ -136,11 +137,11 @@
     return *Default;
   const std::string Allowed = "an IPv4 address and port, as 127.0.0.1:8080";
   if (!Value)
-    fail(Section, Key, "", Allowed + "; it must be given");
+    throwSettingError(Section, Key, "", Allowed + "; it must be given");
   try {
     return parseAddress(*Value);
   } catch (const AddressError &) {
-    fail(Section, Key, *Value, Allowed);
+    throwSettingError(Section, Key, *Value, Allowed);
   }
 }
 
@@ -153,7 +154,8 @@
       if (!trimmed(Item).empty())
         Result.push_back(parseAddress(trimmed(Item)));
     } catch (const AddressError &) {
-      fail(Section, Key, Item, "IPv4 addresses with ports, between semicolons");
+      throwSettingError(Section, Key, Item,
+                        "IPv4 addresses with ports, between semicolons");
     }
   }
   return Result;
@@ -190,8 +192,8 @@
       Names.emplace_back(*Key);
     g_strfreev(Keys);
     for (const std::string &Name : Names)
-      if (!m_Asked.contains({Section, Name}))
-        fail(Section, Name, "", "no such setting");
+      if (!m_KnownKeys.contains({Section, Name}))
+        throwSettingError(Section, Name, "", "no such setting");
   }
 }
 
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -66,14 +66,15 @@
                        Number Min, Number Max, std::optional<Number> Default);
   std::optional<std::string> find(const std::string &Section,
                                   const std::string &Key);
-  [[noreturn]] void fail(const std::string &Section, const std::string &Key,
-                         const std::string &Value,
-                         const std::string &Allowed) const;
+  [[noreturn]] void throwSettingError(const std::string &Section,
+                                      const std::string &Key,
+                                      const std::string &Value,
+                                      const std::string &Allowed) const;
 
   std::string m_Name;               ///< File name for errors.
   std::shared_ptr<GKeyFile> m_File; ///< Never null after load or parse.
-  std::set<std::pair<std::string, std::string>> m_Asked; ///< Keys that
-                                                         ///< getters read.
+  std::set<std::pair<std::string, std::string>> m_KnownKeys; ///< Keys that
+                                                             ///< getters read.
 };
 
 } // namespace crowstep
--- a/src/core/socket_watch.cpp
+++ b/src/core/socket_watch.cpp
@@ -125,9 +125,9 @@
 SocketWatch::SocketWatch(int Socket, SocketListener &Listener)
     : m_Socket(Socket), m_Listener(&Listener) {}
 
-SocketWatch::~SocketWatch() { watchFor({}); }
+SocketWatch::~SocketWatch() { setEvents({}); }
 
-void SocketWatch::watchFor(SocketEvents Events) {
+void SocketWatch::setEvents(SocketEvents Events) {
   if (Events == m_Events)
     return;
   if (m_Id == 0)
--- a/src/core/socket_watch.h
+++ b/src/core/socket_watch.h
@@ -42,7 +42,7 @@
 
   /// Replaces the events that are watched. Without any, errors and hang-ups are
   /// not reported either.
-  void watchFor(SocketEvents Events);
+  void setEvents(SocketEvents Events);
 
   /// Replaces the listener.
   void setListener(SocketListener &Listener) { m_Listener = &Listener; }
--- a/src/ctl/admin_client.cpp
+++ b/src/ctl/admin_client.cpp
@@ -30,22 +30,22 @@
 } // namespace
 
 AdminClient::AdminClient(const Address &Api, std::string Key)
-    : m_Where(Api), m_Key(std::move(Key)),
+    : m_Address(Api), m_Key(std::move(Key)),
       m_Session(soup_session_new_with_options("timeout", CallTimeoutSeconds,
                                               nullptr)) {}
 
 AdminClient::~AdminClient() { g_object_unref(m_Session); }
 
 AdminAnswer AdminClient::call(const AdminCall &Call) {
-  const std::string Uri = "http://" + toString(m_Where) + Call.m_Path;
+  const std::string Uri = "http://" + toString(m_Address) + Call.m_Path;
   SoupMessage *Message = soup_message_new(Call.m_Method.c_str(), Uri.c_str());
   if (Message == nullptr)
-    throw AdminUnreachable(m_Where, "no valid path: " + Call.m_Path);
+    throw AdminUnreachable(m_Address, "no valid path: " + Call.m_Path);
   SoupMessageHeaders *Headers = soup_message_get_request_headers(Message);
   soup_message_headers_replace(Headers, "Authorization",
                                ("Bearer " + m_Key).c_str());
-  if (!Call.m_Version.empty())
-    soup_message_headers_replace(Headers, "If-Match", Call.m_Version.c_str());
+  if (!Call.m_IfMatch.empty())
+    soup_message_headers_replace(Headers, "If-Match", Call.m_IfMatch.c_str());
   if (!Call.m_Body.empty()) {
     GBytes *Body = g_bytes_new(Call.m_Body.data(), Call.m_Body.size());
     soup_message_set_request_body_from_bytes(Message, "text/csv", Body);
@@ -58,7 +58,7 @@
     const std::string Reason = Failure->message;
     g_error_free(Failure);
     g_object_unref(Message);
-    throw AdminUnreachable(m_Where, Reason);
+    throw AdminUnreachable(m_Address, Reason);
   }
   AdminAnswer Answer;
   Answer.m_Status = soup_message_get_status(Message);
@@ -70,7 +70,7 @@
   g_bytes_unref(Body);
   g_object_unref(Message);
   if (!Complete)
-    throw AdminUnreachable(m_Where, "the answer broke off");
+    throw AdminUnreachable(m_Address, "the answer broke off");
   return Answer;
 }
 
--- a/src/ctl/admin_client.h
+++ b/src/ctl/admin_client.h
@@ -29,7 +29,7 @@
   std::string m_Method;  ///< HTTP method.
   std::string m_Path;    ///< For example "/v1/table".
   std::string m_Body;    ///< CSV or JSON, or empty.
-  std::string m_Version; ///< Table version, or empty.
+  std::string m_IfMatch; ///< Table version, or empty.
 };
 
 /// Makes blocking calls with an operator's key.
@@ -44,7 +44,7 @@
   AdminAnswer call(const AdminCall &Call);
 
 private:
-  Address m_Where;        ///< A dispatcher's administration API.
+  Address m_Address;      ///< A dispatcher's administration API.
   std::string m_Key;      ///< The operator's key.
   SoupSession *m_Session; ///< Owned.
 };
--- a/src/ctl/ctl_command.cpp
+++ b/src/ctl/ctl_command.cpp
@@ -54,8 +54,8 @@
   return Text.str();
 }
 
-AdminCall callOf(const ArgumentList &Arguments,
-                 const std::string &ReadVersion) {
+AdminCall parseCommand(const ArgumentList &Arguments,
+                       const std::string &ReadVersion) {
   const std::string Command = Arguments.empty() ? "" : Arguments[0];
   if (Command == "table")
     return tableCall(Arguments, ReadVersion);
--- a/src/ctl/ctl_command.h
+++ b/src/ctl/ctl_command.h
@@ -27,8 +27,8 @@
 /// Returns the call for a command and its arguments, such as {"table",
 /// "check", "new.csv"}; \p ReadVersion is the table version that a change is
 /// based on. \throws CommandError, FileError.
-AdminCall callOf(const std::vector<std::string> &Arguments,
-                 const std::string &ReadVersion);
+AdminCall parseCommand(const std::vector<std::string> &Arguments,
+                       const std::string &ReadVersion);
 
 /// The commands, for the help text.
 extern const char *const CommandHelp;
--- a/src/ctl/ctl_main.cpp
+++ b/src/ctl/ctl_main.cpp
@@ -74,7 +74,7 @@
   if (Parsed.m_Arguments.front() == "explain")
     return explainRequest(Parsed.m_Arguments);
   const ctl::AdminCall Call =
-      ctl::callOf(Parsed.m_Arguments, Parsed.m_ReadVersion);
+      ctl::parseCommand(Parsed.m_Arguments, Parsed.m_ReadVersion);
   // A table file is validated here as well, so that an invalid cell is reported
   // even while no instance can be reached.
   if (Call.m_Path.starts_with("/v1/table") && !Call.m_Body.empty())
--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -16,7 +16,7 @@
 struct Arrival {
   const Bid &m_Bid;           ///< As sent.
   ClassState &m_Class;        ///< Its row; part of the pool.
-  WorkspaceUse &m_Use;        ///< Usage of the class by its workspace.
+  WorkspaceUsage &m_Use;      ///< Usage of the class by its workspace.
   bool m_IsExempt;            ///< Bids again after the pool took its slot.
   double m_Tokens;            ///< Output tokens to reserve.
   std::uint8_t m_Preemptions; ///< Carried over from earlier attempts.
@@ -31,16 +31,17 @@
 CheckResult checkBuckets(const Pool &P, const Arrival &New) {
   const TimePoint Now = P.m_Now;
   const ClassState &Class = New.m_Class;
-  if (!Class.m_Rate.has(1.0, Now))
-    return {RefusalReason::ClassRate, Class.m_Rate.until(1.0, Now)};
-  if (!New.m_Use.m_Rate.has(1.0, Now))
-    return {RefusalReason::WorkspaceRate, New.m_Use.m_Rate.until(1.0, Now)};
-  if (!Class.m_Tokens.has(New.m_Tokens, Now))
+  if (!Class.m_RateLimit.canTake(1.0, Now))
+    return {RefusalReason::ClassRate, Class.m_RateLimit.timeUntil(1.0, Now)};
+  if (!New.m_Use.m_RateLimit.canTake(1.0, Now))
+    return {RefusalReason::WorkspaceRate,
+            New.m_Use.m_RateLimit.timeUntil(1.0, Now)};
+  if (!Class.m_TokenLimit.canTake(New.m_Tokens, Now))
     return {RefusalReason::ClassTokens,
-            Class.m_Tokens.until(New.m_Tokens, Now)};
-  if (!New.m_Use.m_Tokens.has(New.m_Tokens, Now))
+            Class.m_TokenLimit.timeUntil(New.m_Tokens, Now)};
+  if (!New.m_Use.m_TokenLimit.canTake(New.m_Tokens, Now))
     return {RefusalReason::WorkspaceTokens,
-            New.m_Use.m_Tokens.until(New.m_Tokens, Now)};
+            New.m_Use.m_TokenLimit.timeUntil(New.m_Tokens, Now)};
   return {};
 }
 
@@ -66,16 +67,15 @@
   const auto Own = Target.m_Flows.find(New.m_Bid.m_Workspace);
   const std::size_t OwnCount =
       Own == Target.m_Flows.end() ? 0 : Own->second.m_Queue.size();
-  if ((OwnCount + 1) * Target.m_Ready.size() > Target.m_ByDeadline.size())
+  if ((OwnCount + 1) * Target.m_ReadyFlows.size() > Target.m_ByDeadline.size())
     return false;
   Flow *Longest = longestFlow(Target);
   if (Longest == nullptr || Longest->m_Queue.size() <= OwnCount + 1)
     return false;
   Request &Last = *Longest->m_Queue.rbegin();
-  if (Last.m_IsKept)
+  if (Last.m_WaitsUntilLimit)
     return false;
-  refuseWaiting(P, Last, RefusalReason::QueueFull,
-                comeBackAfter(P, New.m_Class));
+  refuseWaiting(P, Last, RefusalReason::QueueFull, retryAfter(P, New.m_Class));
   return true;
 }
 
@@ -90,7 +90,7 @@
       for (Lane *L : {&Class->m_Late, &Class->m_OnTime})
         if (!L->m_ByDeadline.empty()) {
           refuseWaiting(P, *L->m_ByDeadline.rbegin(), RefusalReason::Displaced,
-                        comeBackAfter(P, *Class));
+                        retryAfter(P, *Class));
           return true;
         }
   }
@@ -99,11 +99,11 @@
 
 CheckResult checkQueue(Pool &P, const Arrival &New) {
   const std::uint32_t Limit = New.m_Class.m_Contract.m_MaxQueue;
-  const bool IsFull = Limit != 0 && New.m_Class.waiting() >= Limit;
+  const bool IsFull = Limit != 0 && New.m_Class.waitingCount() >= Limit;
   if (IsFull && !makeRoom(P, New))
-    return {RefusalReason::QueueFull, comeBackAfter(P, New.m_Class)};
+    return {RefusalReason::QueueFull, retryAfter(P, New.m_Class)};
   if (P.m_Queue.size() >= tuning::MaxWaiting && !displace(P, New))
-    return {RefusalReason::QueueFull, comeBackAfter(P, New.m_Class)};
+    return {RefusalReason::QueueFull, retryAfter(P, New.m_Class)};
   return {};
 }
 
@@ -115,29 +115,31 @@
   if (P.isBaseline() || P.isRebuilding() || New.m_Bid.m_DoneTokens > 0)
     return {};
   const ClassState &Class = New.m_Class;
-  const Duration OnTime = waitOnTime(P, Class, New.m_Bid.m_Workspace);
-  const Duration Safe = fromSeconds(tuning::WaitSafety * toSeconds(OnTime));
+  const Duration OnTime = estimateOnTimeWait(P, Class, New.m_Bid.m_Workspace);
+  const Duration Safe =
+      fromSeconds(tuning::WaitSafetyFactor * toSeconds(OnTime));
   if (Safe + Class.m_Allowance <= New.m_Bid.m_UntilTarget)
     return {};
-  const Duration Late = waitLate(P, Class);
-  if (Late <= New.m_Bid.m_UntilLimit || stopAboveFloor(P, Class))
+  const Duration Late = estimateLateWait(P, Class);
+  if (Late <= New.m_Bid.m_UntilLimit || preemptAboveFloor(P, Class))
     return {};
   return {RefusalReason::TargetUnreachable, Late - New.m_Bid.m_UntilLimit};
 }
 
 CheckResult checkBid(Pool &P, const Arrival &New) {
-  if (P.m_KnowsUpstreams && !P.isRebuilding() && !hasUpstream(New.m_Class))
-    return {RefusalReason::NoUpstream, tuning::NoUpstreamRetryAfter};
+  if (P.m_KnowsUpstreams && !P.isRebuilding() &&
+      !hasUsableUpstream(New.m_Class))
+    return {RefusalReason::NoUpstream, tuning::DefaultRetryAfter};
   if (New.m_IsExempt)
     return {};
   if (New.m_Bid.m_IsRetry) {
-    if (!New.m_Class.m_Retries.spend())
-      return {RefusalReason::RetryBudget, tuning::NoUpstreamRetryAfter};
+    if (!New.m_Class.m_RetryBudget.trySpend())
+      return {RefusalReason::RetryBudget, tuning::DefaultRetryAfter};
   } else if (const CheckResult Result = checkBuckets(P, New);
              Result.m_Reason != RefusalReason::None) {
     return Result;
   }
-  New.m_Class.m_Offered.add(P.m_Now);
+  New.m_Class.m_ArrivalRate.add(P.m_Now);
   if (const CheckResult Result = checkWait(P, New);
       Result.m_Reason != RefusalReason::None)
     return Result;
@@ -147,24 +149,24 @@
 void chargeLimits(Pool &P, const Arrival &New) {
   const bool IsFirst = !New.m_IsExempt && !New.m_Bid.m_IsRetry;
   if (IsFirst) {
-    New.m_Class.m_Rate.take(1.0, P.m_Now);
-    New.m_Use.m_Rate.take(1.0, P.m_Now);
-    New.m_Class.m_Retries.earn(New.m_Class.m_Contract.m_RetryPercent);
+    New.m_Class.m_RateLimit.take(1.0, P.m_Now);
+    New.m_Use.m_RateLimit.take(1.0, P.m_Now);
+    New.m_Class.m_RetryBudget.earn(New.m_Class.m_Contract.m_RetryPercent);
   }
-  New.m_Class.m_Tokens.take(New.m_Tokens, P.m_Now);
-  New.m_Use.m_Tokens.take(New.m_Tokens, P.m_Now);
+  New.m_Class.m_TokenLimit.take(New.m_Tokens, P.m_Now);
+  New.m_Use.m_TokenLimit.take(New.m_Tokens, P.m_Now);
 }
 
 void enqueue(Pool &P, const Arrival &New) {
   const Bid &NewBid = New.m_Bid;
   Request &Added = P.m_Requests[NewBid.m_Request];
   Added.m_Bid = NewBid;
-  Added.m_Order = P.m_NextOrder++;
+  Added.m_ArrivalNumber = P.m_NextArrivalNumber++;
   Added.m_Class = &New.m_Class;
   Added.m_State = RequestState::Waiting;
-  Added.m_Reserved = New.m_Tokens;
+  Added.m_ReservedTokens = New.m_Tokens;
   Added.m_Preemptions = New.m_Preemptions;
-  Added.m_IsKept = New.m_IsExempt || NewBid.m_DoneTokens > 0;
+  Added.m_WaitsUntilLimit = New.m_IsExempt || NewBid.m_DoneTokens > 0;
   Added.m_Limit = P.m_Now + NewBid.m_UntilLimit;
   // A caller that has tokens already does not wait for the first one: the rest
   // of its answer goes to the head of its workspace's flow.
@@ -191,12 +193,12 @@
     return true;
   case RequestState::Granted:
     if (isSameAttempt(Known, Repeated)) {
-      grantAgain(P, Known);
+      resendGrant(P, Known);
       return true;
     }
     abandon(P, Known);
     return false;
-  case RequestState::Returning:
+  case RequestState::AwaitingRebid:
     return false;
   }
   return false;
@@ -204,9 +206,9 @@
 
 } // namespace
 
-RefusalReason lateReason(const Request &Waiting) {
+RefusalReason lateRefusalReason(const Request &Waiting) {
   const ClassState &Class = *Waiting.m_Class;
-  if (!hasUpstream(Class))
+  if (!hasUsableUpstream(Class))
     return RefusalReason::NoUpstream;
   const std::uint32_t Limit = Class.m_Contract.m_MaxConcurrent;
   if (Limit != 0 && Class.m_Running >= Limit)
@@ -216,8 +218,8 @@
   return RefusalReason::TargetUnreachable;
 }
 
-Duration comeBackAfter(const Pool &P, const ClassState &Class) {
-  const Duration Wait = waitLate(P, Class);
+Duration retryAfter(const Pool &P, const ClassState &Class) {
+  const Duration Wait = estimateLateWait(P, Class);
   return std::max(Wait - Class.m_Contract.m_TotalLimit, tuning::MinRetryAfter);
 }
 
@@ -242,7 +244,7 @@
     return refuse(P, NewBid.m_Request, RefusalReason::NoUpstream, {});
   const double Tokens =
       static_cast<double>(expectedTokens(*Class, NewBid, P.m_Now));
-  WorkspaceUse &Use = Class->useOf(NewBid.m_Workspace, P.m_Now);
+  WorkspaceUsage &Use = Class->usageOf(NewBid.m_Workspace, P.m_Now);
   const Arrival New{NewBid, *Class, Use, IsExempt, Tokens, Preemptions};
   const CheckResult Result = checkBid(P, New);
   if (Result.m_Reason != RefusalReason::None)
--- a/src/decision/admission_func.h
+++ b/src/decision/admission_func.h
@@ -10,10 +10,10 @@
 void admit(Pool &P, const Bid &NewBid);
 
 /// Returns why \p Waiting can't be served before its limit.
-RefusalReason lateReason(const Request &Waiting);
+RefusalReason lateRefusalReason(const Request &Waiting);
 
 /// Returns after which time a retry of a refused bid of \p Class can succeed.
-Duration comeBackAfter(const Pool &P, const ClassState &Class);
+Duration retryAfter(const Pool &P, const ClassState &Class);
 
 } // namespace crowstep::decision
 
--- a/src/decision/class.cpp
+++ b/src/decision/class.cpp
@@ -12,7 +12,7 @@
 } // namespace
 
 std::size_t ClassState::demand() const {
-  const std::size_t Ready = m_OnTime.m_ReadyCount + m_Late.m_ReadyCount;
+  const std::size_t Ready = m_OnTime.m_ReadyBidCount + m_Late.m_ReadyBidCount;
   const std::uint32_t Limit = m_Contract.m_MaxConcurrent;
   if (Limit == 0)
     return Ready;
@@ -20,34 +20,36 @@
   return std::min(Ready, Room);
 }
 
-double ClassState::floorNow() const {
+double ClassState::effectiveFloor() const {
   if (m_FloorSlots <= 0.0)
     return 0.0;
-  const double Behind = m_Debt / m_FloorSlots / tuning::FloorCatchUpSeconds;
-  return m_FloorSlots * (1.0 + tuning::FloorCatchUp * std::min(1.0, Behind));
+  const double Behind =
+      m_FloorDeficit / m_FloorSlots / tuning::FloorCatchUpSeconds;
+  return m_FloorSlots *
+         (1.0 + tuning::FloorCatchUpShare * std::min(1.0, Behind));
 }
 
-WorkspaceUse &ClassState::useOf(WorkspaceId Workspace, TimePoint Now) {
+WorkspaceUsage &ClassState::usageOf(WorkspaceId Workspace, TimePoint Now) {
   const auto [It, IsNew] = m_Workspaces.try_emplace(Workspace);
   if (IsNew) {
-    It->second.m_Rate.setRate(m_Contract.m_WorkspaceRate, Now);
-    It->second.m_Tokens.setRate(m_Contract.m_WorkspaceTokenRate, Now);
+    It->second.m_RateLimit.setRate(m_Contract.m_WorkspaceRate, Now);
+    It->second.m_TokenLimit.setRate(m_Contract.m_WorkspaceTokenRate, Now);
   }
   return It->second;
 }
 
-void ClassState::learnFirstToken(Duration Latency) {
+void ClassState::recordFirstToken(Duration Latency) {
   const double Seconds = toSeconds(Latency);
-  m_FirstTokens.add(Seconds * MillisecondsPerSecond);
+  m_FirstTokenTimes.add(Seconds * MillisecondsPerSecond);
   m_FirstTokenMean.add(Seconds);
   updateAllowance();
 }
 
 void ClassState::updateAllowance() {
-  if (m_FirstTokens.count() < tuning::MinSamples)
+  if (m_FirstTokenTimes.count() < tuning::MinSamples)
     return;
   const Duration Learned =
-      fromSeconds(m_FirstTokens.value() / MillisecondsPerSecond);
+      fromSeconds(m_FirstTokenTimes.value() / MillisecondsPerSecond);
   m_Allowance = std::min(Learned, m_Contract.m_FirstTokenTarget / 2);
 }
 
--- a/src/decision/class_base.h
+++ b/src/decision/class_base.h
@@ -16,12 +16,12 @@
 struct Tier;
 
 /// What one workspace uses of one class.
-struct WorkspaceUse {
+struct WorkspaceUsage {
   std::uint32_t m_Running = 0; ///< Granted and not ended.
-  TokenBucket m_Rate;          ///< Column workspace_rate.
-  TokenBucket m_Tokens;        ///< Column workspace_tokens.
+  TokenBucket m_RateLimit;     ///< Column workspace_rate.
+  TokenBucket m_TokenLimit;    ///< Column workspace_tokens.
   /// Tokens of whole answers.
-  Quantile m_Lengths{tuning::LengthQuantile};
+  Quantile m_OutputLengths{tuning::LengthQuantile};
 };
 
 /// The state of one row of the operators' table.
@@ -37,37 +37,37 @@
   /// Running work not ordered to stop, the least wasteful to stop first.
   VictimQueue m_Victims;
   /// Created on first use.
-  std::unordered_map<WorkspaceId, WorkspaceUse> m_Workspaces;
+  std::unordered_map<WorkspaceId, WorkspaceUsage> m_Workspaces;
 
-  TokenBucket m_Rate;    ///< Column rate.
-  TokenBucket m_Tokens;  ///< Column tokens.
-  RetryBudget m_Retries; ///< Column retry_percent.
+  TokenBucket m_RateLimit;   ///< Column rate.
+  TokenBucket m_TokenLimit;  ///< Column tokens.
+  RetryBudget m_RetryBudget; ///< Column retry_percent.
 
   /// Tokens of whole answers.
-  Quantile m_Lengths{tuning::LengthQuantile};
-  Quantile m_FirstTokens{tuning::FirstTokenQuantile}; ///< Milliseconds.
+  Quantile m_OutputLengths{tuning::LengthQuantile};
+  Quantile m_FirstTokenTimes{tuning::FirstTokenQuantile}; ///< Milliseconds.
   /// Time reserved for the first token: bids are late this long before their
   /// targets. At most half the target.
   Duration m_Allowance{};
-  Mean m_FirstTokenMean; ///< Seconds from the grant.
-  Mean m_TokenMean;      ///< Seconds per generated token.
+  MovingAverage m_FirstTokenMean;   ///< Seconds from the grant.
+  MovingAverage m_TimePerTokenMean; ///< Seconds per generated token.
   /// Seconds for which a slot is held.
-  Mean m_Service{tuning::ServiceGain};
+  MovingAverage m_ServiceTime{tuning::ServiceTimeGain};
   /// Arrivals within the limits.
-  RateMeter m_Offered{tuning::OfferedSeconds};
+  RateMeter m_ArrivalRate{tuning::ArrivalRateSeconds};
 
   /// Listed upstreams that have its model.
-  std::vector<Serving *> m_Eligible;
+  std::vector<UpstreamState *> m_EligibleUpstreams;
   double m_Slots = 0.0;      ///< Of the eligible upstreams in use.
   double m_FloorSlots = 0.0; ///< Guaranteed to it by its weight.
   /// Slot-seconds of the floor that it did not get, >= 0.
-  double m_Debt = 0.0;
+  double m_FloorDeficit = 0.0;
 
-  mutable double m_FreeRate = 0.0; ///< Cache of releaseRate().
+  mutable double m_ReleaseRate = 0.0; ///< Cache of releaseRate().
   /// Fleet::changeCount() at that time.
-  mutable std::uint64_t m_FreeRateStamp = 0;
+  mutable std::uint64_t m_ReleaseRateVersion = 0;
 
-  [[nodiscard]] std::size_t waiting() const {
+  [[nodiscard]] std::size_t waitingCount() const {
     return m_OnTime.m_ByDeadline.size() + m_Late.m_ByDeadline.size();
   }
 
@@ -78,10 +78,10 @@
   /// Returns the slots that the class may keep ahead of more urgent bids: its
   /// floor, and up to as much again (tuning::FloorCatchUpShare) while it has
   /// been below it.
-  [[nodiscard]] double floorNow() const;
+  [[nodiscard]] double effectiveFloor() const;
 
   /// Returns the usage of \p Workspace; a new one starts with full buckets.
-  WorkspaceUse &useOf(WorkspaceId Workspace, TimePoint Now);
+  WorkspaceUsage &usageOf(WorkspaceId Workspace, TimePoint Now);
 
   /// Tells whether running work of the class may be stopped for urgent bids.
   [[nodiscard]] bool isPreemptible() const {
@@ -89,7 +89,7 @@
   }
 
   /// Records the time from a grant to the first token.
-  void learnFirstToken(Duration Latency);
+  void recordFirstToken(Duration Latency);
 
   /// Returns the time that must be left before the deadlines of \p L; zero for
   /// late bids, which have missed their targets.
@@ -102,16 +102,16 @@
   void updateAllowance();
 
   /// Returns the mean seconds for which a slot is held; 0 while unknown.
-  [[nodiscard]] double serviceSeconds() const { return m_Service.value(); }
+  [[nodiscard]] double serviceSeconds() const { return m_ServiceTime.value(); }
 };
 
 /// Classes of equal urgency and the workspaces' shares among them.
 struct Tier {
-  std::uint8_t m_Number = 1; ///< 1 is the most urgent.
-  double m_Virtual = 0.0;    ///< Highest of the flows served so far.
-  double m_Offered = 0.0;    ///< Slots that its arrivals need.
+  std::uint8_t m_Number = 1;  ///< 1 is the most urgent.
+  double m_VirtualTime = 0.0; ///< Highest of the flows served so far.
+  double m_OfferedLoad = 0.0; ///< Slots that its arrivals need.
   /// The same, with all more urgent tiers.
-  double m_OfferedTo = 0.0;
+  double m_CumulativeOfferedLoad = 0.0;
   std::vector<ClassState *> m_Classes; ///< In the order of their ids.
   /// Created on first use.
   std::unordered_map<WorkspaceId, WorkspaceShare> m_Shares;
--- a/src/decision/decider.cpp
+++ b/src/decision/decider.cpp
@@ -44,10 +44,10 @@
       m_Pool.m_RebuildUntil = Now + m_Pool.m_Config.m_RebuildWindow;
     }
     if (Now < m_Pool.m_Now)
-      throw TimeWentBackError();
-    accrueFloors(m_Pool, Now - m_Pool.m_Now);
+      throw NonMonotonicTimeError();
+    accrueFloorDeficits(m_Pool, Now - m_Pool.m_Now);
     m_Pool.m_Now = Now;
-    updateOffered(m_Pool);
+    updateOfferedLoad(m_Pool);
   }
 
   Request *find(const RequestId &Id, RequestState State) {
@@ -100,16 +100,17 @@
       dropWaiting(m_Pool, *Waiting);
     Request &Adopted = m_Pool.m_Requests[Id];
     Adopted.m_Bid = Report.m_Bid;
-    Adopted.m_Order = m_Pool.m_NextOrder++;
+    Adopted.m_ArrivalNumber = m_Pool.m_NextArrivalNumber++;
     Adopted.m_Class = Class;
-    Adopted.m_Progress = Report.m_Tokens;
-    adopt(m_Pool, Adopted, m_Pool.m_Fleet.findOrMake(Report.m_Upstream));
+    Adopted.m_GeneratedTokens = Report.m_Tokens;
+    adopt(m_Pool, Adopted, m_Pool.m_Fleet.findOrCreate(Report.m_Upstream));
   }
 
   void noteProgress(Request &Known, std::uint32_t Tokens) {
-    Known.m_Progress = std::max(Known.m_Progress, Tokens);
-    Known.m_SawToken = true;
-    m_Pool.m_Lapses.erase({Known.m_Lapses, Known.m_Bid.m_Request});
+    Known.m_GeneratedTokens = std::max(Known.m_GeneratedTokens, Tokens);
+    Known.m_HasFirstToken = true;
+    m_Pool.m_SilenceDeadlines.erase(
+        {Known.m_SilenceDeadline, Known.m_Bid.m_Request});
   }
 
   void on(const FirstToken &Report) {
@@ -121,27 +122,27 @@
     Request *Granted = find(End.m_Request, RequestState::Granted);
     // An end reported by another upstream belongs to an earlier attempt.
     if (Granted != nullptr &&
-        Granted->m_Serving->m_Upstream.m_Id == End.m_Upstream)
+        Granted->m_UpstreamState->m_Upstream.m_Id == End.m_Upstream)
       finish(m_Pool, *Granted, End);
-    else if (End.m_End == WorkEnd::UpstreamLeaving)
-      noteLeaving(End.m_Upstream);
+    else if (End.m_End == WorkEnd::UpstreamDraining)
+      noteDraining(End.m_Upstream);
   }
 
-  void noteLeaving(UpstreamId Id) {
-    if (Serving *State = m_Pool.m_Fleet.find(Id))
-      Fleet::noteLeaving(*State, m_Pool.m_Now);
+  void noteDraining(UpstreamId Id) {
+    if (UpstreamState *State = m_Pool.m_Fleet.find(Id))
+      Fleet::noteDraining(*State, m_Pool.m_Now);
     afterFleetChange();
   }
 
   void on(const LoadReport &Report) {
-    Serving *State = m_Pool.m_Fleet.find(Report.m_Upstream);
+    UpstreamState *State = m_Pool.m_Fleet.find(Report.m_Upstream);
     const bool WasUsable = State != nullptr && State->isUsable();
-    m_Pool.m_Fleet.take(Report, m_Pool.m_Now);
+    m_Pool.m_Fleet.apply(Report, m_Pool.m_Now);
     if (State != nullptr && State->isUsable() != WasUsable)
       afterFleetChange();
   }
 
-  void on(const CacheEvent &Update) { m_Pool.m_Fleet.take(Update); }
+  void on(const CacheEvent &Update) { m_Pool.m_Fleet.apply(Update); }
 
   void on(const EntryLost &Loss) {
     std::vector<RequestId> Lost;
@@ -159,7 +160,7 @@
   }
 
   void on(const UpstreamDrained &Drain) {
-    m_Pool.m_Fleet.take(Drain);
+    m_Pool.m_Fleet.apply(Drain);
     afterFleetChange();
   }
 
@@ -175,7 +176,7 @@
                                                : RefusalReason::UnknownClass,
                     {});
     updateFloors(m_Pool);
-    m_Pool.m_OfferedUntil = m_Pool.m_Now;
+    m_Pool.m_OfferedLoadExpiry = m_Pool.m_Now;
   }
 
   void afterFleetChange() {
@@ -197,7 +198,7 @@
 }
 
 std::optional<TimePoint> Decider::nextDeadline() const {
-  return nextDue(m_Impl->pool());
+  return nextTimeout(m_Impl->pool());
 }
 
 DeciderStats Decider::stats() const {
@@ -206,7 +207,7 @@
   Stats.m_Waiting = P.m_Queue.size();
   Stats.m_Running = P.m_Running;
   Stats.m_Ejected = static_cast<std::uint64_t>(
-      std::count_if(P.m_Fleet.all().begin(), P.m_Fleet.all().end(),
+      std::count_if(P.m_Fleet.upstreams().begin(), P.m_Fleet.upstreams().end(),
                     [](const auto &Entry) { return Entry.second.m_Ejected; }));
   return Stats;
 }
--- a/src/decision/decision_error.h
+++ b/src/decision/decision_error.h
@@ -16,9 +16,9 @@
 };
 
 /// An event's time lies before that of the previous event.
-class TimeWentBackError : public DecisionError {
+class NonMonotonicTimeError : public DecisionError {
 public:
-  TimeWentBackError()
+  NonMonotonicTimeError()
       : DecisionError("event time lies before that of the previous event") {}
 };
 
--- a/src/decision/decision_type.h
+++ b/src/decision/decision_type.h
@@ -83,14 +83,14 @@
 
 /// How granted work ended.
 enum class WorkEnd : std::uint8_t {
-  Finished,        ///< Whole answer.
-  Cancelled,       ///< The caller went away; the engine was notified.
-  Failed,          ///< The upstream failed or closed early.
-  ConnectFailed,   ///< No connection to the upstream; nothing was sent.
-  UpstreamRefused, ///< It answered that it did not run the call.
-  UpstreamLeaving, ///< It answered that it is draining.
-  Unused,          ///< The grant was not used: expired, or the claim failed.
-  Preempted,       ///< Stopped by a Preempt action.
+  Finished,         ///< Whole answer.
+  Cancelled,        ///< The caller went away; the engine was notified.
+  Failed,           ///< The upstream failed or closed early.
+  ConnectFailed,    ///< No connection to the upstream; nothing was sent.
+  UpstreamRefused,  ///< It answered that it did not run the call.
+  UpstreamDraining, ///< It answered that it is draining.
+  Unused,           ///< The grant was not used: expired, or the claim failed.
+  Preempted,        ///< Stopped by a Preempt action.
 };
 
 /// Granted work ended and its slot is free.
@@ -111,7 +111,7 @@
   std::uint32_t m_Running = 0;         ///< Sequences in its batch.
   std::uint32_t m_Waiting = 0;         ///< Sequences in its own queue.
   std::uint32_t m_FreeCacheBlocks = 0; ///< Free blocks of the prefix cache.
-  bool m_Leaving = false;              ///< It takes no new work.
+  bool m_Draining = false;             ///< It takes no new work.
 };
 
 /// An engine's cache added or evicted a prefix; late, and some may be lost.
