--- a/src/decision/dispatch.cpp
+++ b/src/decision/dispatch.cpp
@@ -15,8 +15,8 @@
 
 /// A bid and the upstream that can take it.
 struct Match {
-  Request *m_Bid = nullptr;     ///< Null: none found.
-  Serving *m_Serving = nullptr; ///< Null: none found.
+  Request *m_Bid = nullptr;           ///< Null: none found.
+  UpstreamState *m_Serving = nullptr; ///< Null: none found.
 };
 
 bool isAtLimit(const ClassState &Class) {
@@ -29,9 +29,9 @@
 /// block the others.
 Match matchLane(Pool &P, Lane &L) {
   unsigned Scanned = 0;
-  for (Flow &F : L.m_Ready) {
+  for (Flow &F : L.m_ReadyFlows) {
     Request &Head = *F.m_Queue.begin();
-    if (Serving *State = chooseUpstream(P, Head))
+    if (UpstreamState *State = chooseUpstream(P, Head))
       return {&Head, State};
     if (++Scanned == tuning::MaxFlowScan)
       break;
@@ -40,14 +40,14 @@
 }
 
 bool isBefore(const Lane *A, const Lane *B) {
-  const Flow &First = *A->m_Ready.begin();
-  const Flow &Second = *B->m_Ready.begin();
+  const Flow &First = *A->m_ReadyFlows.begin();
+  const Flow &Second = *B->m_ReadyFlows.begin();
   const Request &FirstHead = *First.m_Queue.begin();
   const Request &SecondHead = *Second.m_Queue.begin();
-  return std::tie(First.m_Share->m_Virtual, FirstHead.m_FlowKey,
-                  FirstHead.m_Order) < std::tie(Second.m_Share->m_Virtual,
-                                                SecondHead.m_FlowKey,
-                                                SecondHead.m_Order);
+  return std::tie(First.m_Share->m_VirtualTime, FirstHead.m_FlowKey,
+                  FirstHead.m_ArrivalNumber) <
+         std::tie(Second.m_Share->m_VirtualTime, SecondHead.m_FlowKey,
+                  SecondHead.m_ArrivalNumber);
 }
 
 using Lanes = boost::container::small_vector<Lane *, 8>;
@@ -56,7 +56,8 @@
   Lanes Open;
   for (ClassState *Class : T.m_Classes) {
     Lane &L = Class->*Kind;
-    if (!L.m_Ready.empty() && !isAtLimit(*Class) && hasPlace(P, *Class))
+    if (!L.m_ReadyFlows.empty() && !isAtLimit(*Class) &&
+        hasFreeUpstream(P, *Class))
       Open.push_back(&L);
   }
   std::sort(Open.begin(), Open.end(), isBefore);
@@ -67,7 +68,7 @@
 }
 
 Match matchFloor(Pool &P) {
-  ClassState *Class = owedClass(P);
+  ClassState *Class = classWithLargestDeficit(P);
   if (Class == nullptr)
     return {};
   for (Lane *L : {&Class->m_OnTime, &Class->m_Late})
--- a/src/decision/estimate.cpp
+++ b/src/decision/estimate.cpp
@@ -31,8 +31,8 @@
     if (Other >= Number)
       break;
     for (const ClassState *Class : Tier.m_Classes)
-      addBids(Found, *Class, Class->waiting());
-    Found.m_HigherTierLoad = Tier.m_OfferedTo;
+      addBids(Found, *Class, Class->waitingCount());
+    Found.m_HigherTierLoad = Tier.m_CumulativeOfferedLoad;
   }
   return Found;
 }
@@ -55,7 +55,7 @@
   const double Floor = Class.m_FloorSlots / Class.m_Slots;
   const double Above = Ahead.m_HigherTierLoad / Class.m_Slots;
   const double Same = Ahead.m_SameTierLoad / Class.m_Slots;
-  const double Least = Above + Same < tuning::Overload
+  const double Least = Above + Same < tuning::OverloadRatio
                            ? tuning::BusyDrainShare
                            : tuning::OverloadDrainShare;
   return std::max(std::max(1.0 - Above, Floor) - Same, Least);
@@ -63,42 +63,42 @@
 
 Duration waitBehind(const Pool &P, const ClassState &Class,
                     const QueueAhead &Ahead) {
-  if (Ahead.m_Bids == 0.0 && hasPlace(P, Class))
+  if (Ahead.m_Bids == 0.0 && hasFreeUpstream(P, Class))
     return Duration::zero();
   const double Preemptible = countPreemptible(P, Class.m_Tier->m_Number);
   if (Ahead.m_Bids < Preemptible)
-    return tuning::FirstPreemptDelay;
+    return tuning::InitialPreemptDelay;
   if (Class.m_Slots <= 0.0)
     return Duration::zero();
   const double Left = Ahead.m_Bids - Preemptible;
   const double Seconds =
       Ahead.m_Bids > 0.0 ? Ahead.m_SlotSeconds * Left / Ahead.m_Bids : 0.0;
   const double Drain = drainShare(Class, Ahead);
-  const double Free = freeRate(P, Class);
+  const double Free = releaseRate(P, Class);
   const double FirstSlot = Free > 0.0 ? 1.0 / Free : 0.0;
   return fromSeconds(FirstSlot + Seconds / (Class.m_Slots * Drain));
 }
 
 } // namespace
 
-double freeRate(const Pool &P, const ClassState &Class) {
-  if (Class.m_FreeRateStamp == P.m_Fleet.changes())
-    return Class.m_FreeRate;
+double releaseRate(const Pool &P, const ClassState &Class) {
+  if (Class.m_ReleaseRateVersion == P.m_Fleet.changeCount())
+    return Class.m_ReleaseRate;
   double Rate = 0.0;
-  for (const Serving *State : Class.m_Eligible)
-    Rate += State->m_FreeRate;
-  Class.m_FreeRate = Rate;
-  Class.m_FreeRateStamp = P.m_Fleet.changes();
+  for (const UpstreamState *State : Class.m_EligibleUpstreams)
+    Rate += State->m_ReleaseRate;
+  Class.m_ReleaseRate = Rate;
+  Class.m_ReleaseRateVersion = P.m_Fleet.changeCount();
   return Rate;
 }
 
-Duration waitOnTime(const Pool &P, const ClassState &Class,
-                    WorkspaceId Workspace) {
+Duration estimateOnTimeWait(const Pool &P, const ClassState &Class,
+                            WorkspaceId Workspace) {
   QueueAhead SameTier;
   std::size_t Flows = 1;
   for (const ClassState *Other : Class.m_Tier->m_Classes) {
     addBids(SameTier, *Other, Other->m_OnTime.m_ByDeadline.size());
-    Flows += Other->m_OnTime.m_Ready.size();
+    Flows += Other->m_OnTime.m_ReadyFlows.size();
   }
   // A workspace waits for its own bids and for as many of each other workspace;
   // the rest of a longer flow is served after it.
@@ -116,11 +116,11 @@
   return waitBehind(P, Class, Ahead);
 }
 
-Duration waitLate(const Pool &P, const ClassState &Class) {
+Duration estimateLateWait(const Pool &P, const ClassState &Class) {
   QueueAhead Ahead = queueAbove(P, Class.m_Tier->m_Number);
-  Ahead.m_SameTierLoad = Class.m_Tier->m_Offered;
+  Ahead.m_SameTierLoad = Class.m_Tier->m_OfferedLoad;
   for (const ClassState *Other : Class.m_Tier->m_Classes)
-    addBids(Ahead, *Other, Other->waiting());
+    addBids(Ahead, *Other, Other->waitingCount());
   return waitBehind(P, Class, Ahead);
 }
 
--- a/src/decision/estimate_func.h
+++ b/src/decision/estimate_func.h
@@ -9,16 +9,16 @@
 /// Returns the estimated wait of a bid of \p Workspace that joins the on-time
 /// lane of \p Class now. It is served after more urgent tiers and after its
 /// workspace's fair share of its own tier.
-Duration waitOnTime(const Pool &P, const ClassState &Class,
-                    WorkspaceId Workspace);
+Duration estimateOnTimeWait(const Pool &P, const ClassState &Class,
+                            WorkspaceId Workspace);
 
 /// Returns the estimated wait of a bid that joins the late lane of \p Class
 /// now. It is served after all bids of its tier and of more urgent ones, those
 /// that arrive later included.
-Duration waitLate(const Pool &P, const ClassState &Class);
+Duration estimateLateWait(const Pool &P, const ClassState &Class);
 
 /// Returns how many slots per second the upstreams of \p Class release.
-double freeRate(const Pool &P, const ClassState &Class);
+double releaseRate(const Pool &P, const ClassState &Class);
 
 } // namespace crowstep::decision
 
--- a/src/decision/expiry.cpp
+++ b/src/decision/expiry.cpp
@@ -15,26 +15,27 @@
 namespace {
 
 void freeSilentGrants(Pool &P) {
-  while (!P.m_Lapses.empty() && P.m_Lapses.begin()->first <= P.m_Now)
-    abandon(P, P.m_Requests.at(P.m_Lapses.begin()->second));
+  while (!P.m_SilenceDeadlines.empty() &&
+         P.m_SilenceDeadlines.begin()->first <= P.m_Now)
+    abandon(P, P.m_Requests.at(P.m_SilenceDeadlines.begin()->second));
 }
 
 void forgetAwaitingRebid(Pool &P) {
-  while (!P.m_Returning.empty() &&
-         P.m_Returning.front().first + tuning::ReturnWindow <= P.m_Now) {
-    const auto [Since, Id] = P.m_Returning.front();
-    P.m_Returning.pop_front();
+  while (!P.m_AwaitingRebid.empty() &&
+         P.m_AwaitingRebid.front().first + tuning::RebidWindow <= P.m_Now) {
+    const auto [Since, Id] = P.m_AwaitingRebid.front();
+    P.m_AwaitingRebid.pop_front();
     const auto It = P.m_Requests.find(Id);
     if (It != P.m_Requests.end() &&
-        It->second.m_State == RequestState::Returning &&
-        It->second.m_Since == Since)
+        It->second.m_State == RequestState::AwaitingRebid &&
+        It->second.m_StateSince == Since)
       P.m_Requests.erase(It);
   }
 }
 
 void refuseLate(Pool &P, Request &Waiting) {
-  refuseWaiting(P, Waiting, lateReason(Waiting),
-                comeBackAfter(P, *Waiting.m_Class));
+  refuseWaiting(P, Waiting, lateRefusalReason(Waiting),
+                retryAfter(P, *Waiting.m_Class));
 }
 
 void refuseAtLimit(Pool &P, Lane &L) {
@@ -44,10 +45,10 @@
 
 /// Tells whether a late bid can still be served before its limit.
 bool canMeetLimit(Pool &P, const Request &Late) {
-  if (Late.m_IsKept || P.isRebuilding())
+  if (Late.m_WaitsUntilLimit || P.isRebuilding())
     return true;
-  return P.m_Now + waitLate(P, *Late.m_Class) <= Late.m_Limit ||
-         stopAboveFloor(P, *Late.m_Class);
+  return P.m_Now + estimateLateWait(P, *Late.m_Class) <= Late.m_Limit ||
+         preemptAboveFloor(P, *Late.m_Class);
 }
 
 void moveLate(Pool &P, ClassState &Class) {
@@ -102,13 +103,13 @@
 /// While bids wait, an upstream that is paused, ejected, draining or loaded by
 /// others may become available without an event.
 void addUpstreamTimes(Earliest &Next, const Pool &P) {
-  for (const auto &[Id, State] : P.m_Fleet.all()) {
-    if (State.m_SaysLeaving)
-      Next.add(State.m_LeavingSince + tuning::LeavingMemory);
+  for (const auto &[Id, State] : P.m_Fleet.upstreams()) {
+    if (State.m_IsDraining)
+      Next.add(State.m_DrainingSince + tuning::DrainingHoldTime);
     if (!State.isUsable())
       continue;
     Next.add(State.m_BackoffUntil);
-    Next.add(State.m_ExternalUntil);
+    Next.add(State.m_ExternalLoadExpiry);
     if (!State.m_Ejected)
       continue;
     Next.add(State.m_NextProbe);
@@ -121,8 +122,8 @@
 void expire(Pool &P) {
   freeSilentGrants(P);
   forgetAwaitingRebid(P);
-  repeatStops(P);
-  if (P.m_Fleet.forgetLeaving(P.m_Now))
+  expireStopOrders(P);
+  if (P.m_Fleet.expireDraining(P.m_Now))
     updateFloors(P);
   for (ClassState *Class : P.m_Queue.classes()) {
     refuseAtLimit(P, Class->m_Late);
@@ -134,14 +135,14 @@
   }
 }
 
-std::optional<TimePoint> nextDue(const Pool &P) {
+std::optional<TimePoint> nextTimeout(const Pool &P) {
   Earliest Next(P.m_Now);
-  if (!P.m_Lapses.empty())
-    Next.add(P.m_Lapses.begin()->first);
-  if (!P.m_Returning.empty())
-    Next.add(P.m_Returning.front().first + tuning::ReturnWindow);
-  if (!P.m_Stopping.empty())
-    Next.add(P.m_Stopping.front().first + tuning::PreemptPatience);
+  if (!P.m_SilenceDeadlines.empty())
+    Next.add(P.m_SilenceDeadlines.begin()->first);
+  if (!P.m_AwaitingRebid.empty())
+    Next.add(P.m_AwaitingRebid.front().first + tuning::RebidWindow);
+  if (!P.m_StopOrders.empty())
+    Next.add(P.m_StopOrders.front().first + tuning::StopOrderTimeout);
   if (P.m_Queue.size() == 0)
     return Next.found();
   if (P.isRebuilding())
--- a/src/decision/expiry_func.h
+++ b/src/decision/expiry_func.h
@@ -15,7 +15,7 @@
 
 /// Returns when expire(), a preemption or a probe is due next; empty if none
 /// is.
-std::optional<TimePoint> nextDue(const Pool &P);
+std::optional<TimePoint> nextTimeout(const Pool &P);
 
 } // namespace crowstep::decision
 
--- a/src/decision/fleet.h
+++ b/src/decision/fleet.h
@@ -18,32 +18,32 @@
   /// Replaces the list of upstreams.
   void setUpstreams(const std::vector<Upstream> &Listed, TimePoint Now);
 
-  void take(const LoadReport &Report, TimePoint Now);
-  void take(const CacheEvent &Event);
-  void take(const UpstreamDrained &Drained);
+  void apply(const LoadReport &Report, TimePoint Now);
+  void apply(const CacheEvent &Event);
+  void apply(const UpstreamDrained &Drained);
 
   /// Records that the upstream itself reported to be draining.
-  static void noteLeaving(Serving &State, TimePoint Now);
+  static void noteDraining(UpstreamState &State, TimePoint Now);
 
   /// Ends the draining of upstreams that only the list reported to be draining,
   /// once it has not done so for tuning::DrainingHoldTime. Returns whether any
   /// changed.
-  bool forgetLeaving(TimePoint Now);
+  bool expireDraining(TimePoint Now);
 
   /// Records a failed call and makes the upstream pause: a crashed one looks
   /// idle, and would get every bid until it is no longer listed.
-  static void noteFailure(Serving &State, bool IsConnect, TimePoint Now);
-  static void noteSuccess(Serving &State);
+  static void noteFailure(UpstreamState &State, bool IsConnect, TimePoint Now);
+  static void noteSuccess(UpstreamState &State);
 
   /// Records the start and the end of granted work.
-  void addWork(Serving &State, const Request &Work, TimePoint Now);
-  void endWork(Serving &State, const Request &Work, TimePoint Now);
+  void addWork(UpstreamState &State, const Request &Work, TimePoint Now);
+  void endWork(UpstreamState &State, const Request &Work, TimePoint Now);
 
   /// Returns the upstream, or null if it is unknown.
-  [[nodiscard]] Serving *find(UpstreamId Id);
+  [[nodiscard]] UpstreamState *find(UpstreamId Id);
 
   /// Returns the upstream; creates an unlisted one if it is unknown.
-  Serving &findOrMake(UpstreamId Id);
+  UpstreamState &findOrCreate(UpstreamId Id);
 
   /// Updates the eligible upstreams of \p Class and the number of their slots.
   void updateClass(ClassState &Class);
@@ -51,12 +51,14 @@
   /// Tells whether any usable upstream has a free slot.
   [[nodiscard]] bool hasFreeSlot(TimePoint Now) const;
 
-  [[nodiscard]] std::map<UpstreamId, Serving> &all() { return m_Servings; }
-  [[nodiscard]] const std::map<UpstreamId, Serving> &all() const {
-    return m_Servings;
+  [[nodiscard]] std::map<UpstreamId, UpstreamState> &upstreams() {
+    return m_Upstreams;
+  }
+  [[nodiscard]] const std::map<UpstreamId, UpstreamState> &upstreams() const {
+    return m_Upstreams;
   }
   /// Increases with every change of an upstream's work or a class's upstreams.
-  [[nodiscard]] std::uint64_t changes() const { return m_Changes; }
+  [[nodiscard]] std::uint64_t changeCount() const { return m_ChangeCount; }
 
   [[nodiscard]] PrefixIndex &prefixes() { return m_Prefixes; }
   [[nodiscard]] const PrefixIndex &prefixes() const { return m_Prefixes; }
@@ -66,15 +68,15 @@
 
 private:
   /// Listed, still running work, or held as draining.
-  std::map<UpstreamId, Serving> m_Servings;
+  std::map<UpstreamId, UpstreamState> m_Upstreams;
   /// Subset of m_Upstreams, for fast iteration.
-  std::vector<Serving *> m_Listed;
+  std::vector<UpstreamState *> m_ListedUpstreams;
   /// Includes unlisted upstreams, so that one that disappears from the list for
   /// a while stays drained.
-  std::set<UpstreamId> m_Drained;
-  PrefixIndex m_Prefixes;      ///< By UpstreamState::m_HintTag.
-  std::uint64_t m_Changes = 1; ///< See changeCount().
-  std::uint32_t m_NextTag = 1; ///< 0 is not a valid tag.
+  std::set<UpstreamId> m_DrainedByOperators;
+  PrefixIndex m_Prefixes;          ///< By UpstreamState::m_HintTag.
+  std::uint64_t m_ChangeCount = 1; ///< See changeCount().
+  std::uint32_t m_NextTag = 1;     ///< 0 is not a valid tag.
 };
 
 } // namespace crowstep::decision
--- a/src/decision/floor.cpp
+++ b/src/decision/floor.cpp
@@ -19,11 +19,11 @@
                   double Bids) {
   if (L.m_ByDeadline.empty())
     return true;
-  const double Rate = tuning::FloorTrust * freeRate(P, Class);
+  const double Rate = tuning::FloorTrustedShare * releaseRate(P, Class);
   if (Rate <= 0.0)
     return false;
   const Duration Reserve =
-      P.m_StopLead + tuning::FloorMargin + Class.allowanceOf(L);
+      P.m_StopLeadTime + tuning::FloorMargin + Class.allowanceOf(L);
   const TimePoint First = L.m_ByDeadline.begin()->m_Deadline;
   const TimePoint Last = L.m_ByDeadline.rbegin()->m_Deadline;
   return First - P.m_Now >= fromSeconds(1.0 / Rate) + Reserve &&
@@ -40,7 +40,7 @@
 bool canYieldSlot(const Pool &P, const Tier &T, double Bids) {
   return std::all_of(
       T.m_Classes.begin(), T.m_Classes.end(), [&](const ClassState *Class) {
-        if (Class->demand() == 0 || !hasPlace(P, *Class))
+        if (Class->demand() == 0 || !hasFreeUpstream(P, *Class))
           return true;
         return isOverloaded(*Class) && canSpareSlot(P, *Class, Bids);
       });
@@ -50,9 +50,10 @@
 /// has no claim to a slot now.
 double secondsBelowFloor(const ClassState &Class) {
   const auto Running = static_cast<double>(Class.m_Running);
-  if (Class.m_Debt <= 0.0 || Class.demand() == 0 || Running >= Class.floorNow())
+  if (Class.m_FloorDeficit <= 0.0 || Class.demand() == 0 ||
+      Running >= Class.effectiveFloor())
     return 0.0;
-  return Class.m_Debt / Class.m_FloorSlots;
+  return Class.m_FloorDeficit / Class.m_FloorSlots;
 }
 
 /// Returns the least urgent tier with a class below its floor; 0: none.
@@ -66,25 +67,26 @@
 
 } // namespace
 
-void updateOffered(Pool &P) {
+void updateOfferedLoad(Pool &P) {
   // Rates change over tens of seconds; recomputing them for each event would
   // cost more than the rest of the decision.
-  if (P.m_Now < P.m_OfferedUntil)
+  if (P.m_Now < P.m_OfferedLoadExpiry)
     return;
-  P.m_OfferedUntil = P.m_Now + tuning::OfferedLifetime;
+  P.m_OfferedLoadExpiry = P.m_Now + tuning::OfferedLoadLifetime;
   double Sum = 0.0;
   for (auto &[Number, Tier] : P.m_Queue.tiers()) {
-    Tier.m_Offered = 0.0;
+    Tier.m_OfferedLoad = 0.0;
     for (const ClassState *Class : Tier.m_Classes)
-      Tier.m_Offered +=
-          Class->m_Offered.perSecond(P.m_Now) * Class->serviceSeconds();
-    Sum += Tier.m_Offered;
-    Tier.m_OfferedTo = Sum;
+      Tier.m_OfferedLoad +=
+          Class->m_ArrivalRate.perSecond(P.m_Now) * Class->serviceSeconds();
+    Sum += Tier.m_OfferedLoad;
+    Tier.m_CumulativeOfferedLoad = Sum;
   }
 }
 
 bool isOverloaded(const ClassState &Class) {
-  return Class.m_Tier->m_OfferedTo >= tuning::Overload * Class.m_Slots;
+  return Class.m_Tier->m_CumulativeOfferedLoad >=
+         tuning::OverloadRatio * Class.m_Slots;
 }
 
 void updateFloors(Pool &P) {
@@ -98,7 +100,7 @@
   }
 }
 
-void accrueFloors(Pool &P, Duration Elapsed) {
+void accrueFloorDeficits(Pool &P, Duration Elapsed) {
   const double Seconds = toSeconds(Elapsed);
   if (Seconds <= 0.0)
     return;
@@ -106,19 +108,20 @@
     // Without waiting bids there is no deficit: the class has all that it asked
     // for.
     if (Class->demand() == 0) {
-      Class->m_Debt = 0.0;
+      Class->m_FloorDeficit = 0.0;
       continue;
     }
     const double Missing =
         Class->m_FloorSlots - static_cast<double>(Class->m_Running);
-    Class->m_Debt = std::clamp(Class->m_Debt + Missing * Seconds, 0.0,
-                               tuning::FloorSeconds * Class->m_FloorSlots);
+    Class->m_FloorDeficit =
+        std::clamp(Class->m_FloorDeficit + Missing * Seconds, 0.0,
+                   tuning::MaxFloorDeficitSeconds * Class->m_FloorSlots);
   }
 }
 
-ClassState *owedClass(const Pool &P) {
-  const bool IsPaused =
-      P.m_Stats.m_Preempted > 0 && P.m_Now < P.m_LastStop + tuning::FloorPause;
+ClassState *classWithLargestDeficit(const Pool &P) {
+  const bool IsPaused = P.m_Stats.m_Preempted > 0 &&
+                        P.m_Now < P.m_LastStopAt + tuning::FloorPause;
   const std::uint8_t Last = lastTierBelowFloor(P);
   if (P.isBaseline() || IsPaused)
     return nullptr;
@@ -131,7 +134,7 @@
     // Without bids before it a tier needs no floor: it is served next anyway.
     for (ClassState *Class : Tier.m_Classes) {
       const double Seconds = Bids > 0.0 ? secondsBelowFloor(*Class) : 0.0;
-      if (Seconds <= Longest || !hasPlace(P, *Class))
+      if (Seconds <= Longest || !hasFreeUpstream(P, *Class))
         continue;
       Best = Class;
       Longest = Seconds;
--- a/src/decision/floor_func.h
+++ b/src/decision/floor_func.h
@@ -11,7 +11,7 @@
 
 /// Adds the floor slots that classes with waiting bids did not get since the
 /// last event to their deficits.
-void accrueFloors(Pool &P, Duration Elapsed);
+void accrueFloorDeficits(Pool &P, Duration Elapsed);
 
 /// Tells whether arrivals at the tier of \p Class and more urgent ones need
 /// clearly more slots than there are, so that some bids must be refused. Only
@@ -19,12 +19,12 @@
 bool isOverloaded(const ClassState &Class);
 
 /// Recomputes the offered load of each tier once it has expired.
-void updateOffered(Pool &P);
+void updateOfferedLoad(Pool &P);
 
 /// Returns the class that is furthest below its floor among those that may have
 /// a free slot before more urgent bids without making one of them miss its
 /// target, or null.
-ClassState *owedClass(const Pool &P);
+ClassState *classWithLargestDeficit(const Pool &P);
 
 } // namespace crowstep::decision
 
--- a/src/decision/flow_base.h
+++ b/src/decision/flow_base.h
@@ -15,7 +15,7 @@
 /// it was served; the lowest one is served next.
 struct WorkspaceShare {
   /// Changed only by Queue::charge() and Queue::push().
-  double m_Virtual = 0.0;
+  double m_VirtualTime = 0.0;
   std::vector<Flow *> m_Flows; ///< Those with waiting bids.
 };
 
@@ -32,8 +32,8 @@
 /// Orders flows by their workspace's virtual time, the lowest first.
 struct ShareOrder {
   bool operator()(const Flow &A, const Flow &B) const {
-    return std::tie(A.m_Share->m_Virtual, A.m_Workspace) <
-           std::tie(B.m_Share->m_Virtual, B.m_Workspace);
+    return std::tie(A.m_Share->m_VirtualTime, A.m_Workspace) <
+           std::tie(B.m_Share->m_VirtualTime, B.m_Workspace);
   }
 };
 
@@ -48,9 +48,9 @@
 /// late.
 struct Lane {
   std::unordered_map<WorkspaceId, Flow> m_Flows; ///< Kept when empty.
-  ReadyFlows m_Ready;           ///< Flows that have bids and are not blocked.
-  DeadlineQueue m_ByDeadline;   ///< All bids of the lane.
-  std::size_t m_ReadyCount = 0; ///< Bids of the ready flows.
+  ReadyFlows m_ReadyFlows;    ///< Flows that have bids and are not blocked.
+  DeadlineQueue m_ByDeadline; ///< All bids of the lane.
+  std::size_t m_ReadyBidCount = 0; ///< Bids of the ready flows.
 };
 
 } // namespace crowstep::decision
--- a/src/decision/learned.cpp
+++ b/src/decision/learned.cpp
@@ -24,7 +24,7 @@
       std::chrono::duration<double>(Bounded));
 }
 
-void Mean::add(double Sample) {
+void MovingAverage::add(double Sample) {
   // The first samples have the weight of a plain mean, for a quick start.
   const double Plain = 1.0 / (static_cast<double>(m_Count) + 1.0);
   const double Gain = std::max(m_Gain, Plain);
--- a/src/decision/learned.h
+++ b/src/decision/learned.h
@@ -28,9 +28,9 @@
 Duration fromSeconds(double Seconds);
 
 /// A moving average: plain at first, later with a constant gain.
-class Mean {
+class MovingAverage {
 public:
-  explicit Mean(double Gain = tuning::MeanGain) : m_Gain(Gain) {}
+  explicit MovingAverage(double Gain = tuning::MeanGain) : m_Gain(Gain) {}
 
   void add(double Sample);
   void reset() { m_Count = 0; }
--- a/src/decision/placement.cpp
+++ b/src/decision/placement.cpp
@@ -13,8 +13,8 @@
 
 /// An upstream that could take the bid.
 struct Candidate {
-  Serving *m_Serving = nullptr; ///< Never null.
-  double m_Load = 0.0;          ///< Relative to the other candidates.
+  UpstreamState *m_Serving = nullptr; ///< Never null.
+  double m_Load = 0.0;                ///< Relative to the other candidates.
   double m_Match = 0.0; ///< Matched part of the prompt's prefixes, 0 to 1.
 };
 
@@ -22,14 +22,14 @@
 
 bool hasHealthy(const ClassState &Class, TimePoint Now) {
   return std::any_of(
-      Class.m_Eligible.begin(), Class.m_Eligible.end(),
-      [Now](const Serving *State) { return State->isHealthy(Now); });
+      Class.m_EligibleUpstreams.begin(), Class.m_EligibleUpstreams.end(),
+      [Now](const UpstreamState *State) { return State->isHealthy(Now); });
 }
 
 /// Tells whether \p State may get a bid. If no upstream is healthy, paused and
 /// ejected ones serve too: a slow answer is better than none.
-bool mayServe(const ClassState &Class, const Serving &State, bool AnyHealthy,
-              TimePoint Now) {
+bool mayServe(const ClassState &Class, const UpstreamState &State,
+              bool AnyHealthy, TimePoint Now) {
   if (!State.isUsable())
     return false;
   return !AnyHealthy || State.isHealthy(Now) || mayProbe(State, Class, Now);
@@ -47,8 +47,8 @@
   double Tokens = 0.0;
   double Grants = 0.0;
   for (const Candidate &C : Options) {
-    Tokens += C.m_Serving->m_Outstanding;
-    Grants += static_cast<double>(C.m_Serving->m_Used);
+    Tokens += C.m_Serving->m_OutstandingTokens;
+    Grants += static_cast<double>(C.m_Serving->m_UsedSlots);
   }
   return Tokens > 0.0 && Grants > 0.0 ? Tokens / Grants : 1.0;
 }
@@ -61,8 +61,8 @@
   constexpr double Noise = 1.5; // Slowness up to this is random variation.
   const double Average = meanOutstanding(Options);
   for (Candidate &C : Options) {
-    const Serving &State = *C.m_Serving;
-    const double Tokens = State.m_Outstanding / Average /
+    const UpstreamState &State = *C.m_Serving;
+    const double Tokens = State.m_OutstandingTokens / Average /
                           static_cast<double>(std::max(1U, State.m_Slots));
     C.m_Load = Half * State.load(P.m_Now) + Half * Tokens;
     const double Slowness = relativeSlowness(P, State);
@@ -96,11 +96,11 @@
   return Cost;
 }
 
-Serving *cheapest(Pool &P, const Bid &NewBid, Candidates &Options) {
+UpstreamState *cheapest(Pool &P, const Bid &NewBid, Candidates &Options) {
   computeLoads(P, Options);
   computeMatches(P, NewBid, Options);
-  const std::uint64_t Salt = mix(P.m_Config.m_Seed + ++P.m_Choices);
-  Serving *Best = nullptr;
+  const std::uint64_t Salt = mix(P.m_Config.m_Seed + ++P.m_PlacementCount);
+  UpstreamState *Best = nullptr;
   double BestCost = 0.0;
   std::uint64_t BestTie = 0;
   for (const Candidate &C : Options) {
@@ -115,26 +115,28 @@
   return Best;
 }
 
-Serving *nextRoundRobin(Pool &P, const Candidates &Options) {
+UpstreamState *nextRoundRobin(Pool &P, const Candidates &Options) {
   // The order is by id; full upstreams are skipped.
   const auto Next =
       std::find_if(Options.begin(), Options.end(), [&P](const Candidate &C) {
-        return C.m_Serving->m_Upstream.m_Id > P.m_LastTurn;
+        return C.m_Serving->m_Upstream.m_Id > P.m_LastRoundRobin;
       });
-  Serving *Chosen = (Next == Options.end() ? Options.begin() : Next)->m_Serving;
-  P.m_LastTurn = Chosen->m_Upstream.m_Id;
+  UpstreamState *Chosen =
+      (Next == Options.end() ? Options.begin() : Next)->m_Serving;
+  P.m_LastRoundRobin = Chosen->m_Upstream.m_Id;
   return Chosen;
 }
 
-Serving *leastInFlight(const Candidates &Options) {
+UpstreamState *leastInFlight(const Candidates &Options) {
   return std::min_element(Options.begin(), Options.end(),
                           [](const Candidate &A, const Candidate &B) {
-                            return A.m_Serving->m_Used < B.m_Serving->m_Used;
+                            return A.m_Serving->m_UsedSlots <
+                                   B.m_Serving->m_UsedSlots;
                           })
       ->m_Serving;
 }
 
-Serving *pickByPolicy(Pool &P, const Bid &NewBid, Candidates &Options) {
+UpstreamState *pickByPolicy(Pool &P, const Bid &NewBid, Candidates &Options) {
   switch (P.m_Config.m_Policy) {
   case PolicyKind::RoundRobin:
     return nextRoundRobin(P, Options);
@@ -148,10 +150,10 @@
 
 } // namespace
 
-bool hasPlace(const Pool &P, const ClassState &Class) {
+bool hasFreeUpstream(const Pool &P, const ClassState &Class) {
   bool AnyHealthy = false;
   bool AnyFree = false;
-  for (const Serving *State : Class.m_Eligible) {
+  for (const UpstreamState *State : Class.m_EligibleUpstreams) {
     if (!State->isUsable())
       continue;
     const bool IsHealthy = State->isHealthy(P.m_Now);
@@ -165,8 +167,9 @@
   return AnyFree && !AnyHealthy;
 }
 
-bool wouldServe(const Pool &P, const ClassState &Class, const Serving &State) {
-  const auto &Eligible = Class.m_Eligible;
+bool wouldServe(const Pool &P, const ClassState &Class,
+                const UpstreamState &State) {
+  const auto &Eligible = Class.m_EligibleUpstreams;
   if (std::find(Eligible.begin(), Eligible.end(), &State) == Eligible.end())
     return false;
   if (!hasHealthy(Class, P.m_Now))
@@ -174,18 +177,19 @@
   return State.isHealthy(P.m_Now);
 }
 
-bool hasUpstream(const ClassState &Class) {
-  return std::any_of(Class.m_Eligible.begin(), Class.m_Eligible.end(),
-                     [](const Serving *State) { return State->isUsable(); });
+bool hasUsableUpstream(const ClassState &Class) {
+  return std::any_of(
+      Class.m_EligibleUpstreams.begin(), Class.m_EligibleUpstreams.end(),
+      [](const UpstreamState *State) { return State->isUsable(); });
 }
 
-Serving *chooseUpstream(Pool &P, const Request &Waiting) {
+UpstreamState *chooseUpstream(Pool &P, const Request &Waiting) {
   const ClassState &Class = *Waiting.m_Class;
   const bool AnyHealthy = hasHealthy(Class, P.m_Now);
   Candidates Options;
   bool HasAlternative = false;
-  Serving *Avoided = nullptr;
-  for (Serving *State : Class.m_Eligible) {
+  UpstreamState *Avoided = nullptr;
+  for (UpstreamState *State : Class.m_EligibleUpstreams) {
     if (!mayServe(Class, *State, AnyHealthy, P.m_Now))
       continue;
     const bool IsAvoided = Waiting.m_Bid.m_Avoid == State->m_Upstream.m_Id;
--- a/src/decision/placement_func.h
+++ b/src/decision/placement_func.h
@@ -7,16 +7,17 @@
 namespace crowstep::decision {
 
 /// Returns the best upstream with a free slot for \p Waiting, or null.
-Serving *chooseUpstream(Pool &P, const Request &Waiting);
+UpstreamState *chooseUpstream(Pool &P, const Request &Waiting);
 
 /// Tells whether any upstream can take a bid of \p Class now.
-bool hasPlace(const Pool &P, const ClassState &Class);
+bool hasFreeUpstream(const Pool &P, const ClassState &Class);
 
 /// Tells whether \p State would be used for \p Class if it had a free slot.
-bool wouldServe(const Pool &P, const ClassState &Class, const Serving &State);
+bool wouldServe(const Pool &P, const ClassState &Class,
+                const UpstreamState &State);
 
 /// Tells whether any usable upstream can run \p Class.
-bool hasUpstream(const ClassState &Class);
+bool hasUsableUpstream(const ClassState &Class);
 
 } // namespace crowstep::decision
 
--- a/src/decision/pool_base.h
+++ b/src/decision/pool_base.h
@@ -35,28 +35,28 @@
   std::string m_Service; ///< Of the upstreams; empty until known.
   /// All known requests. Must outlive the queues below, which link to them.
   RequestTable m_Requests;
-  Queue m_Queue;                 ///< Waiting bids.
-  Fleet m_Fleet;                 ///< Upstreams.
-  std::uint64_t m_NextOrder = 0; ///< Number of arrivals so far.
-  std::uint64_t m_Choices = 0;   ///< Placements so far; breaks ties.
-  UpstreamId m_LastTurn;         ///< Upstream last chosen by round robin.
+  Queue m_Queue;                         ///< Waiting bids.
+  Fleet m_Fleet;                         ///< Upstreams.
+  std::uint64_t m_NextArrivalNumber = 0; ///< Number of arrivals so far.
+  std::uint64_t m_PlacementCount = 0;    ///< Placements so far; breaks ties.
+  UpstreamId m_LastRoundRobin;   ///< Upstream last chosen by round robin.
   double m_MedianSlowness = 0.0; ///< Of the upstreams; 0: unknown.
   std::uint32_t m_Running = 0;   ///< Granted requests.
   /// Of grants without a sign of use.
-  std::set<std::pair<TimePoint, RequestId>> m_Lapses;
+  std::set<std::pair<TimePoint, RequestId>> m_SilenceDeadlines;
   /// In order of time.
-  std::deque<std::pair<TimePoint, RequestId>> m_Returning;
+  std::deque<std::pair<TimePoint, RequestId>> m_AwaitingRebid;
   /// Orders to stop, in order of time.
-  std::deque<std::pair<TimePoint, RequestId>> m_Stopping;
+  std::deque<std::pair<TimePoint, RequestId>> m_StopOrders;
   /// The tiers' offered load is recomputed then.
-  TimePoint m_OfferedUntil;
+  TimePoint m_OfferedLoadExpiry;
   /// Orders to stop that have not taken effect.
-  std::size_t m_Stops = 0;
-  TimePoint m_LastStop; ///< Time of the last order to stop.
+  std::size_t m_PendingStops = 0;
+  TimePoint m_LastStopAt; ///< Time of the last order to stop.
   /// Seconds from an order to stop until the slot is free.
-  Mean m_StopDelay;
+  MovingAverage m_StopDelay;
   /// Time to allow for stopping running work.
-  Duration m_StopLead = tuning::FirstPreemptDelay + tuning::PreemptMargin;
+  Duration m_StopLeadTime = tuning::InitialPreemptDelay + tuning::PreemptMargin;
   DeciderStats m_Stats; ///< Counters; the gauges are computed by stats().
 };
 
--- a/src/decision/preemption.cpp
+++ b/src/decision/preemption.cpp
@@ -15,7 +15,7 @@
 Request *victimOf(const Pool &P, ClassState &From, const ClassState &Urgent) {
   unsigned Scanned = 0;
   for (Request &Candidate : From.m_Victims) {
-    if (wouldServe(P, Urgent, *Candidate.m_Serving))
+    if (wouldServe(P, Urgent, *Candidate.m_UpstreamState))
       return &Candidate;
     if (++Scanned == tuning::MaxVictimScan)
       break;
@@ -26,7 +26,8 @@
 /// Tells whether the class keeps its floor if it loses one slot. Work already
 /// ordered to stop does not count.
 bool isAboveFloor(const ClassState &Class) {
-  return static_cast<double>(Class.m_Victims.size()) >= Class.floorNow() + 1.0;
+  return static_cast<double>(Class.m_Victims.size()) >=
+         Class.effectiveFloor() + 1.0;
 }
 
 /// Returns the request to preempt: the least urgent tier comes first, and
@@ -48,16 +49,16 @@
 void stop(Pool &P, Request &Victim) {
   VictimQueue &From = Victim.m_Class->m_Victims;
   From.erase(From.iterator_to(Victim));
-  Victim.m_Stopping = true;
-  Victim.m_Since = P.m_Now;
+  Victim.m_IsStopping = true;
+  Victim.m_StateSince = P.m_Now;
   if (Victim.m_Preemptions < std::numeric_limits<std::uint8_t>::max())
     ++Victim.m_Preemptions;
-  ++P.m_Stops;
+  ++P.m_PendingStops;
   ++P.m_Stats.m_Preempted;
-  P.m_LastStop = P.m_Now;
-  P.m_Stopping.emplace_back(P.m_Now, Victim.m_Bid.m_Request);
+  P.m_LastStopAt = P.m_Now;
+  P.m_StopOrders.emplace_back(P.m_Now, Victim.m_Bid.m_Request);
   P.m_Actions->push_back(
-      Preempt{Victim.m_Bid.m_Request, Victim.m_Serving->m_Upstream.m_Id});
+      Preempt{Victim.m_Bid.m_Request, Victim.m_UpstreamState->m_Upstream.m_Id});
 }
 
 /// Returns the seconds until a bid of the lane must have a slot, less the time
@@ -65,7 +66,7 @@
 double slackOf(const Pool &P, const ClassState &Class, const Lane &L,
                const Request &Waiting) {
   const Duration Left = Waiting.m_Deadline - Class.allowanceOf(L) - P.m_Now;
-  return toSeconds(std::max(Duration::zero(), Left - P.m_StopLead));
+  return toSeconds(std::max(Duration::zero(), Left - P.m_StopLeadTime));
 }
 
 bool stopAny(Pool &P, const ClassState &Class) {
@@ -77,7 +78,8 @@
 
 void stopUntil(Pool &P, const ClassState &Class, std::size_t Limit,
                double Needed, bool (&StopNext)(Pool &, const ClassState &)) {
-  while (static_cast<double>(P.m_Stops) < Needed && P.m_Stops < Limit)
+  while (static_cast<double>(P.m_PendingStops) < Needed &&
+         P.m_PendingStops < Limit)
     if (!StopNext(P, Class))
       return;
 }
@@ -87,22 +89,23 @@
 /// counting it and all bids before it.
 void stopForLane(Pool &P, const ClassState &Class, const Lane &L, double Bids,
                  std::size_t Limit) {
-  if (L.m_ReadyCount == 0)
+  if (L.m_ReadyBidCount == 0)
     return;
-  const double Rate = freeRate(P, Class);
+  const double Rate = releaseRate(P, Class);
   const DeadlineQueue &Queue = L.m_ByDeadline;
   const double First = slackOf(P, Class, L, *Queue.begin());
   // The last bid has more slack than the first, so if all fit into the first
   // one's, no slot is missing. This saves access to another request, whose
   // memory is not in the cache.
-  if (tuning::PreemptTrust * Rate * First >= std::max(1.0, Bids))
+  if (tuning::PreemptTrustedShare * Rate * First >= std::max(1.0, Bids))
     return;
   const double Last = slackOf(P, Class, L, *Queue.rbegin());
   const auto Missing = [&](double Trust) {
     return std::max(1.0 - Trust * Rate * First, Bids - Trust * Rate * Last);
   };
-  stopUntil(P, Class, Limit, Missing(tuning::PreemptTrust), stopAboveFloor);
-  stopUntil(P, Class, Limit, Missing(tuning::FloorTrust), stopAny);
+  stopUntil(P, Class, Limit, Missing(tuning::PreemptTrustedShare),
+            preemptAboveFloor);
+  stopUntil(P, Class, Limit, Missing(tuning::FloorTrustedShare), stopAny);
 }
 
 /// Returns the least urgent tier with preemptible work; 0: none.
@@ -116,7 +119,7 @@
 
 } // namespace
 
-bool stopAboveFloor(Pool &P, const ClassState &Class) {
+bool preemptAboveFloor(Pool &P, const ClassState &Class) {
   bool HasMore = !isOverloaded(Class);
   for (const ClassState *Other : P.m_Queue.classes())
     HasMore = HasMore || (Other->m_Tier->m_Number > Class.m_Tier->m_Number &&
@@ -128,7 +131,7 @@
   if (P.isBaseline() || P.isRebuilding() || P.m_Queue.size() == 0)
     return;
   const std::uint8_t Last = lastWithVictims(P);
-  const std::size_t Limit = P.m_Stops + tuning::MaxPreemptionsAtOnce;
+  const std::size_t Limit = P.m_PendingStops + tuning::MaxPreemptionsAtOnce;
   double Bids = 0.0;
   for (auto &[Number, Tier] : P.m_Queue.tiers()) {
     if (Number >= Last)
@@ -144,25 +147,25 @@
   }
 }
 
-void repeatStops(Pool &P) {
-  while (!P.m_Stopping.empty() &&
-         P.m_Stopping.front().first + tuning::PreemptPatience <= P.m_Now) {
-    const RequestId Id = P.m_Stopping.front().second;
-    const TimePoint OrderedAt = P.m_Stopping.front().first;
-    P.m_Stopping.pop_front();
+void expireStopOrders(Pool &P) {
+  while (!P.m_StopOrders.empty() &&
+         P.m_StopOrders.front().first + tuning::StopOrderTimeout <= P.m_Now) {
+    const RequestId Id = P.m_StopOrders.front().second;
+    const TimePoint OrderedAt = P.m_StopOrders.front().first;
+    P.m_StopOrders.pop_front();
     const auto It = P.m_Requests.find(Id);
-    if (It == P.m_Requests.end() || !It->second.m_Stopping ||
-        It->second.m_Since != OrderedAt)
+    if (It == P.m_Requests.end() || !It->second.m_IsStopping ||
+        It->second.m_StateSince != OrderedAt)
       continue;
     // The order was lost, or the entry does not respond. Waiting for this slot
     // would let urgent bids miss their targets while others could be preempted.
     // The request becomes preemptible again, as a last resort.
     constexpr std::uint8_t LastResort = 4;
     Request &Unstopped = It->second;
-    Unstopped.m_Stopping = false;
+    Unstopped.m_IsStopping = false;
     Unstopped.m_WasteRank =
         static_cast<std::uint8_t>(Unstopped.m_WasteRank | LastResort);
-    --P.m_Stops;
+    --P.m_PendingStops;
     Unstopped.m_Class->m_Victims.insert(Unstopped);
   }
 }
@@ -171,7 +174,7 @@
                                              const ClassState &Class) {
   std::optional<TimePoint> Next;
   for (const Lane *L : {&Class.m_OnTime, &Class.m_Late}) {
-    if (L->m_ReadyCount == 0)
+    if (L->m_ReadyBidCount == 0)
       continue;
     const Duration Slack =
         fromSeconds(slackOf(P, Class, *L, *L->m_ByDeadline.begin()));
--- a/src/decision/preemption_func.h
+++ b/src/decision/preemption_func.h
@@ -15,11 +15,11 @@
 /// Stops one request of a lower tier for a bid of \p Class that would otherwise
 /// be refused; not if the tier of \p Class is overloaded and all lower classes
 /// are within their floors. Returns whether it did.
-bool stopAboveFloor(Pool &P, const ClassState &Class);
+bool preemptAboveFloor(Pool &P, const ClassState &Class);
 
 /// Makes requests that did not obey an order to stop within
 /// tuning::StopOrderTimeout preemptible again.
-void repeatStops(Pool &P);
+void expireStopOrders(Pool &P);
 
 /// Returns when time alone requires the next check of \p Class for preemption;
 /// empty if never.
--- a/src/decision/prefix_index.cpp
+++ b/src/decision/prefix_index.cpp
@@ -17,10 +17,10 @@
   Tags.front() = Tag;
   if (!IsNew)
     return;
-  m_Age.push_back(Prefix);
-  if (m_Age.size() > tuning::MaxPrefixes) {
-    m_Holders.erase(m_Age.front());
-    m_Age.pop_front();
+  m_InsertionOrder.push_back(Prefix);
+  if (m_InsertionOrder.size() > tuning::MaxPrefixes) {
+    m_Holders.erase(m_InsertionOrder.front());
+    m_InsertionOrder.pop_front();
   }
 }
 
--- a/src/decision/prefix_index.h
+++ b/src/decision/prefix_index.h
@@ -26,7 +26,8 @@
 private:
   /// At most tuning::MaxPrefixes.
   std::unordered_map<PrefixHash, Holders> m_Holders;
-  std::deque<PrefixHash> m_Age; ///< Keys of m_Holders, the oldest first.
+  std::deque<PrefixHash>
+      m_InsertionOrder; ///< Keys of m_Holders, the oldest first.
 };
 
 } // namespace crowstep::decision
--- a/src/decision/queue.cpp
+++ b/src/decision/queue.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 void linkReady(Flow &F) {
-  F.m_Lane->m_Ready.insert(F);
-  F.m_Lane->m_ReadyCount += F.m_Queue.size();
+  F.m_Lane->m_ReadyFlows.insert(F);
+  F.m_Lane->m_ReadyBidCount += F.m_Queue.size();
 }
 
 void unlinkReady(Flow &F) {
-  F.m_Lane->m_Ready.erase(F.m_Lane->m_Ready.iterator_to(F));
-  F.m_Lane->m_ReadyCount -= F.m_Queue.size();
+  F.m_Lane->m_ReadyFlows.erase(F.m_Lane->m_ReadyFlows.iterator_to(F));
+  F.m_Lane->m_ReadyBidCount -= F.m_Queue.size();
 }
 
 bool isReady(const Flow &F) { return F.m_ReadyHook.is_linked(); }
@@ -50,11 +50,11 @@
   Class.m_Contract = Row;
   Class.m_Listed = true;
   Class.updateAllowance();
-  Class.m_Rate.setRate(Row.m_MaxRate, Now);
-  Class.m_Tokens.setRate(Row.m_MaxTokenRate, Now);
+  Class.m_RateLimit.setRate(Row.m_MaxRate, Now);
+  Class.m_TokenLimit.setRate(Row.m_MaxTokenRate, Now);
   for (auto &[Workspace, Use] : Class.m_Workspaces) {
-    Use.m_Rate.setRate(Row.m_WorkspaceRate, Now);
-    Use.m_Tokens.setRate(Row.m_WorkspaceTokenRate, Now);
+    Use.m_RateLimit.setRate(Row.m_WorkspaceRate, Now);
+    Use.m_TokenLimit.setRate(Row.m_WorkspaceTokenRate, Now);
   }
 }
 
@@ -75,12 +75,13 @@
   ++m_Size;
   if (!F.m_Queue.empty()) {
     F.m_Queue.insert(Waiting);
-    L.m_ReadyCount += isReady(F) ? 1 : 0;
+    L.m_ReadyBidCount += isReady(F) ? 1 : 0;
     return;
   }
   WorkspaceShare &Share = Class.m_Tier->m_Shares[Workspace];
   if (Share.m_Flows.empty())
-    Share.m_Virtual = std::max(Share.m_Virtual, Class.m_Tier->m_Virtual);
+    Share.m_VirtualTime =
+        std::max(Share.m_VirtualTime, Class.m_Tier->m_VirtualTime);
   Share.m_Flows.push_back(&F);
   F.m_Workspace = Workspace;
   F.m_Lane = &L;
@@ -99,7 +100,7 @@
   if (WasReady && F.m_Queue.size() == 1)
     unlinkReady(F);
   else if (WasReady)
-    --L.m_ReadyCount;
+    --L.m_ReadyBidCount;
   F.m_Queue.erase(F.m_Queue.iterator_to(Waiting));
   Waiting.m_Flow = nullptr;
   --m_Size;
@@ -119,19 +120,20 @@
       Ready.push_back(F);
   for (Flow *F : Ready)
     unlinkReady(*F);
-  Share.m_Virtual += Tokens;
+  Share.m_VirtualTime += Tokens;
   for (Flow *F : Ready)
     linkReady(*F);
 }
 
-void Queue::noteServed(const Request &Waiting) {
+void Queue::advanceVirtualTime(const Request &Waiting) {
   Tier &T = *Waiting.m_Class->m_Tier;
-  T.m_Virtual = std::max(T.m_Virtual, Waiting.m_Flow->m_Share->m_Virtual);
+  T.m_VirtualTime =
+      std::max(T.m_VirtualTime, Waiting.m_Flow->m_Share->m_VirtualTime);
 }
 
 void Queue::addRunning(ClassState &Class, WorkspaceId Workspace, int Change,
                        TimePoint Now) {
-  WorkspaceUse &Use = Class.useOf(Workspace, Now);
+  WorkspaceUsage &Use = Class.usageOf(Workspace, Now);
   Class.m_Running += static_cast<std::uint32_t>(Change);
   Use.m_Running += static_cast<std::uint32_t>(Change);
   if (Class.m_Contract.m_WorkspaceConcurrent == 0)
@@ -148,18 +150,18 @@
   for (const Contract &Row : Table.m_Contracts)
     if (Service.empty() || Row.m_Service == Service)
       Numbers[Row.m_Id] = IsFlat ? 1 : Row.m_Tier;
-  std::vector<Displacement> Moved;
+  std::vector<MovedBid> Moved;
   for (auto &[Id, Class] : m_Classes) {
     Class.m_Listed = false;
     const auto Number = Numbers.find(Id);
     if (Class.m_Tier != nullptr &&
         (Number == Numbers.end() || Number->second != Class.m_Tier->m_Number))
-      takeOut(Class, Moved);
+      removeAll(Class, Moved);
   }
   for (const Contract &Row : Table.m_Contracts)
     applyRow(m_Classes[Row.m_Id], Row, Now);
   rebuildTiers(Numbers);
-  for (const Displacement &Move : Moved)
+  for (const MovedBid &Move : Moved)
     if (Move.m_Bid->m_Class->m_Tier != nullptr)
       push(*Move.m_Bid, Move.m_IsLate);
     else
@@ -168,7 +170,7 @@
     updateBlocks(*Class);
 }
 
-void Queue::takeOut(ClassState &Class, std::vector<Displacement> &Moved) {
+void Queue::removeAll(ClassState &Class, std::vector<MovedBid> &Moved) {
   const std::size_t First = Moved.size();
   for (Lane *L : {&Class.m_OnTime, &Class.m_Late})
     for (Request &Waiting : L->m_ByDeadline)
--- a/src/decision/queue.h
+++ b/src/decision/queue.h
@@ -34,7 +34,7 @@
   /// Advances the tier's virtual time to that of the flow being served.
   /// Workspaces that become active start from it, so that an idle one saves up
   /// no service.
-  static void noteServed(const Request &Waiting);
+  static void advanceVirtualTime(const Request &Waiting);
 
   /// Adds \p Change to the count of running work, and blocks or unblocks the
   /// workspace's flows.
@@ -50,13 +50,13 @@
 
 private:
   /// A waiting bid that moves from one tier to another.
-  struct Displacement {
+  struct MovedBid {
     Request *m_Bid; ///< Never null; in no lane.
     bool m_IsLate;  ///< In the late lane, before and after.
   };
 
   void rebuildTiers(const std::map<ClassId, std::uint8_t> &Numbers);
-  void takeOut(ClassState &Class, std::vector<Displacement> &Moved);
+  void removeAll(ClassState &Class, std::vector<MovedBid> &Moved);
 
   /// All rows ever listed; never erased.
   std::map<ClassId, ClassState> m_Classes;
--- a/src/decision/request_base.h
+++ b/src/decision/request_base.h
@@ -14,14 +14,14 @@
 
 struct ClassState;
 struct Flow;
-struct Serving;
+struct UpstreamState;
 
 /// State of a request. Refused and finished requests are erased.
 enum class RequestState : std::uint8_t {
   Waiting, ///< In a lane of its class.
   Granted, ///< Holds a slot.
   /// Lost its slot by a decision of the pool; may bid again without limits.
-  Returning,
+  AwaitingRebid,
 };
 
 /// Hook of an intrusive sorted set, so that queueing does not allocate.
@@ -30,29 +30,29 @@
 
 /// One request. Its address is stable while it exists.
 struct Request {
-  Bid m_Bid;                 ///< As last sent.
-  std::uint64_t m_Order = 0; ///< Number of the arrival; unique.
-  ClassState *m_Class;       ///< Never null.
-  Flow *m_Flow = nullptr;    ///< Queue that holds it; null unless waiting.
+  Bid m_Bid;                         ///< As last sent.
+  std::uint64_t m_ArrivalNumber = 0; ///< Number of the arrival; unique.
+  ClassState *m_Class;               ///< Never null.
+  Flow *m_Flow = nullptr; ///< Queue that holds it; null unless waiting.
   /// Where it runs; null unless granted.
-  Serving *m_Serving = nullptr;
+  UpstreamState *m_UpstreamState = nullptr;
   TimePoint m_FlowKey;  ///< Order within its flow.
   TimePoint m_Deadline; ///< Waiting: the target, or the limit if late.
   TimePoint m_Limit;    ///< End of the longest wait.
   /// When it was granted, ordered to stop, or lost its slot.
-  TimePoint m_Since;
-  TimePoint m_Lapses;      ///< Granted without a sign of use: freed then.
-  double m_FreeRate = 0.0; ///< Its part of the upstream's, slots per second.
-  double m_Reserved = 0.0; ///< Taken from the token buckets.
-  std::uint32_t m_Expected = 0; ///< Output tokens charged at the grant.
-  std::uint32_t m_Progress = 0; ///< As far as reported by an entry.
+  TimePoint m_StateSince;
+  TimePoint m_SilenceDeadline; ///< Granted without a sign of use: freed then.
+  double m_ReleaseRate = 0.0; ///< Its part of the upstream's, slots per second.
+  double m_ReservedTokens = 0.0;       ///< Taken from the token buckets.
+  std::uint32_t m_ExpectedTokens = 0;  ///< Output tokens charged at the grant.
+  std::uint32_t m_GeneratedTokens = 0; ///< As far as reported by an entry.
   RequestState m_State = RequestState::Waiting;
   std::uint8_t m_WasteRank = 0;   ///< Cost of stopping it; fixed while granted.
   std::uint8_t m_Preemptions = 0; ///< Times it was ordered to stop; saturating.
-  bool m_SawToken = false;        ///< Its first token was reported.
-  bool m_Stopping = false;        ///< Granted, and ordered to stop.
+  bool m_HasFirstToken = false;   ///< Its first token was reported.
+  bool m_IsStopping = false;      ///< Granted, and ordered to stop.
   /// Not refused before its limit, unless displaced or its row is removed.
-  bool m_IsKept = false;
+  bool m_WaitsUntilLimit = false;
   bool m_IsProbe = false; ///< Granted to an ejected upstream.
   QueueHook m_QueueHook; ///< Waiting: its flow. Granted: its class's m_Victims.
   QueueHook m_DeadlineHook; ///< Waiting: its lane's m_ByDeadline.
@@ -61,15 +61,16 @@
 /// Orders a flow by target, then by arrival.
 struct FlowOrder {
   bool operator()(const Request &A, const Request &B) const {
-    return std::tie(A.m_FlowKey, A.m_Order) < std::tie(B.m_FlowKey, B.m_Order);
+    return std::tie(A.m_FlowKey, A.m_ArrivalNumber) <
+           std::tie(B.m_FlowKey, B.m_ArrivalNumber);
   }
 };
 
 /// Orders a lane by deadline, then by arrival.
 struct DeadlineOrder {
   bool operator()(const Request &A, const Request &B) const {
-    return std::tie(A.m_Deadline, A.m_Order) <
-           std::tie(B.m_Deadline, B.m_Order);
+    return std::tie(A.m_Deadline, A.m_ArrivalNumber) <
+           std::tie(B.m_Deadline, B.m_ArrivalNumber);
   }
 };
 
@@ -77,8 +78,8 @@
 /// the youngest, which has generated least.
 struct VictimOrder {
   bool operator()(const Request &A, const Request &B) const {
-    return std::tie(A.m_WasteRank, B.m_Since, B.m_Order) <
-           std::tie(B.m_WasteRank, A.m_Since, A.m_Order);
+    return std::tie(A.m_WasteRank, B.m_StateSince, B.m_ArrivalNumber) <
+           std::tie(B.m_WasteRank, A.m_StateSince, A.m_ArrivalNumber);
   }
 };
 
--- a/src/decision/serving.cpp
+++ b/src/decision/serving.cpp
@@ -23,8 +23,8 @@
   return 0;
 }
 
-double Serving::load(TimePoint Now) const {
-  const std::uint32_t Busy = m_Used + external(Now);
+double UpstreamState::load(TimePoint Now) const {
+  const std::uint32_t Busy = m_UsedSlots + externalLoad(Now);
   return static_cast<double>(Busy) / static_cast<double>(std::max(1U, m_Slots));
 }
 
@@ -36,7 +36,7 @@
          Kind->m_Models.end();
 }
 
-bool canResume(const Serving &State) {
+bool canResume(const UpstreamState &State) {
   const auto *Kind = std::get_if<Engine>(&State.m_Upstream.m_Kind);
   return Kind != nullptr && Kind->m_CanResume;
 }
--- a/src/decision/straggler.cpp
+++ b/src/decision/straggler.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-bool hasSpeed(const Serving &State) {
+bool hasSpeed(const UpstreamState &State) {
   return State.isUsable() && !State.m_Ejected &&
-         State.m_Slowness.count() >= tuning::StragglerSamples;
+         State.m_Slowness.count() >= tuning::MinStragglerSamples;
 }
 
 /// Returns the median slowness of the other upstreams that can be judged; 0 if
 /// they are too few.
-double medianOfPeers(const Fleet &F, const Serving &Excluded) {
+double medianOfPeers(const Fleet &F, const UpstreamState &Excluded) {
   boost::container::small_vector<double, 32> Peers;
   std::size_t Usable = 0;
-  for (const auto &[Id, State] : F.all()) {
+  for (const auto &[Id, State] : F.upstreams()) {
     Usable += State.isUsable() ? 1 : 0;
     if (&State != &Excluded && hasSpeed(State))
       Peers.push_back(State.m_Slowness.value());
@@ -42,7 +42,7 @@
 
 Counts count(const Fleet &F) {
   Counts Result;
-  for (const auto &[Id, State] : F.all()) {
+  for (const auto &[Id, State] : F.upstreams()) {
     if (!State.isUsable())
       continue;
     ++Result.m_Usable;
@@ -58,19 +58,19 @@
   return Usable == 0 ? 0 : std::min(Limit, Usable - 1);
 }
 
-void setEjected(Pool &P, Serving &State, bool IsEjected) {
+void setEjected(Pool &P, UpstreamState &State, bool IsEjected) {
   State.m_Ejected = IsEjected;
-  State.m_GoodProbes = 0;
+  State.m_ConsecutiveGoodProbes = 0;
   State.m_ProbeRunning = false;
   State.m_Slowness.reset();
-  State.m_ProbePause = tuning::FirstProbePause;
-  State.m_NextProbe = P.m_Now + State.m_ProbePause;
+  State.m_ProbeInterval = tuning::InitialProbeInterval;
+  State.m_NextProbe = P.m_Now + State.m_ProbeInterval;
   State.m_LastProbe = P.m_Now;
   P.m_Actions->push_back(EjectionChanged{State.m_Upstream.m_Id, IsEjected});
   updateFloors(P);
 }
 
-void checkStraggler(Pool &P, Serving &State) {
+void checkStraggler(Pool &P, UpstreamState &State) {
   if (!hasSpeed(State))
     return;
   const double Median = medianOfPeers(P.m_Fleet, State);
@@ -83,30 +83,32 @@
     setEjected(P, State, true);
 }
 
-void checkProbe(Pool &P, Serving &State, double Slowness) {
+void checkProbe(Pool &P, UpstreamState &State, double Slowness) {
   const double Median = medianOfPeers(P.m_Fleet, State);
   const double Allowed =
       tuning::RecoveredFactor * (Median > 0.0 ? Median : 1.0);
   if (Slowness <= Allowed) {
-    if (++State.m_GoodProbes >= tuning::GoodProbes)
+    if (++State.m_ConsecutiveGoodProbes >= tuning::GoodProbesToRestore)
       setEjected(P, State, false);
     else
       State.m_NextProbe = P.m_Now;
     return;
   }
-  State.m_GoodProbes = 0;
-  State.m_ProbePause = std::min(2 * State.m_ProbePause, tuning::MaxProbePause);
-  State.m_NextProbe = P.m_Now + State.m_ProbePause;
+  State.m_ConsecutiveGoodProbes = 0;
+  State.m_ProbeInterval =
+      std::min(2 * State.m_ProbeInterval, tuning::MaxProbeInterval);
+  State.m_NextProbe = P.m_Now + State.m_ProbeInterval;
 }
 
 } // namespace
 
-void addSpeed(Pool &P, Serving &State, const SpeedSample &Sample,
-              bool IsProbe) {
-  if (Sample.m_Mean <= 0.0 || P.isBaseline())
+void recordSpeed(Pool &P, UpstreamState &State, const SpeedSample &Sample,
+                 bool IsProbe) {
+  if (Sample.m_ClassMean <= 0.0 || P.isBaseline())
     return;
-  const bool IsNear = Sample.m_Seconds < Sample.m_Mean + Sample.m_MinExcess;
-  const double Ratio = Sample.m_Seconds / Sample.m_Mean;
+  const bool IsNear =
+      Sample.m_Seconds < Sample.m_ClassMean + Sample.m_MinExcess;
+  const double Ratio = Sample.m_Seconds / Sample.m_ClassMean;
   const double Slowness = IsNear ? std::min(Ratio, 1.0) : Ratio;
   if (!State.m_Ejected) {
     State.m_Slowness.add(Slowness);
@@ -118,14 +120,14 @@
   }
 }
 
-void endProbe(Pool &P, Serving &State) {
+void endProbe(Pool &P, UpstreamState &State) {
   State.m_ProbeRunning = false;
   State.m_NextProbe = std::max(State.m_NextProbe, P.m_Now);
 }
 
 void reviewEjections(Pool &P) {
   Counts Current = count(P.m_Fleet);
-  for (auto &[Id, State] : P.m_Fleet.all()) {
+  for (auto &[Id, State] : P.m_Fleet.upstreams()) {
     if (Current.m_Ejected <= maxEjected(P, Current.m_Usable))
       return;
     if (!State.m_Ejected || !State.isUsable())
@@ -135,13 +137,14 @@
   }
 }
 
-double relativeSlowness(const Pool &P, const Serving &State) {
+double relativeSlowness(const Pool &P, const UpstreamState &State) {
   if (!hasSpeed(State) || P.m_MedianSlowness <= 0.0)
     return 1.0;
   return State.m_Slowness.value() / P.m_MedianSlowness;
 }
 
-bool mayProbe(const Serving &State, const ClassState &Class, TimePoint Now) {
+bool mayProbe(const UpstreamState &State, const ClassState &Class,
+              TimePoint Now) {
   const bool IsOpenToAll = Now >= State.m_LastProbe + tuning::ProbeByAnyAfter;
   return State.m_Ejected && State.isUsable() && !State.m_ProbeRunning &&
          Now >= State.m_NextProbe && Now >= State.m_BackoffUntil &&
--- a/src/decision/straggler_func.h
+++ b/src/decision/straggler_func.h
@@ -8,18 +8,19 @@
 
 /// A measured time and the mean of its class, both in seconds.
 struct SpeedSample {
-  double m_Seconds; ///< Measured.
-  double m_Mean;    ///< Of the class; 0: unknown.
+  double m_Seconds;   ///< Measured.
+  double m_ClassMean; ///< Of the class; 0: unknown.
   /// Times that exceed the mean by less than this do not count as slow.
   double m_MinExcess;
 };
 
 /// Records a sample of \p State: ejects it if it is a straggler, or evaluates a
 /// probe.
-void addSpeed(Pool &P, Serving &State, const SpeedSample &Sample, bool IsProbe);
+void recordSpeed(Pool &P, UpstreamState &State, const SpeedSample &Sample,
+                 bool IsProbe);
 
 /// Ends a probe, with or without a sample.
-void endProbe(Pool &P, Serving &State);
+void endProbe(Pool &P, UpstreamState &State);
 
 /// Restores ejected upstreams when the pool has shrunk so far that more than
 /// the allowed share is ejected.
@@ -27,10 +28,11 @@
 
 /// Returns an upstream's slowness relative to the median of its peers; 1 while
 /// unknown.
-double relativeSlowness(const Pool &P, const Serving &State);
+double relativeSlowness(const Pool &P, const UpstreamState &State);
 
 /// Tells whether a bid of \p Class may probe the ejected upstream now.
-bool mayProbe(const Serving &State, const ClassState &Class, TimePoint Now);
+bool mayProbe(const UpstreamState &State, const ClassState &Class,
+              TimePoint Now);
 
 } // namespace crowstep::decision
 
--- a/src/decision/token_bucket.cpp
+++ b/src/decision/token_bucket.cpp
@@ -32,7 +32,7 @@
   m_At = Now;
 }
 
-bool TokenBucket::has(double Amount, TimePoint Now) const {
+bool TokenBucket::canTake(double Amount, TimePoint Now) const {
   if (m_PerSecond == 0.0)
     return true;
   return level(Now) + Rounding >= std::min(Amount, capacity());
@@ -43,8 +43,8 @@
   m_At = Now;
 }
 
-Duration TokenBucket::until(double Amount, TimePoint Now) const {
-  if (has(Amount, Now))
+Duration TokenBucket::timeUntil(double Amount, TimePoint Now) const {
+  if (canTake(Amount, Now))
     return Duration::zero();
   const double Missing = std::min(Amount, capacity()) - level(Now);
   return fromSeconds(Missing / m_PerSecond) + Duration(1);
@@ -57,7 +57,7 @@
                      m_Level + PerCent * static_cast<double>(Percent));
 }
 
-bool RetryBudget::spend() {
+bool RetryBudget::trySpend() {
   if (m_Level < 1.0)
     return false;
   m_Level -= 1.0;
--- a/src/decision/token_bucket.h
+++ b/src/decision/token_bucket.h
@@ -17,14 +17,14 @@
   void setRate(std::uint32_t PerSecond, TimePoint Now);
 
   /// Tells whether \p Amount, or a full bucket if that is less, is available.
-  [[nodiscard]] bool has(double Amount, TimePoint Now) const;
+  [[nodiscard]] bool canTake(double Amount, TimePoint Now) const;
 
   /// Takes \p Amount, also if it is not available. A negative amount is
   /// returned to the bucket.
   void take(double Amount, TimePoint Now);
 
   /// Returns the time until canTake(\p Amount).
-  [[nodiscard]] Duration until(double Amount, TimePoint Now) const;
+  [[nodiscard]] Duration timeUntil(double Amount, TimePoint Now) const;
 
 private:
   [[nodiscard]] double level(TimePoint Now) const;
@@ -41,7 +41,7 @@
   RetryBudget();
   void earn(std::uint32_t Percent);
   /// Takes one retry; returns false if the budget is used up.
-  [[nodiscard]] bool spend();
+  [[nodiscard]] bool trySpend();
 
 private:
   double m_Level; ///< Retries available, 0 to tuning::RetryBurst.
--- a/src/decision/tuning.h
+++ b/src/decision/tuning.h
@@ -25,7 +25,7 @@
 inline constexpr double RetryBurst = 20.0;
 /// Time for which a request that the pool took its slot from may bid again
 /// without limits and budgets.
-inline constexpr Duration ReturnWindow = 10s;
+inline constexpr Duration RebidWindow = 10s;
 /// Bids that one pool holds; beyond this lower tiers are displaced.
 inline constexpr std::size_t MaxWaiting = 200'000;
 
@@ -42,16 +42,16 @@
 /// class's.
 inline constexpr std::uint32_t MinSamples = 8;
 /// Output tokens assumed without samples.
-inline constexpr std::uint32_t UnknownLength = 128;
+inline constexpr std::uint32_t DefaultOutputLength = 128;
 /// Weight of a new sample in a moving average.
 inline constexpr double MeanGain = 0.1;
 /// The same for the time for which a slot is held, which varies widely; a
 /// higher gain makes estimated waits jump with every long answer.
-inline constexpr double ServiceGain = 0.01;
+inline constexpr double ServiceTimeGain = 0.01;
 /// Time constant of the arrival rates.
-inline constexpr double OfferedSeconds = 30.0;
+inline constexpr double ArrivalRateSeconds = 30.0;
 /// Time for which the computed offered load is reused.
-inline constexpr Duration OfferedLifetime = 20ms;
+inline constexpr Duration OfferedLoadLifetime = 20ms;
 /// Cost of a prompt token relative to a generated one; a prompt is processed in
 /// parallel.
 inline constexpr double PromptTokenCost = 0.1;
@@ -62,15 +62,15 @@
 inline constexpr Duration MinRetryAfter = 100ms;
 inline constexpr Duration MaxRetryAfter = 60s;
 /// Retry delay when there is no upstream, or the retry budget is used up.
-inline constexpr Duration NoUpstreamRetryAfter = 1s;
+inline constexpr Duration DefaultRetryAfter = 1s;
 /// Factor on an estimated wait that must fit before the target, where a bid
 /// can't wait longer. Under overload what is admitted is then served in time,
 /// with slack for a floor slot.
-inline constexpr double WaitSafety = 2.0;
+inline constexpr double WaitSafetyFactor = 2.0;
 /// Ratio of offered load to slots from which a pool counts as overloaded: some
 /// bids must be refused. Lower values mistake random peaks for overload, and
 /// refuse bids or give away slots that bids could have used.
-inline constexpr double Overload = 1.1;
+inline constexpr double OverloadRatio = 1.1;
 /// Least share of a pool that serves a queue while more arrives than is served:
 /// short of overload, and under overload, where waiting is hopeless.
 inline constexpr double BusyDrainShare = 0.1;
@@ -79,11 +79,11 @@
 // ---- Floor and preemption ---------------------------------------------------
 
 /// Longest time for which a floor deficit accumulates.
-inline constexpr double FloorSeconds = 60.0;
+inline constexpr double MaxFloorDeficitSeconds = 60.0;
 /// Share above its floor that a class may use ahead of more urgent bids when it
 /// is FloorCatchUpSeconds behind; without it, slots lost to preemption would
 /// never be made up for.
-inline constexpr double FloorCatchUp = 1.0;
+inline constexpr double FloorCatchUpShare = 1.0;
 inline constexpr double FloorCatchUpSeconds = 10.0;
 /// Slack that a more urgent bid must keep when a floor slot is granted.
 inline constexpr Duration FloorMargin = 50ms;
@@ -93,21 +93,21 @@
 /// Share of the expected slot releases that is relied on before work beyond its
 /// class's floor is stopped. Lower values stop work needlessly; higher ones let
 /// queues of urgent bids grow too long to be caught up with.
-inline constexpr double PreemptTrust = 0.4;
+inline constexpr double PreemptTrustedShare = 0.4;
 /// The same before work within its floor is stopped, and before a floor slot is
 /// granted ahead of more urgent bids. Both use one value, so that a slot
 /// granted this way is not preempted at once.
-inline constexpr double FloorTrust = 0.8;
+inline constexpr double FloorTrustedShare = 0.8;
 /// Time from an order to stop until the slot is free, until it is measured.
-inline constexpr Duration FirstPreemptDelay = 50ms;
+inline constexpr Duration InitialPreemptDelay = 50ms;
 /// Added to the measured delay for the two messages and the event loop's
 /// jitter.
 inline constexpr Duration PreemptMargin = 30ms;
 /// After this long, work that did not obey an order to stop is preemptible
 /// again.
-inline constexpr Duration PreemptPatience = 2s;
+inline constexpr Duration StopOrderTimeout = 2s;
 /// Preemptions from which a request is stopped only as a last resort.
-inline constexpr std::uint8_t PreemptionsBeforeLast = 3;
+inline constexpr std::uint8_t PreemptionsBeforeLastResort = 3;
 /// Running requests examined in one class, and preemptions per event.
 inline constexpr unsigned MaxVictimScan = 32;
 inline constexpr unsigned MaxPreemptionsAtOnce = 16;
@@ -120,7 +120,7 @@
 /// A grant without a sign of use is freed this long after its validity ended.
 inline constexpr Duration UnusedGrantMargin = 1s;
 /// Factor on the first-token quantile for which a grant in use may be silent.
-inline constexpr int SilentFirstTokens = 4;
+inline constexpr int SilenceFirstTokenFactor = 4;
 
 // ---- Placement --------------------------------------------------------------
 
@@ -139,7 +139,7 @@
 /// An upstream that was last reported to be draining this long ago may count as
 /// available again. Also the silence after which a lower report number means a
 /// new incarnation.
-inline constexpr Duration LeavingMemory = 10s;
+inline constexpr Duration DrainingHoldTime = 10s;
 
 // ---- Stragglers and failures ------------------------------------------------
 
@@ -152,19 +152,19 @@
 inline constexpr double StragglerMinTokenSeconds = 0.005;
 inline constexpr double StragglerMinFirstTokenSeconds = 0.05;
 /// Samples before an upstream is judged, and good probes before it is restored.
-inline constexpr std::uint32_t StragglerSamples = 5;
-inline constexpr std::uint32_t GoodProbes = 2;
+inline constexpr std::uint32_t MinStragglerSamples = 5;
+inline constexpr std::uint32_t GoodProbesToRestore = 2;
 /// Weight of a new sample in an upstream's slowness.
 inline constexpr double SpeedGain = 0.25;
 /// Calls with fewer output tokens yield no sample of the time per token.
 inline constexpr std::uint32_t MinSpeedTokens = 8;
 /// Interval between probes; doubled after each bad one.
-inline constexpr Duration FirstProbePause = 2s;
-inline constexpr Duration MaxProbePause = 16s;
+inline constexpr Duration InitialProbeInterval = 2s;
+inline constexpr Duration MaxProbeInterval = 16s;
 /// After this long without a probe, bids of any class may probe.
 inline constexpr Duration ProbeByAnyAfter = 10s;
 /// Pause after a failed connection; doubled with each further failure.
-inline constexpr Duration FirstBackoff = 500ms;
+inline constexpr Duration InitialBackoff = 500ms;
 inline constexpr Duration MaxBackoff = 8s;
 /// Consecutive failed calls before an upstream is paused; a failed connection
 /// pauses it at once.
--- a/src/decision/work.cpp
+++ b/src/decision/work.cpp
@@ -14,9 +14,9 @@
 
 /// Returns the cost of stopping the work: work that can't be resumed, and work
 /// that was stopped often, is stopped last.
-std::uint8_t wasteRank(const Request &Work, const Serving &State) {
+std::uint8_t wasteRank(const Request &Work, const UpstreamState &State) {
   const int Preempted =
-      Work.m_Preemptions >= tuning::PreemptionsBeforeLast ? 2 : 0;
+      Work.m_Preemptions >= tuning::PreemptionsBeforeLastResort ? 2 : 0;
   const int Lost = canResume(State) ? 0 : 1;
   return static_cast<std::uint8_t>(Preempted + Lost);
 }
@@ -35,27 +35,27 @@
   // service. Freeing its slot too early would overload the upstream, so it gets
   // several times the usual time to the first token, or the whole limit if that
   // time is unknown.
-  if (Class.m_FirstTokens.count() < tuning::MinSamples)
+  if (Class.m_FirstTokenTimes.count() < tuning::MinSamples)
     return Unused + Class.m_Contract.m_TotalLimit;
-  return Unused +
-         tuning::SilentFirstTokens *
-             fromSeconds(Class.m_FirstTokens.value() / MillisecondsPerSecond);
+  return Unused + tuning::SilenceFirstTokenFactor *
+                      fromSeconds(Class.m_FirstTokenTimes.value() /
+                                  MillisecondsPerSecond);
 }
 
 void restartSilence(Pool &P, Request &Work) {
-  P.m_Lapses.erase({Work.m_Lapses, Work.m_Bid.m_Request});
-  Work.m_Lapses = P.m_Now + silenceTimeout(P, Work);
-  P.m_Lapses.emplace(Work.m_Lapses, Work.m_Bid.m_Request);
+  P.m_SilenceDeadlines.erase({Work.m_SilenceDeadline, Work.m_Bid.m_Request});
+  Work.m_SilenceDeadline = P.m_Now + silenceTimeout(P, Work);
+  P.m_SilenceDeadlines.emplace(Work.m_SilenceDeadline, Work.m_Bid.m_Request);
 }
 
-void occupy(Pool &P, Request &Work, Serving &State) {
+void occupy(Pool &P, Request &Work, UpstreamState &State) {
   ClassState &Class = *Work.m_Class;
   const double Seconds = Class.serviceSeconds();
   Work.m_State = RequestState::Granted;
-  Work.m_Serving = &State;
-  Work.m_Since = P.m_Now;
-  Work.m_Expected = expectedTokens(Class, Work.m_Bid, P.m_Now);
-  Work.m_FreeRate = Seconds > 0.0 ? 1.0 / Seconds : 0.0;
+  Work.m_UpstreamState = &State;
+  Work.m_StateSince = P.m_Now;
+  Work.m_ExpectedTokens = expectedTokens(Class, Work.m_Bid, P.m_Now);
+  Work.m_ReleaseRate = Seconds > 0.0 ? 1.0 / Seconds : 0.0;
   Work.m_WasteRank = wasteRank(Work, State);
   Work.m_IsProbe = State.m_Ejected;
   if (Work.m_IsProbe) {
@@ -64,7 +64,7 @@
   }
   if (!P.isBaseline())
     P.m_Queue.charge(Class, Work.m_Bid.m_Workspace,
-                     costOf(Work, Work.m_Expected));
+                     costOf(Work, Work.m_ExpectedTokens));
   Queue::addRunning(Class, Work.m_Bid.m_Workspace, 1, P.m_Now);
   P.m_Fleet.addWork(State, Work, P.m_Now);
   Class.m_Victims.insert(Work);
@@ -75,18 +75,19 @@
   ClassState &Class = *Work.m_Class;
   if (Work.m_QueueHook.is_linked())
     Class.m_Victims.erase(Class.m_Victims.iterator_to(Work));
-  if (Work.m_Stopping) {
-    --P.m_Stops;
-    P.m_StopDelay.add(toSeconds(P.m_Now - Work.m_Since));
-    P.m_StopLead = fromSeconds(P.m_StopDelay.value()) + tuning::PreemptMargin;
-    Work.m_Stopping = false;
+  if (Work.m_IsStopping) {
+    --P.m_PendingStops;
+    P.m_StopDelay.add(toSeconds(P.m_Now - Work.m_StateSince));
+    P.m_StopLeadTime =
+        fromSeconds(P.m_StopDelay.value()) + tuning::PreemptMargin;
+    Work.m_IsStopping = false;
   }
   if (Work.m_IsProbe)
-    endProbe(P, *Work.m_Serving);
-  P.m_Lapses.erase({Work.m_Lapses, Work.m_Bid.m_Request});
+    endProbe(P, *Work.m_UpstreamState);
+  P.m_SilenceDeadlines.erase({Work.m_SilenceDeadline, Work.m_Bid.m_Request});
   Queue::addRunning(Class, Work.m_Bid.m_Workspace, -1, P.m_Now);
-  P.m_Fleet.endWork(*Work.m_Serving, Work, P.m_Now);
-  Work.m_Serving = nullptr;
+  P.m_Fleet.endWork(*Work.m_UpstreamState, Work, P.m_Now);
+  Work.m_UpstreamState = nullptr;
   --P.m_Running;
 }
 
@@ -94,13 +95,13 @@
 void settle(Pool &P, Request &Work, std::uint32_t Tokens) {
   ClassState &Class = *Work.m_Class;
   const double Taken = static_cast<double>(Tokens);
-  const double Expected = static_cast<double>(Work.m_Expected);
+  const double Expected = static_cast<double>(Work.m_ExpectedTokens);
   if (!P.isBaseline())
     P.m_Queue.charge(Class, Work.m_Bid.m_Workspace, Taken - Expected);
-  Class.m_Tokens.take(Taken - Work.m_Reserved, P.m_Now);
-  Class.useOf(Work.m_Bid.m_Workspace, P.m_Now)
-      .m_Tokens.take(Taken - Work.m_Reserved, P.m_Now);
-  Work.m_Reserved = 0.0;
+  Class.m_TokenLimit.take(Taken - Work.m_ReservedTokens, P.m_Now);
+  Class.usageOf(Work.m_Bid.m_Workspace, P.m_Now)
+      .m_TokenLimit.take(Taken - Work.m_ReservedTokens, P.m_Now);
+  Work.m_ReservedTokens = 0.0;
 }
 
 void recordLengths(Pool &P, const Request &Work, std::uint32_t Tokens) {
@@ -109,29 +110,30 @@
   // Samples are whole answers, so that the rest of a resumed one does not count
   // as a short answer.
   const double Whole = static_cast<double>(Tokens + Work.m_Bid.m_DoneTokens);
-  Work.m_Class->m_Lengths.add(Whole);
-  Work.m_Class->useOf(Work.m_Bid.m_Workspace, P.m_Now).m_Lengths.add(Whole);
+  Work.m_Class->m_OutputLengths.add(Whole);
+  Work.m_Class->usageOf(Work.m_Bid.m_Workspace, P.m_Now)
+      .m_OutputLengths.add(Whole);
 }
 
 void recordTimes(Pool &P, Request &Work, const WorkEnded &End) {
   ClassState &Class = *Work.m_Class;
   const double Seconds = toSeconds(End.m_Elapsed);
-  Class.m_Service.add(Seconds);
-  if (!Work.m_SawToken) {
+  Class.m_ServiceTime.add(Seconds);
+  if (!Work.m_HasFirstToken) {
     // The answer of a plain service counts as its first token.
     noteFirstToken(P, Work, End.m_Elapsed);
   }
   if (End.m_Tokens < tuning::MinSpeedTokens)
     return;
   const double PerToken = Seconds / static_cast<double>(End.m_Tokens);
-  addSpeed(
-      P, *Work.m_Serving,
-      {PerToken, Class.m_TokenMean.value(), tuning::StragglerMinTokenSeconds},
-      Work.m_IsProbe);
-  Class.m_TokenMean.add(PerToken);
+  recordSpeed(P, *Work.m_UpstreamState,
+              {PerToken, Class.m_TimePerTokenMean.value(),
+               tuning::StragglerMinTokenSeconds},
+              Work.m_IsProbe);
+  Class.m_TimePerTokenMean.add(PerToken);
 }
 
-void noteHealth(Pool &P, Serving &State, WorkEnd End) {
+void noteHealth(Pool &P, UpstreamState &State, WorkEnd End) {
   switch (End) {
   case WorkEnd::Finished:
     Fleet::noteSuccess(State);
@@ -143,8 +145,8 @@
   case WorkEnd::ConnectFailed:
     Fleet::noteFailure(State, true, P.m_Now);
     break;
-  case WorkEnd::UpstreamLeaving:
-    Fleet::noteLeaving(State, P.m_Now);
+  case WorkEnd::UpstreamDraining:
+    Fleet::noteDraining(State, P.m_Now);
     updateFloors(P);
     reviewEjections(P);
     break;
@@ -158,43 +160,43 @@
 /// Tells whether the attempt ended without fault of the caller or the upstream,
 /// so that the next bid is not a retry and is exempt from limits.
 bool isExemptEnd(WorkEnd End) {
-  return End == WorkEnd::Preempted || End == WorkEnd::UpstreamLeaving ||
+  return End == WorkEnd::Preempted || End == WorkEnd::UpstreamDraining ||
          End == WorkEnd::Unused;
 }
 
 void keepForRebid(Pool &P, Request &Work) {
-  Work.m_State = RequestState::Returning;
-  Work.m_Since = P.m_Now;
-  Work.m_SawToken = false;
-  Work.m_Progress = 0;
-  P.m_Returning.emplace_back(P.m_Now, Work.m_Bid.m_Request);
+  Work.m_State = RequestState::AwaitingRebid;
+  Work.m_StateSince = P.m_Now;
+  Work.m_HasFirstToken = false;
+  Work.m_GeneratedTokens = 0;
+  P.m_AwaitingRebid.emplace_back(P.m_Now, Work.m_Bid.m_Request);
 }
 
 std::uint32_t estimateTokens(const Pool &P, const Request &Work) {
-  const double PerToken = Work.m_Class->m_TokenMean.value();
+  const double PerToken = Work.m_Class->m_TimePerTokenMean.value();
   if (PerToken <= 0.0)
-    return Work.m_Progress;
-  const double Estimate = toSeconds(P.m_Now - Work.m_Since) / PerToken;
-  const double Limit = static_cast<double>(Work.m_Expected);
-  return std::max(Work.m_Progress,
+    return Work.m_GeneratedTokens;
+  const double Estimate = toSeconds(P.m_Now - Work.m_StateSince) / PerToken;
+  const double Limit = static_cast<double>(Work.m_ExpectedTokens);
+  return std::max(Work.m_GeneratedTokens,
                   static_cast<std::uint32_t>(std::min(Estimate, Limit)));
 }
 
 void returnReserved(Pool &P, Request &Waiting) {
   ClassState &Class = *Waiting.m_Class;
-  Class.m_Tokens.take(-Waiting.m_Reserved, P.m_Now);
-  Class.useOf(Waiting.m_Bid.m_Workspace, P.m_Now)
-      .m_Tokens.take(-Waiting.m_Reserved, P.m_Now);
+  Class.m_TokenLimit.take(-Waiting.m_ReservedTokens, P.m_Now);
+  Class.usageOf(Waiting.m_Bid.m_Workspace, P.m_Now)
+      .m_TokenLimit.take(-Waiting.m_ReservedTokens, P.m_Now);
 }
 
 } // namespace
 
 std::uint32_t expectedTokens(ClassState &Class, const Bid &NewBid,
                              TimePoint Now) {
-  const Quantile &Own = Class.useOf(NewBid.m_Workspace, Now).m_Lengths;
+  const Quantile &Own = Class.usageOf(NewBid.m_Workspace, Now).m_OutputLengths;
   const bool IsOwnKnown = Own.count() >= tuning::MinSamples;
-  const Quantile &Best = IsOwnKnown ? Own : Class.m_Lengths;
-  std::uint32_t Whole = tuning::UnknownLength;
+  const Quantile &Best = IsOwnKnown ? Own : Class.m_OutputLengths;
+  std::uint32_t Whole = tuning::DefaultOutputLength;
   if (Best.count() > 0)
     Whole = static_cast<std::uint32_t>(Best.value());
   if (NewBid.m_MaxTokens != 0)
@@ -202,42 +204,43 @@
   return std::max(1U, Whole - std::min(Whole, NewBid.m_DoneTokens));
 }
 
-void grant(Pool &P, Request &Waiting, Serving &State) {
+void grant(Pool &P, Request &Waiting, UpstreamState &State) {
   if (!P.isBaseline())
-    Queue::noteServed(Waiting);
+    Queue::advanceVirtualTime(Waiting);
   P.m_Queue.remove(Waiting);
   occupy(P, Waiting, State);
   ++P.m_Stats.m_Granted;
-  grantAgain(P, Waiting);
+  resendGrant(P, Waiting);
 }
 
-void grantAgain(Pool &P, Request &Granted) {
-  if (!Granted.m_SawToken)
+void resendGrant(Pool &P, Request &Granted) {
+  if (!Granted.m_HasFirstToken)
     restartSilence(P, Granted);
   const int Tier = Granted.m_Class->m_Contract.m_Tier;
   P.m_Actions->push_back(
-      Grant{Granted.m_Bid.m_Request, Granted.m_Serving->m_Upstream.m_Id,
+      Grant{Granted.m_Bid.m_Request, Granted.m_UpstreamState->m_Upstream.m_Id,
             P.m_Config.m_GrantValidity,
             static_cast<std::uint8_t>(std::max(0, Tier - 1))});
 }
 
-void adopt(Pool &P, Request &Running, Serving &State) {
+void adopt(Pool &P, Request &Running, UpstreamState &State) {
   occupy(P, Running, State);
-  Running.m_SawToken = true;
+  Running.m_HasFirstToken = true;
 }
 
 void noteFirstToken(Pool &P, Request &Granted, Duration Latency) {
-  if (Granted.m_SawToken)
+  if (Granted.m_HasFirstToken)
     return;
-  Granted.m_SawToken = true;
-  P.m_Lapses.erase({Granted.m_Lapses, Granted.m_Bid.m_Request});
+  Granted.m_HasFirstToken = true;
+  P.m_SilenceDeadlines.erase(
+      {Granted.m_SilenceDeadline, Granted.m_Bid.m_Request});
   ClassState &Class = *Granted.m_Class;
   const double Seconds = toSeconds(Latency);
-  addSpeed(P, *Granted.m_Serving,
-           {Seconds, Class.m_FirstTokenMean.value(),
-            tuning::StragglerMinFirstTokenSeconds},
-           Granted.m_IsProbe);
-  Class.learnFirstToken(Latency);
+  recordSpeed(P, *Granted.m_UpstreamState,
+              {Seconds, Class.m_FirstTokenMean.value(),
+               tuning::StragglerMinFirstTokenSeconds},
+              Granted.m_IsProbe);
+  Class.recordFirstToken(Latency);
 }
 
 void finish(Pool &P, Request &Granted, const WorkEnded &End) {
@@ -245,7 +248,7 @@
     recordLengths(P, Granted, End.m_Tokens);
     recordTimes(P, Granted, End);
   }
-  noteHealth(P, *Granted.m_Serving, End.m_End);
+  noteHealth(P, *Granted.m_UpstreamState, End.m_End);
   settle(P, Granted, End.m_Tokens);
   release(P, Granted);
   if (isExemptEnd(End.m_End))
--- a/src/decision/work_func.h
+++ b/src/decision/work_func.h
@@ -11,13 +11,13 @@
                              TimePoint Now);
 
 /// Grants a slot of \p State to a waiting request.
-void grant(Pool &P, Request &Waiting, Serving &State);
+void grant(Pool &P, Request &Waiting, UpstreamState &State);
 
 /// Repeats the grant of a running request.
-void grantAgain(Pool &P, Request &Granted);
+void resendGrant(Pool &P, Request &Granted);
 
 /// Counts a request that an earlier owner granted as running at \p State.
-void adopt(Pool &P, Request &Running, Serving &State);
+void adopt(Pool &P, Request &Running, UpstreamState &State);
 
 /// Records the first token of a granted request.
 void noteFirstToken(Pool &P, Request &Granted, Duration Latency);
--- a/src/dispatcher/admin_api.cpp
+++ b/src/dispatcher/admin_api.cpp
@@ -74,7 +74,7 @@
   void operator()(const contract::ChangeConflict &Outcome) const {
     respondJson(m_Message, 409,
                 {{"outcome", "conflict"},
-                 {"version", Outcome.m_Present.value()},
+                 {"version", Outcome.m_PresentVersion.value()},
                  {"difference", Outcome.m_Difference}});
   }
   void operator()(const contract::ChangeUnavailable &Outcome) const {
@@ -148,7 +148,7 @@
           {"service", Info.m_Service},
           {"address", toString(Info.m_Address)},
           {"zone", Info.m_Zone.m_Name},
-          {"leaving", Info.m_Leaving}};
+          {"leaving", Info.m_Draining}};
 }
 
 std::string bearerKeyOf(SoupServerMessage *Message) {
@@ -172,9 +172,9 @@
 
 } // namespace
 
-AdminApi::AdminApi(const AdminParts &Parts)
-    : m_Parts(Parts),
-      m_Refused(Parts.m_Stats.counter("crowstep_admin_refused_total")) {}
+AdminApi::AdminApi(const AdminContext &Parts)
+    : m_Context(Parts),
+      m_RefusedCalls(Parts.m_Stats.counter("crowstep_admin_refused_total")) {}
 
 void AdminApi::listen(const Address &ListenAddress) {
   m_Server.listen(ListenAddress,
@@ -185,19 +185,20 @@
 
 void AdminApi::handle(SoupServerMessage *Message, const std::string &Path) {
   if (Path == "/healthz") {
-    const bool HasRight = m_Parts.m_Table.rightToServe();
+    const bool HasRight = m_Context.m_Table.rightToServe();
     respond(Message, HasRight ? 200 : 503, "text/plain",
             HasRight ? "ok\n" : "no\n");
     return;
   }
   if (Path == "/metrics") {
-    respond(Message, 200, "text/plain; version=0.0.4", m_Parts.m_Stats.text());
+    respond(Message, 200, "text/plain; version=0.0.4",
+            m_Context.m_Stats.text());
     return;
   }
   const Workspace *Operator =
-      m_Parts.m_Workspaces.operatorWith(bearerKeyOf(Message));
+      m_Context.m_Workspaces.findOperator(bearerKeyOf(Message));
   if (Operator == nullptr) {
-    m_Refused.add();
+    m_RefusedCalls.add();
     logEvent(LogEvent::AdminRefused, {{"path", Path}});
     respondError(Message, 401, "unknown_key", "an operator's key is needed");
     return;
@@ -229,13 +230,13 @@
     return changeDrain(Message, Path.substr(std::string(DrainsPath).size()),
                        Operator);
   if (Path.starts_with(OrdersPath) && Method == "POST")
-    return giveOrder(Message, Path.substr(std::string(OrdersPath).size()),
+    return postOrder(Message, Path.substr(std::string(OrdersPath).size()),
                      Operator);
   respondError(Message, 404, "unknown_path", Method + " " + Path);
 }
 
 void AdminApi::getTable(SoupServerMessage *Message) const {
-  const ContractTable &Table = m_Parts.m_Table.table();
+  const ContractTable &Table = m_Context.m_Table.table();
   soup_message_headers_replace(
       soup_server_message_get_response_headers(Message), VersionHeader,
       std::to_string(Table.m_Version.value()).c_str());
@@ -245,8 +246,8 @@
 void AdminApi::checkTable(SoupServerMessage *Message) const {
   const ContractTable NewTable = contract::readCsv(requestBody(Message));
   respondJson(Message, 200,
-              {{"version", m_Parts.m_Table.table().m_Version.value()},
-               {"difference", m_Parts.m_Table.tryChange(NewTable)}});
+              {{"version", m_Context.m_Table.table().m_Version.value()},
+               {"difference", m_Context.m_Table.tryChange(NewTable)}});
 }
 
 void AdminApi::putTable(SoupServerMessage *Message, const Workspace &Operator) {
@@ -256,7 +257,7 @@
                         "If-Match must give the version that was read");
   const ContractTable NewTable = contract::readCsv(requestBody(Message));
   const auto Answer = std::make_shared<DeferredAnswer>(Message);
-  m_Parts.m_Table.change(
+  m_Context.m_Table.change(
       NewTable, *BaseVersion, Operator.m_Name,
       [Answer,
        OperatorName = Operator.m_Name](const contract::ChangeOutcome &Outcome) {
@@ -270,7 +271,7 @@
 
 void AdminApi::getHistory(SoupServerMessage *Message) {
   const auto Answer = std::make_shared<DeferredAnswer>(Message);
-  m_Parts.m_Table.history(
+  m_Context.m_Table.history(
       [Answer](const std::vector<contract::HistoryEntry> &Entries) {
         json Rows = json::array();
         for (const contract::HistoryEntry &Entry : Entries)
@@ -283,17 +284,17 @@
 
 void AdminApi::getStatus(SoupServerMessage *Message) const {
   json Members = json::array();
-  for (const membership::Member &Member : m_Parts.m_Fleet.members())
+  for (const membership::Member &Member : m_Context.m_Membership.members())
     Members.push_back(memberRow(Member));
   json Pools = json::array();
-  for (const auto &[Id, Runner] : m_Parts.m_Pools.pools())
+  for (const auto &[Id, Runner] : m_Context.m_Pools.pools())
     Pools.push_back(poolRow(*Runner));
   json Upstreams = json::array();
-  for (const Upstream &Info : m_Parts.m_Upstreams.upstreams())
+  for (const Upstream &Info : m_Context.m_Upstreams.upstreams())
     Upstreams.push_back(upstreamRow(Info));
   respondJson(Message, 200,
-              {{"table_version", m_Parts.m_Table.table().m_Version.value()},
-               {"right_to_serve", m_Parts.m_Table.rightToServe()},
+              {{"table_version", m_Context.m_Table.table().m_Version.value()},
+               {"right_to_serve", m_Context.m_Table.rightToServe()},
                {"instances", Members},
                {"pools", Pools},
                {"upstreams", Upstreams}});
@@ -308,7 +309,7 @@
   const bool Drained =
       std::string(soup_server_message_get_method(Message)) == "PUT";
   const auto Answer = std::make_shared<DeferredAnswer>(Message);
-  m_Parts.m_Upstreams.setDrained(
+  m_Context.m_Upstreams.setDrained(
       DrainKey, Drained,
       [Answer, DrainKey, Drained,
        OperatorName = Operator.m_Name](bool Written) {
@@ -324,7 +325,7 @@
       });
 }
 
-void AdminApi::giveOrder(SoupServerMessage *Message,
+void AdminApi::postOrder(SoupServerMessage *Message,
                          const std::string &Upstream,
                          const Workspace &Operator) {
   const json Body = json::parse(requestBody(Message), nullptr, false);
@@ -338,7 +339,7 @@
                         "order: load_model, load_adapter, unload_model or "
                         "set_role; name: a text");
   const auto Answer = std::make_shared<DeferredAnswer>(Message);
-  const bool Known = m_Parts.m_Orders.order(
+  const bool Known = m_Context.m_Orders.order(
       Upstream, *Kind, Body["name"].get<std::string>(),
       [Answer, Upstream,
        OperatorName = Operator.m_Name](lease::OrderOutcome Outcome) {
--- a/src/dispatcher/admin_api.h
+++ b/src/dispatcher/admin_api.h
@@ -33,9 +33,9 @@
 namespace crowstep::dispatcher {
 
 /// The components that the API reads and changes; all outlive it.
-struct AdminParts {
+struct AdminContext {
   contract::TableKeeper &m_Table;
-  membership::Membership &m_Fleet;
+  membership::Membership &m_Membership;
   UpstreamDirectory &m_Upstreams;
   const WorkspaceDirectory &m_Workspaces;
   const PoolSet &m_Pools;
@@ -45,7 +45,7 @@
 
 class AdminApi {
 public:
-  explicit AdminApi(const AdminParts &Parts);
+  explicit AdminApi(const AdminContext &Parts);
 
   /// \throws ListenError.
   void listen(const Address &ListenAddress);
@@ -61,12 +61,12 @@
   void getStatus(SoupServerMessage *Message) const;
   void changeDrain(SoupServerMessage *Message, const std::string &DrainKey,
                    const Workspace &Operator);
-  void giveOrder(SoupServerMessage *Message, const std::string &Upstream,
+  void postOrder(SoupServerMessage *Message, const std::string &Upstream,
                  const Workspace &Operator);
 
-  AdminParts m_Parts;  ///< Outlive this object.
-  Counter &m_Refused;  ///< Without a valid operator's key.
-  HttpServer m_Server; ///< Calls handle() for each request.
+  AdminContext m_Context;  ///< Outlive this object.
+  Counter &m_RefusedCalls; ///< Without a valid operator's key.
+  HttpServer m_Server;     ///< Calls handle() for each request.
 };
 
 } // namespace crowstep::dispatcher
--- a/src/dispatcher/dispatcher.h
+++ b/src/dispatcher/dispatcher.h
@@ -32,33 +32,33 @@
   void dialFailed(const Address &Target, link::CloseReason Reason) override;
 
   AttachmentSource attachmentSource();
-  void connectParts();
+  void connectComponents();
   /// Sends the upstreams and workspaces known here to a dispatcher, for the
   /// case that it can't read the platform itself.
-  void tellKnowledge(link::LinkId Link);
-  void learn(const wire::Knowledge &Received);
-  void watchRight();
+  void sendKnowledge(link::LinkId Link);
+  void applyKnowledge(const wire::Knowledge &Received);
+  void logRightChanges();
 
   DispatcherSettings m_Settings; ///< As read at start.
   LoopClock m_Clock;
   LoopScheduler m_Timers;
   Metrics m_Stats;
-  HttpClient m_Http;                   ///< To the platform and upstreams.
+  HttpClient m_HttpClient;             ///< To the platform and upstreams.
   platform::PlatformClient m_Platform; ///< Table service, instance list.
   link::TcpLinks m_Links;              ///< To dispatchers and entries.
-  membership::Membership m_Fleet;      ///< The dispatchers.
+  membership::Membership m_Membership; ///< The dispatchers.
   contract::TableKeeper m_Table;       ///< The table in force.
   UpstreamDirectory m_Upstreams;       ///< Engines and plain services.
   WorkspaceDirectory m_Workspaces;     ///< Customers and key hashes.
   PoolSet m_Pools;                     ///< Owned by this dispatcher.
-  EntryAttachments m_Entries;          ///< To attached entries.
-  claim::ClaimHome m_Claims;           ///< For keys whose home this is.
+  EntryAttachments m_Attachments;      ///< To attached entries.
+  claim::ClaimHome m_ClaimHome;        ///< For keys whose home this is.
   UpstreamOrders m_Orders;             ///< From operators to engines.
   AdminApi m_Admin;                    ///< Administration API.
   Timer m_RightTimer;                  ///< For the next check of the right.
   Timer m_StopTimer;                   ///< Until the last frames are out.
-  bool m_Serves = false;               ///< Right to serve, as last logged.
-  bool m_Stopping = false;             ///< After stop().
+  bool m_LoggedRight = false;          ///< Right to serve, as last logged.
+  bool m_IsStopping = false;           ///< After stop().
 };
 
 } // namespace crowstep::dispatcher
--- a/src/dispatcher/dispatcher_settings.cpp
+++ b/src/dispatcher/dispatcher_settings.cpp
@@ -51,9 +51,9 @@
 DispatcherSettings readDispatcherSettings(Settings &File) {
   DispatcherSettings Result;
   readLink(File, Result.m_Link);
-  Result.m_Admin = File.address("dispatcher", "admin_listen");
-  Result.m_Seeds = File.addresses("link", "seeds");
-  Result.m_Platform = File.address("platform", "address");
+  Result.m_AdminAddress = File.address("dispatcher", "admin_listen");
+  Result.m_SeedAddresses = File.addresses("link", "seeds");
+  Result.m_PlatformAddress = File.address("platform", "address");
   Result.m_PlatformTimeout =
       File.milliseconds("platform", "timeout_ms", 10ms, 60s, 1s);
   Result.m_ListInterval =
@@ -65,14 +65,15 @@
                         Result.m_Table.m_PollInterval);
   Result.m_Table.m_Name = Result.m_Link.m_Name;
   Result.m_Table.m_Incarnation = Result.m_Link.m_Incarnation;
-  Result.m_Table.m_EntryRight = EntryRightToServe;
+  Result.m_Table.m_EntryRightDuration = EntryRightToServe;
   readMembership(File, Result.m_Membership);
-  Result.m_Policy.m_Policy =
+  Result.m_Decider.m_Policy =
       parsePolicy(File.text("policy", "kind", "crowstep"));
-  Result.m_Policy.m_Seed = static_cast<std::uint64_t>(
+  Result.m_Decider.m_Seed = static_cast<std::uint64_t>(
       File.integer("policy", "seed", 0, INT64_MAX, 1));
-  Result.m_Policy.m_MaxEjectedShare = File.number(
-      "policy", "max_ejected_share", 0, 0.5, Result.m_Policy.m_MaxEjectedShare);
+  Result.m_Decider.m_MaxEjectedShare =
+      File.number("policy", "max_ejected_share", 0, 0.5,
+                  Result.m_Decider.m_MaxEjectedShare);
   return Result;
 }
 
--- a/src/dispatcher/dispatcher_settings.h
+++ b/src/dispatcher/dispatcher_settings.h
@@ -14,15 +14,15 @@
 
 struct DispatcherSettings {
   link::LinkConfig m_Link;                   ///< Own name, zone, address.
-  Address m_Admin;                           ///< Of the administration API.
-  std::vector<Address> m_Seeds;              ///< Of other dispatchers, hints.
-  Address m_Platform;                        ///< The platform's server.
+  Address m_AdminAddress;                    ///< Of the administration API.
+  std::vector<Address> m_SeedAddresses;      ///< Of other dispatchers, hints.
+  Address m_PlatformAddress;                 ///< The platform's server.
   Duration m_PlatformTimeout{};              ///< Of each call, > 0.
   Duration m_ListInterval{};                 ///< Between list readings, > 0.
   Duration m_LoadInterval{};                 ///< Between load polls, > 0.
   membership::MembershipConfig m_Membership; ///< Failure detection.
   contract::TableKeeperConfig m_Table;       ///< Table protocol.
-  decision::DeciderConfig m_Policy;          ///< For each pool owned.
+  decision::DeciderConfig m_Decider;         ///< For each pool owned.
 };
 
 /// Reads and checks the settings of a dispatcher. \throws SettingError.
--- a/src/dispatcher/entry_attachments.cpp
+++ b/src/dispatcher/entry_attachments.cpp
@@ -18,56 +18,56 @@
 
 void EntryAttachments::linkUp(link::LinkId Link, const link::Peer &Peer) {
   if (Peer.m_Role == wire::Role::Entry)
-    m_Names[Link] = Peer.m_Name;
+    m_EntryNames[Link] = Peer.m_Name;
 }
 
 void EntryAttachments::attach(link::LinkId Link) {
   Entry Added;
-  Added.m_AckedAt = m_Clock.now();
-  send(Link, m_Entries.emplace(Link, Added).first->second);
-  logEvent(LogEvent::EntryAttached, {{"instance", m_Names.at(Link)}});
+  Added.m_LastAckAt = m_Clock.now();
+  send(Link, m_Attached.emplace(Link, Added).first->second);
+  logEvent(LogEvent::EntryAttached, {{"instance", m_EntryNames.at(Link)}});
 }
 
 void EntryAttachments::linkFrame(link::LinkId Link, const wire::Frame &Frame) {
   const wire::AttachmentAck *Ack = Frame.attachment_ack();
-  if (Ack == nullptr || !m_Names.contains(Link))
+  if (Ack == nullptr || !m_EntryNames.contains(Link))
     return;
-  if (!m_Entries.contains(Link))
+  if (!m_Attached.contains(Link))
     attach(Link);
-  Entry &Sender = m_Entries.at(Link);
-  const bool IsFirstEcho = Sender.m_Acked == 0 && Ack->sequence() != 0;
-  Sender.m_Acked = std::max(Sender.m_Acked, Ack->sequence());
-  Sender.m_AckedAt = m_Clock.now();
+  Entry &Sender = m_Attached.at(Link);
+  const bool IsFirstEcho = Sender.m_LastAcked == 0 && Ack->sequence() != 0;
+  Sender.m_LastAcked = std::max(Sender.m_LastAcked, Ack->sequence());
+  Sender.m_LastAckAt = m_Clock.now();
   Sender.m_Version =
       std::max(Sender.m_Version, TableVersion(Ack->table_version()));
   // The first echo gives the entry its right to serve. An entry that has lost
   // its home dispatcher must not wait an interval for it.
   if (IsFirstEcho)
     send(Link, Sender);
-  if (m_Held)
-    m_Held(heldByAll(TableVersion(UINT64_MAX)));
+  if (m_EntriesVersionChanged)
+    m_EntriesVersionChanged(lowestHeldVersion(TableVersion(UINT64_MAX)));
 }
 
 void EntryAttachments::linkDown(link::LinkId Link) {
-  m_Names.erase(Link);
-  const auto Found = m_Entries.find(Link);
-  if (Found == m_Entries.end())
+  m_EntryNames.erase(Link);
+  const auto Found = m_Attached.find(Link);
+  if (Found == m_Attached.end())
     return;
   const Entry &Closed = Found->second;
   m_Detached.push_back(
-      {Closed.m_AckedAt + EntryRightToServe, Closed.m_Version});
-  m_Entries.erase(Found);
+      {Closed.m_LastAckAt + EntryRightToServe, Closed.m_Version});
+  m_Attached.erase(Found);
   logEvent(LogEvent::EntryDetached);
 }
 
-TableVersion EntryAttachments::heldByAll(TableVersion Highest) const {
+TableVersion EntryAttachments::lowestHeldVersion(TableVersion Highest) const {
   const TimePoint Now = m_Clock.now();
   TableVersion Result = Highest;
-  for (const auto &[Link, Attached] : m_Entries)
+  for (const auto &[Link, Attached] : m_Attached)
     // The entry counts the same time from the sending of the acknowledgement,
     // which precedes its receipt, so one that is skipped here has already lost
     // its right.
-    if (Attached.m_AckedAt + EntryRightToServe >= Now)
+    if (Attached.m_LastAckAt + EntryRightToServe >= Now)
       Result = std::min(Result, Attached.m_Version);
   for (const Detached &Closed : m_Detached)
     if (Closed.m_ServesUntil >= Now)
@@ -76,19 +76,19 @@
 }
 
 void EntryAttachments::membersChanged() {
-  for (auto &[Link, Attached] : m_Entries)
+  for (auto &[Link, Attached] : m_Attached)
     Attached.m_SendMembers = true;
   sendAll();
 }
 
 void EntryAttachments::upstreamsChanged() {
-  for (auto &[Link, Attached] : m_Entries)
+  for (auto &[Link, Attached] : m_Attached)
     Attached.m_SendUpstreams = true;
   sendAll();
 }
 
 void EntryAttachments::workspacesChanged() {
-  for (auto &[Link, Attached] : m_Entries)
+  for (auto &[Link, Attached] : m_Attached)
     Attached.m_SendWorkspaces = true;
   sendAll();
 }
@@ -100,22 +100,22 @@
   });
   sendAll();
   // The right of the last entry with an older version may have expired.
-  if (m_Held)
-    m_Held(heldByAll(TableVersion(UINT64_MAX)));
+  if (m_EntriesVersionChanged)
+    m_EntriesVersionChanged(lowestHeldVersion(TableVersion(UINT64_MAX)));
   m_Timer.start(AttachmentInterval, [this] { tick(); });
 }
 
 void EntryAttachments::sendAll() {
-  for (auto &[Link, Attached] : m_Entries)
+  for (auto &[Link, Attached] : m_Attached)
     send(Link, Attached);
 }
 
 void EntryAttachments::send(link::LinkId Link, Entry &Recipient) {
   auto Out = std::make_unique<wire::AttachmentT>();
   Out->sequence = ++m_Sequence;
-  Out->acked = Recipient.m_Acked;
-  Out->right_to_serve = m_Source.m_RightToServe();
-  Out->draining = m_Source.m_Draining();
+  Out->acked = Recipient.m_LastAcked;
+  Out->right_to_serve = m_Source.m_HasRightToServe();
+  Out->draining = m_Source.m_IsDraining();
   if (Recipient.m_SendMembers)
     addMembers(*Out);
   if (Recipient.m_SendUpstreams)
--- a/src/dispatcher/entry_attachments.h
+++ b/src/dispatcher/entry_attachments.h
@@ -24,8 +24,8 @@
 
 /// Supplies the contents of attachments.
 struct AttachmentSource {
-  std::function<bool()> m_RightToServe; ///< Of this instance.
-  std::function<bool()> m_Draining;     ///< The instance takes no new work.
+  std::function<bool()> m_HasRightToServe; ///< Of this instance.
+  std::function<bool()> m_IsDraining;      ///< The instance takes no new work.
   std::function<const std::vector<membership::Member> &()> m_Members;
   std::function<const std::vector<Upstream> &()> m_Upstreams;
   std::function<const std::vector<Workspace> &()> m_Workspaces;
@@ -37,8 +37,8 @@
                    AttachmentSource Source);
 
   /// Calls \p Job whenever the lowest version held may have changed.
-  void onHeld(std::function<void(TableVersion)> Job) {
-    m_Held = std::move(Job);
+  void onEntriesVersionChanged(std::function<void(TableVersion)> Job) {
+    m_EntriesVersionChanged = std::move(Job);
   }
 
   /// Registers the link of an entry. The entry is attached with its first
@@ -57,18 +57,18 @@
 
   /// Returns the lowest table version held by an entry that may still serve,
   /// at most \p Highest; \p Highest if there is no such entry.
-  [[nodiscard]] TableVersion heldByAll(TableVersion Highest) const;
+  [[nodiscard]] TableVersion lowestHeldVersion(TableVersion Highest) const;
 
-  [[nodiscard]] std::size_t count() const { return m_Entries.size(); }
+  [[nodiscard]] std::size_t count() const { return m_Attached.size(); }
 
 private:
   struct Entry {
-    std::uint64_t m_Acked = 0;    ///< Highest sequence acknowledged.
-    TimePoint m_AckedAt;          ///< When the last one was received.
-    TableVersion m_Version;       ///< Highest version acknowledged.
-    bool m_SendMembers = true;    ///< Not yet sent since the last change.
-    bool m_SendUpstreams = true;  ///< As above.
-    bool m_SendWorkspaces = true; ///< As above.
+    std::uint64_t m_LastAcked = 0; ///< Highest sequence acknowledged.
+    TimePoint m_LastAckAt;         ///< When the last one was received.
+    TableVersion m_Version;        ///< Highest version acknowledged.
+    bool m_SendMembers = true;     ///< Not yet sent since the last change.
+    bool m_SendUpstreams = true;   ///< As above.
+    bool m_SendWorkspaces = true;  ///< As above.
   };
   /// An entry whose link closed may serve until its right has expired.
   struct Detached {
@@ -84,15 +84,15 @@
   void addUpstreams(wire::AttachmentT &Out) const;
   void addWorkspaces(wire::AttachmentT &Out) const;
 
-  const Clock &m_Clock;                        ///< Outlives this object.
-  link::Links &m_Links;                        ///< Outlives this object.
-  AttachmentSource m_Source;                   ///< No function is empty.
-  Timer m_Timer;                               ///< For the next attachments.
-  std::uint64_t m_Sequence = 0;                ///< Of the last attachment.
-  std::map<link::LinkId, std::string> m_Names; ///< Of entries with links.
-  std::map<link::LinkId, Entry> m_Entries;     ///< Attached now.
-  std::vector<Detached> m_Detached;            ///< Kept while they may serve.
-  std::function<void(TableVersion)> m_Held;    ///< May be empty.
+  const Clock &m_Clock;         ///< Outlives this object.
+  link::Links &m_Links;         ///< Outlives this object.
+  AttachmentSource m_Source;    ///< No function is empty.
+  Timer m_Timer;                ///< For the next attachments.
+  std::uint64_t m_Sequence = 0; ///< Of the last attachment.
+  std::map<link::LinkId, std::string> m_EntryNames; ///< Of entries with links.
+  std::map<link::LinkId, Entry> m_Attached;         ///< Attached now.
+  std::vector<Detached> m_Detached; ///< Kept while they may serve.
+  std::function<void(TableVersion)> m_EntriesVersionChanged; ///< May be empty.
 };
 
 } // namespace crowstep::dispatcher
--- a/src/dispatcher/load_monitor.cpp
+++ b/src/dispatcher/load_monitor.cpp
@@ -10,8 +10,8 @@
 
 /// One upstream that is polled. A call in flight keeps the object alive after
 /// the monitor has dropped it; m_Active is then false.
-struct LoadMonitor::Watched {
-  Watched(Scheduler &Timers, Upstream Info)
+struct LoadMonitor::WatchedUpstream {
+  WatchedUpstream(Scheduler &Timers, Upstream Info)
       : m_Upstream(std::move(Info)), m_Timer(Timers) {}
 
   Upstream m_Upstream;  ///< As first listed.
@@ -31,7 +31,7 @@
   Result.m_Running = Body.at("running").get<std::uint32_t>();
   Result.m_Waiting = Body.at("waiting").get<std::uint32_t>();
   Result.m_FreeCacheBlocks = Body.value("free_cache_blocks", 0U);
-  Result.m_Leaving = Body.value("leaving", false);
+  Result.m_Draining = Body.value("leaving", false);
   return Result;
 }
 
@@ -47,24 +47,24 @@
 
 } // namespace
 
-LoadMonitor::LoadMonitor(HttpCaller &Http, Scheduler &Timers, Duration Interval,
-                         Report OnEvent)
-    : m_Http(Http), m_Timers(Timers), m_Interval(Interval),
-      m_Report(std::move(OnEvent)) {}
+LoadMonitor::LoadMonitor(HttpClientInterface &Http, Scheduler &Timers,
+                         Duration Interval, EventCallback OnEvent)
+    : m_HttpClient(Http), m_Timers(Timers), m_Interval(Interval),
+      m_OnEvent(std::move(OnEvent)) {}
 
 void LoadMonitor::watch(const std::vector<Upstream> &Upstreams) {
   std::set<UpstreamId> Wanted;
   for (const Upstream &Info : Upstreams) {
     Wanted.insert(Info.m_Id);
-    std::shared_ptr<Watched> &Slot = m_Watched[Info.m_Id];
+    std::shared_ptr<WatchedUpstream> &Slot = m_WatchedUpstreams[Info.m_Id];
     if (Slot != nullptr && Slot->m_Upstream.m_Address == Info.m_Address)
       continue;
     if (Slot != nullptr)
       Slot->m_Active = false;
-    Slot = std::make_shared<Watched>(m_Timers, Info);
-    ask(Slot);
+    Slot = std::make_shared<WatchedUpstream>(m_Timers, Info);
+    requestLoad(Slot);
   }
-  std::erase_if(m_Watched, [&](const auto &Item) {
+  std::erase_if(m_WatchedUpstreams, [&](const auto &Item) {
     const bool IsDropped = !Wanted.contains(Item.first);
     if (IsDropped)
       Item.second->m_Active = false;
@@ -72,34 +72,34 @@
   });
 }
 
-void LoadMonitor::ask(const std::shared_ptr<Watched> &Target) {
+void LoadMonitor::requestLoad(const std::shared_ptr<WatchedUpstream> &Target) {
   HttpCall Call;
-  Call.m_Where = Target->m_Upstream.m_Address;
+  Call.m_Address = Target->m_Upstream.m_Address;
   Call.m_Path = "/v1/load";
   Call.m_Timeout = PollTimeout;
-  m_Http.call(Call, [this, Target](HttpResult Result) {
+  m_HttpClient.call(Call, [this, Target](HttpResult Result) {
     if (Target->m_Active)
-      answered(Target, std::move(Result));
+      handleAnswer(Target, std::move(Result));
   });
 }
 
-void LoadMonitor::answered(const std::shared_ptr<Watched> &Target,
-                           HttpResult Result) {
+void LoadMonitor::handleAnswer(const std::shared_ptr<WatchedUpstream> &Target,
+                               HttpResult Result) {
   const auto *Answer = std::get_if<HttpAnswer>(&Result);
   if (Answer != nullptr && Answer->m_Status == 200) {
     try {
       const json Body = json::parse(Answer->m_Body);
-      m_Report(parseLoadReport(Target->m_Upstream.m_Id, Body));
+      m_OnEvent(parseLoadReport(Target->m_Upstream.m_Id, Body));
       for (const json &CacheEvent : Body.value("cache_events", json::array()))
-        m_Report(parseCacheEvent(Target->m_Upstream.m_Id, CacheEvent));
+        m_OnEvent(parseCacheEvent(Target->m_Upstream.m_Id, CacheEvent));
     } catch (const std::exception &) {
       // Reports are only hints: an unreadable one counts as a late one.
     }
   }
-  const std::weak_ptr<Watched> Weak = Target;
+  const std::weak_ptr<WatchedUpstream> Weak = Target;
   Target->m_Timer.start(m_Interval, [this, Weak] {
-    if (const std::shared_ptr<Watched> Alive = Weak.lock())
-      ask(Alive);
+    if (const std::shared_ptr<WatchedUpstream> Alive = Weak.lock())
+      requestLoad(Alive);
   });
 }
 
--- a/src/dispatcher/load_monitor.h
+++ b/src/dispatcher/load_monitor.h
@@ -18,24 +18,26 @@
 
 class LoadMonitor {
 public:
-  using Report = std::function<void(const decision::Event &)>;
+  using EventCallback = std::function<void(const decision::Event &)>;
 
-  LoadMonitor(HttpCaller &Http, Scheduler &Timers, Duration Interval,
-              Report OnEvent);
+  LoadMonitor(HttpClientInterface &Http, Scheduler &Timers, Duration Interval,
+              EventCallback OnEvent);
 
   /// Polls these upstreams from now on, and no others.
   void watch(const std::vector<Upstream> &Upstreams);
 
 private:
-  struct Watched;
-  void ask(const std::shared_ptr<Watched> &Target);
-  void answered(const std::shared_ptr<Watched> &Target, HttpResult Result);
-
-  HttpCaller &m_Http;  ///< Outlives this object.
-  Scheduler &m_Timers; ///< Outlives this object.
-  Duration m_Interval; ///< From an answer to the next poll, > 0.
-  Report m_Report;     ///< Gets each load report and cache event.
-  std::map<UpstreamId, std::shared_ptr<Watched>> m_Watched; ///< Polled now.
+  struct WatchedUpstream;
+  void requestLoad(const std::shared_ptr<WatchedUpstream> &Target);
+  void handleAnswer(const std::shared_ptr<WatchedUpstream> &Target,
+                    HttpResult Result);
+
+  HttpClientInterface &m_HttpClient; ///< Outlives this object.
+  Scheduler &m_Timers;               ///< Outlives this object.
+  Duration m_Interval;               ///< From an answer to the next poll, > 0.
+  EventCallback m_OnEvent;           ///< Gets each load report and cache event.
+  std::map<UpstreamId, std::shared_ptr<WatchedUpstream>>
+      m_WatchedUpstreams; ///< Polled now.
 };
 
 } // namespace crowstep::dispatcher
--- a/src/dispatcher/pool_runner.cpp
+++ b/src/dispatcher/pool_runner.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-InstanceId sessionOf(const link::Peer &Entry) {
+InstanceId sessionIdOf(const link::Peer &Entry) {
   const std::string Text =
       Entry.m_Name + "#" + std::to_string(Entry.m_Incarnation.value());
   return InstanceId(XXH3_64bits(Text.data(), Text.size()));
@@ -48,12 +48,12 @@
 }
 
 void PoolRunner::entryLost(InstanceId Session) {
-  m_Entries.erase(Session);
+  m_EntryLinks.erase(Session);
   handle(decision::EntryLost{Session});
 }
 
-decision::Bid PoolRunner::bidOf(const wire::Bid &In,
-                                const EntrySession &Sender) const {
+decision::Bid PoolRunner::decodeBid(const wire::Bid &In,
+                                    const EntrySession &Sender) const {
   decision::Bid Out;
   Out.m_Request = {Sender.m_Id, In.request()};
   Out.m_Class = ClassId(In.class_id());
@@ -72,9 +72,9 @@
   return Out;
 }
 
-void PoolRunner::frame(link::LinkId Link, const EntrySession &Sender,
-                       const wire::Frame &Frame) {
-  m_Entries[Sender.m_Id] = Link;
+void PoolRunner::handleFrame(link::LinkId Link, const EntrySession &Sender,
+                             const wire::Frame &Frame) {
+  m_EntryLinks[Sender.m_Id] = Link;
   const auto IsOwnPool = [&](std::uint64_t Pool) {
     return PoolId(Pool) == m_Pool;
   };
@@ -97,7 +97,7 @@
   if (Frame.running() != nullptr)
     for (const wire::Running *Running : *Frame.running())
       if (Running->bid() != nullptr && IsOwnPool(Running->bid()->pool()))
-        handle(decision::WorkRunning{bidOf(*Running->bid(), Sender),
+        handle(decision::WorkRunning{decodeBid(*Running->bid(), Sender),
                                      UpstreamId(Running->upstream()),
                                      Running->tokens()});
   if (Frame.first_tokens() != nullptr)
@@ -109,7 +109,7 @@
   if (Frame.bids() != nullptr)
     for (const wire::Bid *Bid : *Frame.bids())
       if (IsOwnPool(Bid->pool()))
-        handle(bidOf(*Bid, Sender));
+        handle(decodeBid(*Bid, Sender));
 }
 
 void PoolRunner::carryOut() {
@@ -119,8 +119,8 @@
 }
 
 wire::FrameT *PoolRunner::outboxOf(const RequestId &Request) {
-  const auto Found = m_Entries.find(Request.m_Entry);
-  return Found == m_Entries.end() ? nullptr : &m_Links.outbox(Found->second);
+  const auto Found = m_EntryLinks.find(Request.m_Entry);
+  return Found == m_EntryLinks.end() ? nullptr : &m_Links.outbox(Found->second);
 }
 
 void PoolRunner::carryOut(const decision::Grant &Grant) {
--- a/src/dispatcher/pool_runner.h
+++ b/src/dispatcher/pool_runner.h
@@ -22,7 +22,7 @@
 /// Returns the id of one incarnation of an entry. Request numbers restart with
 /// each incarnation, so under the instance's id the requests of a restarted
 /// entry would be taken for those of its previous incarnation.
-InstanceId sessionOf(const link::Peer &Entry);
+InstanceId sessionIdOf(const link::Peer &Entry);
 
 /// Passes entries' frames and due ticks to one Decider and sends its actions.
 class PoolRunner {
@@ -35,8 +35,8 @@
   void handle(const decision::Event &Event);
 
   /// Handles what \p Frame contains for this pool; answers go out on \p Link.
-  void frame(link::LinkId Link, const EntrySession &Sender,
-             const wire::Frame &Frame);
+  void handleFrame(link::LinkId Link, const EntrySession &Sender,
+                   const wire::Frame &Frame);
 
   /// Drops the requests of an entry that counts as dead.
   void entryLost(InstanceId Session);
@@ -56,7 +56,8 @@
   void setUpstreams(std::vector<Upstream> Upstreams);
 
 private:
-  decision::Bid bidOf(const wire::Bid &In, const EntrySession &Sender) const;
+  decision::Bid decodeBid(const wire::Bid &In,
+                          const EntrySession &Sender) const;
   void carryOut();
   void carryOut(const decision::Grant &Grant);
   void carryOut(const decision::Refuse &Refusal);
@@ -66,16 +67,16 @@
   wire::FrameT *outboxOf(const decision::RequestId &Request);
   void armTimer();
 
-  PoolId m_Pool;                                ///< Of the service below.
-  std::string m_Service;                        ///< Name of the service.
-  const Clock &m_Clock;                         ///< Outlives this object.
-  link::Links &m_Links;                         ///< Outlives this object.
-  Timer m_Timer;                                ///< For the next Tick.
-  decision::Decider m_Decider;                  ///< Places the pool's requests.
-  std::vector<decision::Action> m_Actions;      ///< Of the current event.
-  std::map<InstanceId, link::LinkId> m_Entries; ///< Newest link of each.
-  std::map<UpstreamId, Upstream> m_Upstreams;   ///< For addresses in grants.
-  std::map<UpstreamId, std::string> m_Ejected;  ///< Names of the ejected.
+  PoolId m_Pool;                           ///< Of the service below.
+  std::string m_Service;                   ///< Name of the service.
+  const Clock &m_Clock;                    ///< Outlives this object.
+  link::Links &m_Links;                    ///< Outlives this object.
+  Timer m_Timer;                           ///< For the next Tick.
+  decision::Decider m_Decider;             ///< Places the pool's requests.
+  std::vector<decision::Action> m_Actions; ///< Of the current event.
+  std::map<InstanceId, link::LinkId> m_EntryLinks; ///< Newest link of each.
+  std::map<UpstreamId, Upstream> m_Upstreams;      ///< For addresses in grants.
+  std::map<UpstreamId, std::string> m_Ejected;     ///< Names of the ejected.
 };
 
 } // namespace crowstep::dispatcher
--- a/src/dispatcher/pool_set.cpp
+++ b/src/dispatcher/pool_set.cpp
@@ -16,37 +16,39 @@
 
 PoolSet::PoolSet(InstanceId Self, decision::DeciderConfig Config,
                  const Clock &Time, Scheduler &Timers, link::Links &Wire,
-                 HttpCaller &Http, Duration LoadInterval,
+                 HttpClientInterface &Http, Duration LoadInterval,
                  const UpstreamDirectory &Directory)
     : m_Self(Self), m_Config(Config), m_Clock(Time), m_Timers(Timers),
       m_Links(Wire), m_Directory(Directory),
-      m_Loads(Http, Timers, LoadInterval, [this](const decision::Event &Event) {
-        for (auto &[Pool, Runner] : m_Pools)
-          Runner->handle(Event);
-      }) {}
+      m_LoadMonitor(Http, Timers, LoadInterval,
+                    [this](const decision::Event &Event) {
+                      for (auto &[Pool, Runner] : m_Pools)
+                        Runner->handle(Event);
+                    }) {}
 
 void PoolSet::linkUp(link::LinkId Link, const link::Peer &Peer) {
   if (Peer.m_Role != wire::Role::Entry)
     return;
-  const InstanceId Id = sessionOf(Peer);
+  const InstanceId Id = sessionIdOf(Peer);
   Session &Entry = m_Sessions[Id];
   Entry.m_Entry = {Id, Peer.m_Zone};
   Entry.m_Link = Link;
-  Entry.m_Gone.reset();
+  Entry.m_GraceTimer.reset();
   m_SessionOfLink[Link] = Id;
 }
 
 void PoolSet::linkDown(link::LinkId Link, const link::Peer &Peer) {
   m_SessionOfLink.erase(Link);
-  const InstanceId Id = sessionOf(Peer);
+  const InstanceId Id = sessionIdOf(Peer);
   const auto Found = m_Sessions.find(Id);
   if (Found == m_Sessions.end() || Found->second.m_Link != Link)
     return;
-  Found->second.m_Gone = std::make_unique<Timer>(m_Timers);
-  Found->second.m_Gone->start(EntryGrace, [this, Id] { lost(Id); });
+  Found->second.m_GraceTimer = std::make_unique<Timer>(m_Timers);
+  Found->second.m_GraceTimer->start(EntryGrace,
+                                    [this, Id] { removeSession(Id); });
 }
 
-void PoolSet::lost(InstanceId Session) {
+void PoolSet::removeSession(InstanceId Session) {
   // The timer that runs this belongs to the session, which must outlive the
   // call.
   const auto Extracted = m_Sessions.extract(Session);
@@ -60,11 +62,11 @@
     return;
   const EntrySession &Sender = m_Sessions.at(Found->second).m_Entry;
   for (auto &[Pool, Runner] : m_Pools)
-    Runner->frame(Link, Sender, Frame);
-  refuseForeignBids(Link, Frame);
+    Runner->handleFrame(Link, Sender, Frame);
+  answerForeignBids(Link, Frame);
 }
 
-void PoolSet::refuseForeignBids(link::LinkId Link, const wire::Frame &Frame) {
+void PoolSet::answerForeignBids(link::LinkId Link, const wire::Frame &Frame) {
   if (Frame.bids() == nullptr)
     return;
   for (const wire::Bid *Bid : *Frame.bids())
@@ -74,14 +76,14 @@
 
 void PoolSet::membersChanged(const std::vector<membership::Member> &Members) {
   m_Members = Members;
-  settle();
+  updateOwnership();
 }
 
 void PoolSet::upstreamsChanged() {
-  settle();
+  updateOwnership();
   for (auto &[Pool, Runner] : m_Pools)
-    Runner->setUpstreams(m_Directory.ofService(Runner->service()));
-  watchLoad();
+    Runner->setUpstreams(m_Directory.upstreamsOfService(Runner->service()));
+  updateLoadMonitor();
 }
 
 void PoolSet::tableChanged(const ContractTable &Table) {
@@ -90,18 +92,18 @@
     Runner->handle(decision::TableChanged{Table});
 }
 
-void PoolSet::release() {
-  m_Released = true;
-  settle();
+void PoolSet::releaseAll() {
+  m_IsReleased = true;
+  updateOwnership();
 }
 
-void PoolSet::settle() {
+void PoolSet::updateOwnership() {
   const std::size_t CountBefore = m_Pools.size();
   std::erase_if(m_Pools, [&](const auto &Item) {
     const membership::Member *Owner =
         membership::ownerOf(Item.first, m_Members);
     const bool IsKept =
-        !m_Released && Owner != nullptr && Owner->m_Id == m_Self;
+        !m_IsReleased && Owner != nullptr && Owner->m_Id == m_Self;
     if (!IsKept)
       logEvent(LogEvent::PoolReleased, {{"service", Item.second->service()}});
     return !IsKept;
@@ -109,14 +111,14 @@
   bool Changed = m_Pools.size() != CountBefore;
   for (const PoolId Pool : m_Directory.pools()) {
     const membership::Member *Owner = membership::ownerOf(Pool, m_Members);
-    if (m_Released || Owner == nullptr || Owner->m_Id != m_Self ||
+    if (m_IsReleased || Owner == nullptr || Owner->m_Id != m_Self ||
         m_Pools.contains(Pool))
       continue;
     acquire(Pool, m_Directory.serviceOf(Pool).value_or(""));
     Changed = true;
   }
   if (Changed)
-    watchLoad();
+    updateLoadMonitor();
 }
 
 void PoolSet::acquire(PoolId Pool, const std::string &Service) {
@@ -124,17 +126,18 @@
                                              m_Timers, m_Links);
   if (m_Table.m_Version != TableVersion())
     Runner->handle(decision::TableChanged{m_Table});
-  Runner->setUpstreams(m_Directory.ofService(Service));
+  Runner->setUpstreams(m_Directory.upstreamsOfService(Service));
   m_Pools.emplace(Pool, std::move(Runner));
   logEvent(LogEvent::PoolAcquired, {{"service", Service}});
 }
 
-void PoolSet::watchLoad() {
+void PoolSet::updateLoadMonitor() {
   std::vector<Upstream> Owned;
   for (const auto &[Pool, Runner] : m_Pools)
-    for (const Upstream &Info : m_Directory.ofService(Runner->service()))
+    for (const Upstream &Info :
+         m_Directory.upstreamsOfService(Runner->service()))
       Owned.push_back(Info);
-  m_Loads.watch(Owned);
+  m_LoadMonitor.watch(Owned);
 }
 
 } // namespace crowstep::dispatcher
--- a/src/dispatcher/pool_set.h
+++ b/src/dispatcher/pool_set.h
@@ -19,7 +19,7 @@
 class PoolSet {
 public:
   PoolSet(InstanceId Self, decision::DeciderConfig Config, const Clock &Time,
-          Scheduler &Timers, link::Links &Wire, HttpCaller &Http,
+          Scheduler &Timers, link::Links &Wire, HttpClientInterface &Http,
           Duration LoadInterval, const UpstreamDirectory &Directory);
 
   void linkUp(link::LinkId Link, const link::Peer &Peer);
@@ -36,7 +36,7 @@
   void tableChanged(const ContractTable &Table);
 
   /// Releases all pools for good; entries bid to the new owners.
-  void release();
+  void releaseAll();
 
   [[nodiscard]] const std::map<PoolId, std::unique_ptr<PoolRunner>> &
   pools() const {
@@ -45,17 +45,17 @@
 
 private:
   struct Session {
-    EntrySession m_Entry;          ///< Incarnation and zone.
-    link::LinkId m_Link;           ///< Its newest link.
-    std::unique_ptr<Timer> m_Gone; ///< Runs while it has no link.
+    EntrySession m_Entry;                ///< Incarnation and zone.
+    link::LinkId m_Link;                 ///< Its newest link.
+    std::unique_ptr<Timer> m_GraceTimer; ///< Runs while it has no link.
   };
 
-  void settle();
+  void updateOwnership();
   void acquire(PoolId Pool, const std::string &Service);
   /// Answers bids for pools that are not owned here with not_owner.
-  void refuseForeignBids(link::LinkId Link, const wire::Frame &Frame);
-  void lost(InstanceId Session);
-  void watchLoad();
+  void answerForeignBids(link::LinkId Link, const wire::Frame &Frame);
+  void removeSession(InstanceId Session);
+  void updateLoadMonitor();
 
   InstanceId m_Self;                         ///< This dispatcher.
   decision::DeciderConfig m_Config;          ///< For each new pool.
@@ -63,8 +63,8 @@
   Scheduler &m_Timers;                       ///< Outlives this object.
   link::Links &m_Links;                      ///< Outlives this object.
   const UpstreamDirectory &m_Directory;      ///< Outlives this object.
-  LoadMonitor m_Loads;                       ///< Of the owned pools' upstreams.
-  bool m_Released = false;                   ///< After releaseAll().
+  LoadMonitor m_LoadMonitor;                 ///< Of the owned pools' upstreams.
+  bool m_IsReleased = false;                 ///< After releaseAll().
   ContractTable m_Table;                     ///< In force; version 0: none yet.
   std::vector<membership::Member> m_Members; ///< As last received.
   std::map<PoolId, std::unique_ptr<PoolRunner>> m_Pools; ///< Owned now.
--- a/src/dispatcher/upstream_directory.cpp
+++ b/src/dispatcher/upstream_directory.cpp
@@ -17,7 +17,7 @@
 bool sameUpstream(const Upstream &Left, const Upstream &Right) {
   return Left.m_Id == Right.m_Id && Left.m_Service == Right.m_Service &&
          Left.m_Address == Right.m_Address && Left.m_Zone == Right.m_Zone &&
-         Left.m_Leaving == Right.m_Leaving &&
+         Left.m_Draining == Right.m_Draining &&
          Left.m_Kind.index() == Right.m_Kind.index();
 }
 
@@ -34,16 +34,17 @@
                                      platform::TableService &Store,
                                      Duration Interval, double Offset)
     : m_List(List), m_Store(Store), m_Interval(Interval),
-      m_FirstDelay(std::chrono::duration_cast<Duration>(Interval * Offset)),
+      m_FirstDrainDelay(
+          std::chrono::duration_cast<Duration>(Interval * Offset)),
       m_ListTimer(Timers), m_DrainTimer(Timers) {}
 
 void UpstreamDirectory::start() {
   readList();
-  m_DrainTimer.start(m_FirstDelay, [this] { readDrains(); });
+  m_DrainTimer.start(m_FirstDrainDelay, [this] { readDrains(); });
 }
 
-void UpstreamDirectory::learn(std::vector<Upstream> FromPeer) {
-  if (m_HasRead || FromPeer.empty())
+void UpstreamDirectory::setFromPeer(std::vector<Upstream> FromPeer) {
+  if (m_HasReadList || FromPeer.empty())
     return;
   m_Listing.m_Upstreams = std::move(FromPeer);
   rebuild();
@@ -52,21 +53,21 @@
 void UpstreamDirectory::readList() {
   m_List.fetch([this](platform::InstanceList::Result Outcome) {
     if (auto *Listing = std::get_if<platform::InstanceListing>(&Outcome)) {
-      m_HasRead = true;
+      m_HasReadList = true;
       m_Listing = std::move(*Listing);
       rebuild();
-      tellInstances();
+      reportInstances();
     }
     m_ListTimer.start(m_Interval, [this] { readList(); });
   });
 }
 
-void UpstreamDirectory::tellInstances() const {
+void UpstreamDirectory::reportInstances() const {
   std::vector<std::string> Names;
   for (const platform::ListedInstance &Instance : m_Listing.m_Instances)
     Names.push_back(Instance.m_Name);
-  if (m_Instances)
-    m_Instances(Names);
+  if (m_InstancesRead)
+    m_InstancesRead(Names);
 }
 
 void UpstreamDirectory::readDrains() {
@@ -85,7 +86,7 @@
   std::vector<Upstream> Updated = m_Listing.m_Upstreams;
   for (Upstream &Info : Updated)
     if (m_Drains.contains(UpstreamPrefix + Info.m_Name))
-      Info.m_Leaving = true;
+      Info.m_Draining = true;
   const bool Changed = !sameUpstreams(Updated, m_Upstreams);
   m_Upstreams = std::move(Updated);
   if (Changed && m_Changed)
@@ -93,7 +94,7 @@
 }
 
 std::vector<Upstream>
-UpstreamDirectory::ofService(const std::string &Service) const {
+UpstreamDirectory::upstreamsOfService(const std::string &Service) const {
   std::vector<Upstream> Result;
   std::copy_if(m_Upstreams.begin(), m_Upstreams.end(),
                std::back_inserter(Result),
@@ -125,16 +126,16 @@
 std::vector<Address> UpstreamDirectory::dispatcherHints() const {
   std::vector<Address> Result;
   for (const platform::ListedInstance &Instance : m_Listing.m_Instances)
-    Result.push_back(Instance.m_Link);
+    Result.push_back(Instance.m_LinkAddress);
   return Result;
 }
 
-bool UpstreamDirectory::instanceDrained(const std::string &Name) const {
+bool UpstreamDirectory::isInstanceDraining(const std::string &Name) const {
   if (m_Drains.contains(InstancePrefix + Name))
     return true;
   return std::any_of(m_Listing.m_Instances.begin(), m_Listing.m_Instances.end(),
                      [&](const platform::ListedInstance &Instance) {
-                       return Instance.m_Name == Name && Instance.m_Leaving;
+                       return Instance.m_Name == Name && Instance.m_Draining;
                      });
 }
 
--- a/src/dispatcher/upstream_directory.h
+++ b/src/dispatcher/upstream_directory.h
@@ -30,14 +30,15 @@
   void start();
 
   /// Takes the upstreams that a peer has read, until the list is read here.
-  void learn(std::vector<Upstream> FromPeer);
+  void setFromPeer(std::vector<Upstream> FromPeer);
 
   /// Calls \p Job after each reading that changed the upstreams.
   void onChange(std::function<void()> Job) { m_Changed = std::move(Job); }
 
   /// Calls \p Job with the names of the listed instances after each reading.
-  void onInstances(std::function<void(const std::vector<std::string> &)> Job) {
-    m_Instances = std::move(Job);
+  void
+  onInstancesRead(std::function<void(const std::vector<std::string> &)> Job) {
+    m_InstancesRead = std::move(Job);
   }
 
   /// Returns all upstreams; those with a drain are marked as draining too.
@@ -47,7 +48,7 @@
 
   /// Returns the upstreams of one service.
   [[nodiscard]] std::vector<Upstream>
-  ofService(const std::string &Service) const;
+  upstreamsOfService(const std::string &Service) const;
 
   /// Returns the name of the service whose pool \p Pool is, if there is one.
   [[nodiscard]] std::optional<std::string> serviceOf(PoolId Pool) const;
@@ -63,7 +64,7 @@
   [[nodiscard]] std::vector<Address> dispatcherHints() const;
 
   /// Returns whether the instance \p Name has a drain or is listed as draining.
-  [[nodiscard]] bool instanceDrained(const std::string &Name) const;
+  [[nodiscard]] bool isInstanceDraining(const std::string &Name) const;
 
   /// Writes or deletes the drain of "upstream/NAME" or "instance/NAME". \p Done
   /// gets false if the write failed or its outcome is unknown. If the last
@@ -73,22 +74,22 @@
 
 private:
   void readList();
-  void tellInstances() const;
+  void reportInstances() const;
   void readDrains();
   void rebuild();
 
   platform::InstanceList &m_List;      ///< Outlives this object.
   platform::TableService &m_Store;     ///< Outlives this object.
   Duration m_Interval;                 ///< Between readings, > 0.
-  Duration m_FirstDelay;               ///< Before the first reading of drains.
+  Duration m_FirstDrainDelay;          ///< Before the first reading of drains.
   Timer m_ListTimer;                   ///< For the next reading of the list.
   Timer m_DrainTimer;                  ///< For the next reading of drains.
-  bool m_HasRead = false;              ///< Read here, not from a peer.
+  bool m_HasReadList = false;          ///< Read here, not from a peer.
   platform::InstanceListing m_Listing; ///< As last read, here or by a peer.
   std::map<std::string, platform::RowVersion> m_Drains; ///< By key.
   std::vector<Upstream> m_Upstreams; ///< Listing with drains applied.
   std::function<void(const std::vector<std::string> &)>
-      m_Instances;                 ///< May be empty.
+      m_InstancesRead;             ///< May be empty.
   std::function<void()> m_Changed; ///< May be empty.
 };
 
--- a/src/dispatcher/upstream_orders.cpp
+++ b/src/dispatcher/upstream_orders.cpp
@@ -19,10 +19,11 @@
 
 UpstreamOrders::UpstreamOrders(std::string Holder, const Clock &Time,
                                Scheduler &Timers, platform::TableService &Store,
-                               HttpCaller &Http, Metrics &Stats,
+                               HttpClientInterface &Http, Metrics &Stats,
                                const UpstreamDirectory &Directory)
     : m_Holder(std::move(Holder)), m_Clock(Time), m_Timers(Timers),
-      m_Store(Store), m_Http(Http), m_Stats(Stats), m_Directory(Directory) {}
+      m_Store(Store), m_HttpClient(Http), m_Stats(Stats),
+      m_Directory(Directory) {}
 
 lease::EngineOrders &UpstreamOrders::ordersOf(const std::string &Service) {
   std::unique_ptr<lease::EngineOrders> &Slot = m_ByService[Service];
@@ -30,8 +31,8 @@
     lease::OrderConfig Config;
     Config.m_Lease.m_Key = "orders/" + Service;
     Config.m_Lease.m_Holder = m_Holder;
-    Slot = std::make_unique<lease::EngineOrders>(Config, m_Clock, m_Timers,
-                                                 m_Store, m_Http, m_Stats);
+    Slot = std::make_unique<lease::EngineOrders>(
+        Config, m_Clock, m_Timers, m_Store, m_HttpClient, m_Stats);
   }
   return *Slot;
 }
--- a/src/dispatcher/upstream_orders.h
+++ b/src/dispatcher/upstream_orders.h
@@ -20,7 +20,7 @@
 public:
   /// \p Holder must be unique to this incarnation of this process.
   UpstreamOrders(std::string Holder, const Clock &Time, Scheduler &Timers,
-                 platform::TableService &Store, HttpCaller &Http,
+                 platform::TableService &Store, HttpClientInterface &Http,
                  Metrics &Stats, const UpstreamDirectory &Directory);
 
   /// Sends an order under the lease of the upstream's service. Returns false,
@@ -36,7 +36,7 @@
   const Clock &m_Clock;                 ///< Outlives this object.
   Scheduler &m_Timers;                  ///< Outlives this object.
   platform::TableService &m_Store;      ///< Outlives this object.
-  HttpCaller &m_Http;                   ///< Outlives this object.
+  HttpClientInterface &m_HttpClient;    ///< Outlives this object.
   Metrics &m_Stats;                     ///< Outlives this object.
   const UpstreamDirectory &m_Directory; ///< Outlives this object.
   std::map<std::string, std::unique_ptr<lease::EngineOrders>>
--- a/src/dispatcher/workspace_directory.cpp
+++ b/src/dispatcher/workspace_directory.cpp
@@ -55,7 +55,7 @@
       });
 }
 
-void WorkspaceDirectory::learn(std::vector<Workspace> FromPeer) {
+void WorkspaceDirectory::setFromPeer(std::vector<Workspace> FromPeer) {
   if (!m_HasRead && !FromPeer.empty())
     replace(std::move(FromPeer));
 }
@@ -68,7 +68,7 @@
 }
 
 const Workspace *
-WorkspaceDirectory::operatorWith(const std::string &Key) const {
+WorkspaceDirectory::findOperator(const std::string &Key) const {
   const std::string Hash = sha256Hex(Key);
   const auto Found = std::find_if(
       m_Workspaces.begin(), m_Workspaces.end(), [&](const Workspace &Info) {
--- a/src/dispatcher/workspace_directory.h
+++ b/src/dispatcher/workspace_directory.h
@@ -24,7 +24,7 @@
   /// Takes the workspaces that a peer has read, until the table is read here:
   /// an instance that starts while the table service is unavailable must know
   /// its callers' keys.
-  void learn(std::vector<Workspace> FromPeer);
+  void setFromPeer(std::vector<Workspace> FromPeer);
 
   /// Calls \p Job after each reading that changed the workspaces.
   void onChange(std::function<void()> Job) { m_Changed = std::move(Job); }
@@ -34,7 +34,7 @@
   }
 
   /// Returns the operator whose key is \p Key, or null.
-  [[nodiscard]] const Workspace *operatorWith(const std::string &Key) const;
+  [[nodiscard]] const Workspace *findOperator(const std::string &Key) const;
 
 private:
   void read();
--- a/src/entry/caller_request.h
+++ b/src/entry/caller_request.h
@@ -33,9 +33,9 @@
 
 /// A call to a service that is not an engine, forwarded unchanged.
 struct ServiceCall {
-  std::string m_Path; ///< At the upstream.
-  std::string m_Body; ///< As the caller sent it.
-  std::string m_Key;  ///< The caller's Idempotency-Key; may be empty.
+  std::string m_Path;           ///< At the upstream.
+  std::string m_Body;           ///< As the caller sent it.
+  std::string m_IdempotencyKey; ///< The caller's Idempotency-Key; may be empty.
 };
 
 /// A valid request.
@@ -49,7 +49,7 @@
   std::uint32_t m_MaxTokens = 0;    ///< Limit on the output; 0: none.
   std::vector<std::uint64_t> m_Prefixes; ///< As prefixHashes() returns.
 
-  [[nodiscard]] bool streamed() const {
+  [[nodiscard]] bool isStreamed() const {
     const auto *Model = std::get_if<EngineCall>(&m_Call);
     return Model != nullptr && Model->m_Streamed;
   }
--- a/src/entry/directory.cpp
+++ b/src/entry/directory.cpp
@@ -19,10 +19,10 @@
 }
 
 void Directory::setWorkspaces(const std::vector<WorkspaceRow> &Workspaces) {
-  m_ByKeyHash.clear();
+  m_WorkspacesByKeyHash.clear();
   for (const WorkspaceRow &Row : Workspaces)
     if (!Row.m_KeyHash.empty())
-      m_ByKeyHash.emplace(Row.m_KeyHash, Row.m_Id);
+      m_WorkspacesByKeyHash.emplace(Row.m_KeyHash, Row.m_Id);
 }
 
 const Contract *Directory::contract(const std::string &Class) const {
@@ -34,8 +34,8 @@
 
 std::optional<WorkspaceId>
 Directory::workspaceOf(const std::string &Key) const {
-  const auto Found = m_ByKeyHash.find(sha256Hex(Key));
-  if (Found == m_ByKeyHash.end())
+  const auto Found = m_WorkspacesByKeyHash.find(sha256Hex(Key));
+  if (Found == m_WorkspacesByKeyHash.end())
     return std::nullopt;
   return Found->second;
 }
--- a/src/entry/directory.h
+++ b/src/entry/directory.h
@@ -40,7 +40,9 @@
 
   /// Returns whether any workspace is known. Until then a valid key can't be
   /// told from an unknown one.
-  [[nodiscard]] bool knowsWorkspaces() const { return !m_ByKeyHash.empty(); }
+  [[nodiscard]] bool hasWorkspaces() const {
+    return !m_WorkspacesByKeyHash.empty();
+  }
 
   /// Returns the workspace with the key \p Key, if any. Keys are looked up by
   /// hash: the entry stores no keys, and the time of a look-up reveals nothing
@@ -51,7 +53,7 @@
 private:
   ContractTable m_Table;             ///< In force; the version only grows.
   std::vector<Upstream> m_Upstreams; ///< Of all services.
-  std::unordered_map<std::string, WorkspaceId> m_ByKeyHash; ///< Ids.
+  std::unordered_map<std::string, WorkspaceId> m_WorkspacesByKeyHash; ///< Ids.
 };
 
 } // namespace crowstep::entry
--- a/src/entry/dispatcher_placement.cpp
+++ b/src/entry/dispatcher_placement.cpp
@@ -36,47 +36,50 @@
 
 } // namespace
 
-DispatcherPlacement::DispatcherPlacement(Fleet &Dispatchers,
+DispatcherPlacement::DispatcherPlacement(DispatcherLinks &Dispatchers,
                                          LocalPlacement &Local,
                                          PauseGuard &Guard, const Clock &Time,
                                          Scheduler &Timers,
                                          std::uint64_t FirstNumber)
-    : m_Alone(Local), m_Fleet(Dispatchers), m_Guard(Guard), m_Clock(Time),
-      m_Reroute(Timers), m_LastNumber(FirstNumber) {
-  m_Fleet.onRoutes([this] { reroute(); });
-  m_Guard.onPause([this] { woke(); });
+    : m_LocalPlacement(Local), m_DispatcherLinks(Dispatchers),
+      m_PauseGuard(Guard), m_Clock(Time), m_RerouteTimer(Timers),
+      m_LastNumber(FirstNumber) {
+  m_DispatcherLinks.onRoutesChanged([this] { reroute(); });
+  m_PauseGuard.onPause([this] { handlePause(); });
 }
 
 BidNumber DispatcherPlacement::bid(const BidTerms &Terms,
                                    PlacementListener &Listener) {
   const BidNumber Number(++m_LastNumber);
-  Held New{Terms, poolIdOf(Terms.m_Service, 0), &Listener, {}, {}, {}, {}, {}};
-  New.m_BidAt = New.m_Homeless = m_Clock.now();
-  Held &Placed = m_Held.emplace(Number.value(), std::move(New)).first->second;
+  BidState New{Terms, poolIdOf(Terms.m_Service, 0), &Listener, {}, {}, {}, {},
+               {}};
+  New.m_BidAt = New.m_NoOwnerSince = m_Clock.now();
+  BidState &Placed =
+      m_Bids.emplace(Number.value(), std::move(New)).first->second;
   route(Number.value(), Placed);
   return Number;
 }
 
 void DispatcherPlacement::withdraw(BidNumber Number) {
-  const auto Found = m_Held.find(Number.value());
-  if (Found == m_Held.end())
+  const auto Found = m_Bids.find(Number.value());
+  if (Found == m_Bids.end())
     return;
-  const Held &Bid = Found->second;
+  const BidState &Bid = Found->second;
   if (Bid.m_Link != link::LinkId())
-    m_Fleet.links()
+    m_DispatcherLinks.links()
         .outbox(Bid.m_Link)
         .withdrawals.emplace_back(Number.value(), Bid.m_Pool.value());
-  m_Held.erase(Found);
+  m_Bids.erase(Found);
 }
 
-void DispatcherPlacement::firstToken(BidNumber Number, Duration Latency) {
-  const auto Found = m_Held.find(Number.value());
-  if (Found == m_Held.end())
+void DispatcherPlacement::reportFirstToken(BidNumber Number, Duration Latency) {
+  const auto Found = m_Bids.find(Number.value());
+  if (Found == m_Bids.end())
     return;
-  if (Found->second.m_Alone)
-    m_Alone.firstToken(*Found->second.m_Alone, Latency);
+  if (Found->second.m_LocalBid)
+    m_LocalPlacement.reportFirstToken(*Found->second.m_LocalBid, Latency);
   else if (Found->second.m_Link != link::LinkId())
-    m_Fleet.links()
+    m_DispatcherLinks.links()
         .outbox(Found->second.m_Link)
         .first_tokens.emplace_back(Number.value(), Found->second.m_Pool.value(),
                                    microseconds(Latency));
@@ -84,85 +87,88 @@
 
 void DispatcherPlacement::release(BidNumber Number,
                                   const ReleaseSlot &Release) {
-  const auto Found = m_Held.find(Number.value());
-  if (Found == m_Held.end())
+  const auto Found = m_Bids.find(Number.value());
+  if (Found == m_Bids.end())
     return;
-  const Held &Bid = Found->second;
+  const BidState &Bid = Found->second;
   if (Bid.m_Link != link::LinkId())
-    m_Fleet.links()
+    m_DispatcherLinks.links()
         .outbox(Bid.m_Link)
         .work_ends.emplace_back(Number.value(), Bid.m_Pool.value(),
                                 Release.m_Upstream.value(), Release.m_Tokens,
                                 microseconds(Release.m_Elapsed),
                                 static_cast<std::uint8_t>(Release.m_End));
-  m_Held.erase(Found);
+  m_Bids.erase(Found);
 }
 
 // ---- Routing ----------------------------------------------------------------
 
 void DispatcherPlacement::reroute() {
-  for (auto &[Number, Bid] : m_Held)
+  for (auto &[Number, Bid] : m_Bids)
     route(Number, Bid);
 }
 
-void DispatcherPlacement::route(std::uint64_t Number, Held &Bid) {
-  if (m_Guard.suspect()) { // Bids are sent again once the sockets are read.
-    rerouteSoon(PauseGuard::Settling);
+void DispatcherPlacement::route(std::uint64_t Number, BidState &Bid) {
+  if (m_PauseGuard
+          .isInputSuspect()) { // Bids are sent again once the sockets are read.
+    scheduleReroute(PauseGuard::SettleTime);
     return;
   }
-  const link::LinkId Owner = m_Fleet.linkToOwner(Bid.m_Pool);
-  if (Bid.m_Alone && (Owner == link::LinkId() || !backToOwner(Bid)))
+  const link::LinkId Owner = m_DispatcherLinks.linkToOwner(Bid.m_Pool);
+  if (Bid.m_LocalBid && (Owner == link::LinkId() || !returnToOwner(Bid)))
     return;
   if (Owner == Bid.m_Link && Owner != link::LinkId())
     return;
   if (Bid.m_Link != link::LinkId()) {
-    if (!Bid.m_Slot) // The old owner may still consider itself the owner.
-      m_Fleet.links()
+    if (!Bid.m_GrantedUpstream) // The old owner may still consider itself the
+                                // owner.
+      m_DispatcherLinks.links()
           .outbox(Bid.m_Link)
           .withdrawals.emplace_back(Number, Bid.m_Pool.value());
     Bid.m_Listener->bidMoved();
-    Bid.m_Homeless = m_Clock.now();
+    Bid.m_NoOwnerSince = m_Clock.now();
   }
   Bid.m_Link = Owner;
   if (Owner != link::LinkId())
-    send(Number, Bid);
+    sendToOwner(Number, Bid);
   else
-    rerouteSoon(jitter());
+    scheduleReroute(jitter());
 }
 
-void DispatcherPlacement::rerouteSoon(Duration Wait) {
-  if (m_Reroute.running())
+void DispatcherPlacement::scheduleReroute(Duration Wait) {
+  if (m_RerouteTimer.isRunning())
     return;
-  m_Reroute.start(Wait, [this] {
+  m_RerouteTimer.start(Wait, [this] {
     reroute();
-    decideAlone();
+    placeLocally();
   });
 }
 
-void DispatcherPlacement::decideAlone() {
-  for (auto &[Number, Bid] : m_Held) {
-    if (Bid.m_Link != link::LinkId() || Bid.m_Slot || Bid.m_Alone ||
-        m_Clock.now() - Bid.m_Homeless < OwnerPatience)
+void DispatcherPlacement::placeLocally() {
+  for (auto &[Number, Bid] : m_Bids) {
+    if (Bid.m_Link != link::LinkId() || Bid.m_GrantedUpstream ||
+        Bid.m_LocalBid || m_Clock.now() - Bid.m_NoOwnerSince < OwnerTimeout)
       continue;
     BidTerms Terms = Bid.m_Terms;
     const Duration Waited = m_Clock.now() - Bid.m_BidAt;
-    Terms.m_Ask.m_UntilTarget = timeLeft(Terms.m_Ask.m_UntilTarget, Waited);
-    Terms.m_Ask.m_UntilLimit = timeLeft(Terms.m_Ask.m_UntilLimit, Waited);
-    Bid.m_Alone = m_Alone.bid(Terms, *Bid.m_Listener);
+    Terms.m_Bid.m_UntilTarget = timeLeft(Terms.m_Bid.m_UntilTarget, Waited);
+    Terms.m_Bid.m_UntilLimit = timeLeft(Terms.m_Bid.m_UntilLimit, Waited);
+    Bid.m_LocalBid = m_LocalPlacement.bid(Terms, *Bid.m_Listener);
   }
 }
 
-bool DispatcherPlacement::backToOwner(Held &Bid) {
+bool DispatcherPlacement::returnToOwner(BidState &Bid) {
   // A call on a local slot ends there; the local share limits their number.
-  if (!m_Alone.waits(*Bid.m_Alone))
+  if (!m_LocalPlacement.isWaiting(*Bid.m_LocalBid))
     return false;
-  m_Alone.withdraw(*Bid.m_Alone);
-  Bid.m_Alone.reset();
+  m_LocalPlacement.withdraw(*Bid.m_LocalBid);
+  Bid.m_LocalBid.reset();
   return true;
 }
 
 std::unique_ptr<wire::BidT>
-DispatcherPlacement::wireBid(std::uint64_t Number, const Held &Bid) const {
+DispatcherPlacement::makeWireBid(std::uint64_t Number,
+                                 const BidState &Bid) const {
   const Duration Waited = m_Clock.now() - Bid.m_BidAt;
   auto Out = std::make_unique<wire::BidT>();
   Out->request = Number;
@@ -171,119 +177,122 @@
   Out->workspace = Bid.m_Terms.m_Workspace.value();
   Out->prompt_tokens = Bid.m_Terms.m_PromptTokens;
   Out->max_tokens = Bid.m_Terms.m_MaxTokens;
-  Out->done_tokens = Bid.m_Terms.m_Ask.m_DoneTokens;
+  Out->done_tokens = Bid.m_Terms.m_Bid.m_DoneTokens;
   Out->until_target_ms =
-      millisecondsLeft(Bid.m_Terms.m_Ask.m_UntilTarget, Waited);
+      millisecondsLeft(Bid.m_Terms.m_Bid.m_UntilTarget, Waited);
   Out->until_limit_ms =
-      millisecondsLeft(Bid.m_Terms.m_Ask.m_UntilLimit, Waited);
-  Out->is_retry = Bid.m_Terms.m_Ask.m_IsRetry;
-  Out->avoid = Bid.m_Terms.m_Ask.m_Avoid.value_or(UpstreamId()).value();
+      millisecondsLeft(Bid.m_Terms.m_Bid.m_UntilLimit, Waited);
+  Out->is_retry = Bid.m_Terms.m_Bid.m_IsRetry;
+  Out->avoid = Bid.m_Terms.m_Bid.m_Avoid.value_or(UpstreamId()).value();
   Out->prefixes = Bid.m_Terms.m_Prefixes;
   return Out;
 }
 
-void DispatcherPlacement::send(std::uint64_t Number, const Held &Bid) {
-  wire::FrameT &Out = m_Fleet.links().outbox(Bid.m_Link);
-  if (!Bid.m_Slot) {
-    Out.bids.push_back(wireBid(Number, Bid));
+void DispatcherPlacement::sendToOwner(std::uint64_t Number,
+                                      const BidState &Bid) {
+  wire::FrameT &Out = m_DispatcherLinks.links().outbox(Bid.m_Link);
+  if (!Bid.m_GrantedUpstream) {
+    Out.bids.push_back(makeWireBid(Number, Bid));
     return;
   }
   auto Running = std::make_unique<wire::RunningT>();
-  Running->bid = wireBid(Number, Bid);
-  Running->upstream = Bid.m_Slot->value();
+  Running->bid = makeWireBid(Number, Bid);
+  Running->upstream = Bid.m_GrantedUpstream->value();
   Running->tokens = Bid.m_Listener->callTokens();
   Out.running.push_back(std::move(Running));
 }
 
 // ---- Frames -----------------------------------------------------------------
 
-void DispatcherPlacement::frame(link::LinkId Link, const wire::Frame &Frame) {
+void DispatcherPlacement::handleFrame(link::LinkId Link,
+                                      const wire::Frame &Frame) {
   if (Frame.grants() != nullptr)
     for (const wire::Grant *Grant : *Frame.grants())
-      granted(Link, *Grant);
+      handleGrant(Link, *Grant);
   if (Frame.refusals() != nullptr)
     for (const wire::Refusal *Refusal : *Frame.refusals())
-      refused(Link, *Refusal);
+      handleRefusal(Link, *Refusal);
   if (Frame.preempts() != nullptr)
     for (const wire::Preempt *Preempt : *Frame.preempts()) {
-      const auto Found = m_Held.find(Preempt->request());
-      if (Found != m_Held.end() && Found->second.m_Slot)
+      const auto Found = m_Bids.find(Preempt->request());
+      if (Found != m_Bids.end() && Found->second.m_GrantedUpstream)
         Found->second.m_Listener->slotPreempted(
             UpstreamId(Preempt->upstream()));
     }
   if (Frame.not_owner() != nullptr)
     for (const wire::NotOwner *NotOwner : *Frame.not_owner()) {
-      const auto Found = m_Held.find(NotOwner->request());
-      if (Found == m_Held.end() || Found->second.m_Link != Link)
+      const auto Found = m_Bids.find(NotOwner->request());
+      if (Found == m_Bids.end() || Found->second.m_Link != Link)
         continue;
       // The views of the owners differ until both have the same members.
       Found->second.m_Link = link::LinkId();
-      Found->second.m_Homeless = m_Clock.now();
-      rerouteSoon(jitter());
+      Found->second.m_NoOwnerSince = m_Clock.now();
+      scheduleReroute(jitter());
     }
 }
 
-void DispatcherPlacement::unused(link::LinkId Link, const wire::Grant &Grant,
-                                 PoolId Pool) {
-  m_Fleet.links().outbox(Link).work_ends.emplace_back(
+void DispatcherPlacement::returnGrant(link::LinkId Link,
+                                      const wire::Grant &Grant, PoolId Pool) {
+  m_DispatcherLinks.links().outbox(Link).work_ends.emplace_back(
       Grant.request(), Pool.value(), Grant.upstream(), 0, 0,
       static_cast<std::uint8_t>(decision::WorkEnd::Unused));
 }
 
-void DispatcherPlacement::granted(link::LinkId Link, const wire::Grant &Grant) {
-  const auto Found = m_Held.find(Grant.request());
-  if (Found == m_Held.end() || Found->second.m_Link != Link)
+void DispatcherPlacement::handleGrant(link::LinkId Link,
+                                      const wire::Grant &Grant) {
+  const auto Found = m_Bids.find(Grant.request());
+  if (Found == m_Bids.end() || Found->second.m_Link != Link)
     return; // Withdrawn, ended or moved: the dispatcher was notified then.
-  Held &Bid = Found->second;
-  if (Bid.m_Slot)
+  BidState &Bid = Found->second;
+  if (Bid.m_GrantedUpstream)
     return; // Granted again after the link was restored.
-  if (m_Guard.suspect()) {
+  if (m_PauseGuard.isInputSuspect()) {
     // The validity counts from the receipt, which a pause delays: an old grant
     // could be used at an upstream that has been removed since.
-    unused(Link, Grant, Bid.m_Pool);
+    returnGrant(Link, Grant, Bid.m_Pool);
     Bid.m_Link = link::LinkId();
-    rerouteSoon(PauseGuard::Settling);
+    scheduleReroute(PauseGuard::SettleTime);
     return;
   }
-  Bid.m_Slot = UpstreamId(Grant.upstream());
+  Bid.m_GrantedUpstream = UpstreamId(Grant.upstream());
   GrantedSlot Slot;
   Slot.m_Upstream = UpstreamId(Grant.upstream());
   Slot.m_Address = {Grant.ip(), Grant.port()};
   Slot.m_Priority = Grant.priority();
-  Slot.m_Resumes = Grant.resumes();
+  Slot.m_CanResume = Grant.resumes();
   Slot.m_ValidFor = std::chrono::milliseconds(Grant.valid_ms());
   Bid.m_Listener->slotGranted(Slot);
 }
 
-void DispatcherPlacement::refused(link::LinkId Link,
-                                  const wire::Refusal &Refusal) {
-  const auto Found = m_Held.find(Refusal.request());
-  if (Found == m_Held.end() || Found->second.m_Link != Link ||
-      Found->second.m_Slot)
+void DispatcherPlacement::handleRefusal(link::LinkId Link,
+                                        const wire::Refusal &Refusal) {
+  const auto Found = m_Bids.find(Refusal.request());
+  if (Found == m_Bids.end() || Found->second.m_Link != Link ||
+      Found->second.m_GrantedUpstream)
     return;
   auto Reason = RefusalReason::NoUpstream;
   if (Refusal.reason() > 0 &&
       Refusal.reason() < static_cast<std::uint8_t>(RefusalReason::Count))
     Reason = static_cast<RefusalReason>(Refusal.reason());
-  const auto Removed = m_Held.extract(Found);
+  const auto Removed = m_Bids.extract(Found);
   Removed.mapped().m_Listener->bidRefused(
       Reason, std::chrono::milliseconds(Refusal.retry_after_ms()));
 }
 
-void DispatcherPlacement::woke() {
-  for (auto &[Number, Bid] : m_Held) {
-    if (Bid.m_Slot) {
-      Bid.m_Listener->grantSuspect();
+void DispatcherPlacement::handlePause() {
+  for (auto &[Number, Bid] : m_Bids) {
+    if (Bid.m_GrantedUpstream) {
+      Bid.m_Listener->grantBecameSuspect();
       continue;
     }
     if (Bid.m_Link != link::LinkId())
-      m_Fleet.links()
+      m_DispatcherLinks.links()
           .outbox(Bid.m_Link)
           .withdrawals.emplace_back(Number, Bid.m_Pool.value());
     Bid.m_Link = link::LinkId();
-    Bid.m_Homeless = m_Clock.now();
+    Bid.m_NoOwnerSince = m_Clock.now();
   }
-  rerouteSoon(PauseGuard::Settling);
+  scheduleReroute(PauseGuard::SettleTime);
 }
 
 } // namespace crowstep::entry
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -17,28 +17,28 @@
   void stop(std::function<void()> Done) override;
 
 private:
-  LocalPlacementConfig aloneConfig();
-  Placement &chosenPlacement();
-  void watchRight();
+  LocalPlacementConfig localPlacementConfig();
+  Placement &configuredPlacement();
+  void logRightChanges();
   void waitForRecords(const std::function<void()> &Done);
 
-  EntrySettings m_Settings;         ///< As read at start.
-  LoopClock m_Clock;                ///< Clock of the event loop.
-  LoopScheduler m_Timers;           ///< Timers of the event loop.
-  Metrics m_Metrics;                ///< Served at /metrics.
-  Directory m_Directory;            ///< Table, upstreams, workspaces.
-  PauseGuard m_Guard;               ///< Detects pauses.
-  Fleet m_Fleet;                    ///< State of the dispatchers.
-  link::TcpLinks m_Links;           ///< Connections to dispatchers.
-  LocalPlacement m_Alone;           ///< For baselines and without dispatchers.
-  DispatcherPlacement m_Dispatched; ///< Bids to the owners of pools.
-  claim::ClaimClient m_Claims;      ///< Claims through the claim homes.
-  HttpUpstreamCaller m_Upstream;    ///< Calls to upstreams.
-  HttpClient m_Http;                ///< Orders to cancel calls.
-  RequestService m_Service;         ///< Serves callers.
-  Timer m_RightCheck;               ///< Checks the right to serve.
-  Timer m_RecordCheck;              ///< Runs while stop() waits for records.
-  bool m_HeldRight = false;         ///< As last logged.
+  EntrySettings m_Settings;          ///< As read at start.
+  LoopClock m_Clock;                 ///< Clock of the event loop.
+  LoopScheduler m_Timers;            ///< Timers of the event loop.
+  Metrics m_Metrics;                 ///< Served at /metrics.
+  Directory m_Directory;             ///< Table, upstreams, workspaces.
+  PauseGuard m_PauseGuard;           ///< Detects pauses.
+  DispatcherLinks m_DispatcherLinks; ///< State of the dispatchers.
+  link::TcpLinks m_Links;            ///< Connections to dispatchers.
+  LocalPlacement m_LocalPlacement;   ///< For baselines and without dispatchers.
+  DispatcherPlacement m_DispatcherPlacement; ///< Bids to the owners of pools.
+  claim::ClaimClient m_Claims;         ///< Claims through the claim homes.
+  HttpUpstreamClient m_UpstreamClient; ///< Calls to upstreams.
+  HttpClient m_HttpClient;             ///< Orders to cancel calls.
+  RequestService m_Service;            ///< Serves callers.
+  Timer m_RightTimer;                  ///< Checks the right to serve.
+  Timer m_RecordTimer;                 ///< Runs while stop() waits for records.
+  bool m_LoggedRight = false;          ///< As last logged.
 };
 
 } // namespace crowstep::entry
--- a/src/entry/entry_settings.cpp
+++ b/src/entry/entry_settings.cpp
@@ -32,13 +32,14 @@
 
 RequestLimits readLimits(Settings &File) {
   RequestLimits Result;
-  Result.m_MaxBody = size(File, "max_body_bytes", 1024, MaxBodyLimit, 4 << 20);
-  Result.m_MaxHeader = size(File, "max_header_bytes", 256, 65536, 4096);
-  Result.m_ReceiveLimit =
+  Result.m_MaxBodyBytes =
+      size(File, "max_body_bytes", 1024, MaxBodyLimit, 4 << 20);
+  Result.m_MaxHeaderBytes = size(File, "max_header_bytes", 256, 65536, 4096);
+  Result.m_ReceiveTimeout =
       File.milliseconds("entry", "receive_limit_ms", 100ms, 10min, 10s);
-  Result.m_UpstreamSilence =
+  Result.m_UpstreamSilenceTimeout =
       File.milliseconds("entry", "upstream_silence_ms", 100ms, 10min, 15s);
-  Result.m_CallerBacklog =
+  Result.m_MaxCallerBacklogBytes =
       size(File, "caller_backlog_bytes", 4096, MaxBodyLimit, 256 << 10);
   Result.m_MaxAttempts =
       static_cast<unsigned>(File.integer("entry", "max_attempts", 1, 16, 4));
@@ -57,9 +58,9 @@
   if (Result.m_Link.m_Key.size() < MinLinkKey)
     throw SettingError("settings", "link", "key", "(hidden)",
                        "at least 8 characters");
-  Result.m_Listen = File.address("entry", "listen");
-  Result.m_Homes = File.addresses("entry", "home");
-  if (Result.m_Homes.empty())
+  Result.m_ListenAddress = File.address("entry", "listen");
+  Result.m_HomeAddresses = File.addresses("entry", "home");
+  if (Result.m_HomeAddresses.empty())
     throw SettingError("settings", "entry", "home", "",
                        "addresses of dispatchers, the own instance's first");
   Result.m_Placement =
--- a/src/entry/entry_settings.h
+++ b/src/entry/entry_settings.h
@@ -18,18 +18,21 @@
 
 /// Limits on one request.
 struct RequestLimits {
-  std::size_t m_MaxBody = 0;    ///< Of the body, in bytes.
-  std::size_t m_MaxHeader = 0;  ///< Of one header's value, in bytes.
-  Duration m_ReceiveLimit{};    ///< From the first byte to the last.
-  Duration m_UpstreamSilence{}; ///< Longest wait for the upstream's next byte.
-  std::size_t m_CallerBacklog = 0; ///< Unsent bytes at which reading pauses.
-  unsigned m_MaxAttempts = 0;      ///< Limit on calls to upstreams.
+  std::size_t m_MaxBodyBytes = 0;      ///< Of the body, in bytes.
+  std::size_t m_MaxHeaderBytes = 0;    ///< Of one header's value, in bytes.
+  Duration m_ReceiveTimeout{};         ///< From the first byte to the last.
+  Duration m_UpstreamSilenceTimeout{}; ///< Longest wait for the upstream's next
+                                       ///< byte.
+  std::size_t m_MaxCallerBacklogBytes =
+      0;                      ///< Unsent bytes at which reading pauses.
+  unsigned m_MaxAttempts = 0; ///< Limit on calls to upstreams.
 };
 
 struct EntrySettings {
-  link::LinkConfig m_Link;      ///< Own name and zone; only dials.
-  Address m_Listen;             ///< For callers.
-  std::vector<Address> m_Homes; ///< First: the dispatcher of this instance.
+  link::LinkConfig m_Link; ///< Own name and zone; only dials.
+  Address m_ListenAddress; ///< For callers.
+  std::vector<Address>
+      m_HomeAddresses; ///< First: the dispatcher of this instance.
   PlacementKind m_Placement = PlacementKind::Dispatcher;
   RequestLimits m_Limits;
 };
--- a/src/entry/entry_stats.cpp
+++ b/src/entry/entry_stats.cpp
@@ -38,13 +38,13 @@
 
 } // namespace
 
-void EntryStats::prepare(const ContractTable &Table) {
-  of("");
+void EntryStats::createSeries(const ContractTable &Table) {
+  statsOf("");
   for (const Contract &Row : Table.m_Contracts)
-    of(Row.m_Name);
+    statsOf(Row.m_Name);
 }
 
-ClassStats &EntryStats::of(const std::string &Class) {
+ClassStats &EntryStats::statsOf(const std::string &Class) {
   const std::string Name = Class.empty() ? NoClass : Class;
   const auto Found = m_Stats.find(Name);
   if (Found != m_Stats.end())
--- a/src/entry/entry_stats.h
+++ b/src/entry/entry_stats.h
@@ -34,11 +34,11 @@
 
   /// Creates the series of every class, so that each is shown in /metrics as 0
   /// before it is first incremented.
-  void prepare(const ContractTable &Table);
+  void createSeries(const ContractTable &Table);
 
   /// Returns the metrics of a class; an empty \p Class stands for requests
   /// without one, which are counted as "none".
-  ClassStats &of(const std::string &Class);
+  ClassStats &statsOf(const std::string &Class);
 
 private:
   Metrics &m_Metrics;                        ///< Outlives this object.
--- a/src/entry/event_stream.cpp
+++ b/src/entry/event_stream.cpp
@@ -56,20 +56,20 @@
 
 EventBatch EventSplitter::feed(std::string_view Bytes) {
   EventBatch Result;
-  m_Rest.append(Bytes);
+  m_Incomplete.append(Bytes);
   std::size_t Begin = 0;
   while (!Result.m_Done && !Result.m_Failed) {
-    const std::size_t End = m_Rest.find(EventEnd, Begin);
+    const std::size_t End = m_Incomplete.find(EventEnd, Begin);
     if (End == std::string::npos)
       break;
     const std::size_t Next = End + EventEnd.size();
-    const std::string_view Event(m_Rest.data() + Begin, Next - Begin);
+    const std::string_view Event(m_Incomplete.data() + Begin, Next - Begin);
     classify(payloadOf(Event), Result);
     if (!Result.m_Failed) // The entry sends an error event of its own.
       Result.m_Events.append(Event);
     Begin = Next;
   }
-  m_Rest.erase(0, Begin);
+  m_Incomplete.erase(0, Begin);
   return Result;
 }
 
@@ -90,8 +90,8 @@
 }
 
 bool AnswerAssembler::feedChunk(const Json &Chunk) {
-  if (m_First.is_null())
-    m_First = Chunk;
+  if (m_FirstChunk.is_null())
+    m_FirstChunk = Chunk;
   if (const auto Usage = Chunk.find("usage");
       Usage != Chunk.end() && Usage->is_object())
     m_Usage = *Usage;
@@ -108,15 +108,15 @@
     m_Text += Text->get_ref<const std::string &>();
   if (const auto Finish = Choice.find("finish_reason");
       Finish != Choice.end() && Finish->is_string())
-    m_Finish = Finish->get<std::string>();
+    m_FinishReason = Finish->get<std::string>();
   return true;
 }
 
 void AnswerAssembler::clear() { *this = AnswerAssembler(m_Chat); }
 
-std::string AnswerAssembler::answer(std::uint32_t PromptTokens,
-                                    std::uint32_t Tokens) const {
-  Json Choice = {{"index", 0}, {"finish_reason", m_Finish}};
+std::string AnswerAssembler::buildAnswer(std::uint32_t PromptTokens,
+                                         std::uint32_t Tokens) const {
+  Json Choice = {{"index", 0}, {"finish_reason", m_FinishReason}};
   if (m_Chat)
     Choice["message"] = {{"role", "assistant"}, {"content", m_Text}};
   else
@@ -124,8 +124,8 @@
   Json Result = {{"object", m_Chat ? "chat.completion" : "text_completion"},
                  {"choices", Json::array({Choice})}};
   for (const char *Name : {"id", "model", "created"})
-    if (m_First.is_object() && m_First.contains(Name))
-      Result[Name] = m_First[Name];
+    if (m_FirstChunk.is_object() && m_FirstChunk.contains(Name))
+      Result[Name] = m_FirstChunk[Name];
   Result["usage"] = m_Usage.is_object() ? m_Usage
                                         : Json{{"prompt_tokens", PromptTokens},
                                                {"completion_tokens", Tokens}};
--- a/src/entry/event_stream.h
+++ b/src/entry/event_stream.h
@@ -26,7 +26,7 @@
   EventBatch feed(std::string_view Bytes);
 
 private:
-  std::string m_Rest; ///< Start of an incomplete event.
+  std::string m_Incomplete; ///< Start of an incomplete event.
 };
 
 /// Assembles the chunks of a stream into an answer without streaming.
@@ -41,17 +41,17 @@
   void clear();
 
   /// Returns the answer as JSON.
-  [[nodiscard]] std::string answer(std::uint32_t PromptTokens,
-                                   std::uint32_t Tokens) const;
+  [[nodiscard]] std::string buildAnswer(std::uint32_t PromptTokens,
+                                        std::uint32_t Tokens) const;
 
 private:
   bool feedChunk(const nlohmann::json &Chunk);
 
-  bool m_Chat;                   ///< Format of the answer.
-  nlohmann::json m_First;        ///< Source of id, model and created.
-  std::string m_Text;            ///< Text so far.
-  std::string m_Finish = "stop"; ///< As the engine reports it.
-  nlohmann::json m_Usage;        ///< As the engine reports it; may be null.
+  bool m_Chat;                         ///< Format of the answer.
+  nlohmann::json m_FirstChunk;         ///< Source of id, model and created.
+  std::string m_Text;                  ///< Text so far.
+  std::string m_FinishReason = "stop"; ///< As the engine reports it.
+  nlohmann::json m_Usage; ///< As the engine reports it; may be null.
 };
 
 } // namespace crowstep::entry
--- a/src/entry/fleet.cpp
+++ b/src/entry/fleet.cpp
@@ -40,37 +40,40 @@
 
 } // namespace
 
-Fleet::Fleet(std::vector<Address> Homes, const Clock &Time, Scheduler &Timers,
-             Directory &Dir)
-    : m_Homes(std::move(Homes)), m_Clock(Time), m_Directory(Dir),
-      m_Patience(Timers) {}
+DispatcherLinks::DispatcherLinks(std::vector<Address> Homes, const Clock &Time,
+                                 Scheduler &Timers, Directory &Dir)
+    : m_HomeAddresses(std::move(Homes)), m_Clock(Time), m_Directory(Dir),
+      m_HomeTimer(Timers) {}
 
-void Fleet::start(link::Links &NewLinks) {
+void DispatcherLinks::start(link::Links &NewLinks) {
   m_Links = &NewLinks;
-  redial();
-  watchHome();
+  updateDials();
+  startHomeTimer();
 }
 
-bool Fleet::rightToServe() const {
-  const TimePoint Now = m_Clock.fresh();
+bool DispatcherLinks::hasRightToServe() const {
+  const TimePoint Now = m_Clock.readNow();
   // Without workspaces every request would be refused for an unknown key, which
   // callers don't retry.
   return m_Directory.table().m_Version != TableVersion() &&
-         m_Directory.knowsWorkspaces() &&
-         std::any_of(m_Up.begin(), m_Up.end(), [&](const auto &Row) {
-           return Row.second.m_Right && Now < Row.second.m_ServesUntil;
-         });
+         m_Directory.hasWorkspaces() &&
+         std::any_of(m_Dispatchers.begin(), m_Dispatchers.end(),
+                     [&](const auto &Row) {
+                       return Row.second.m_RightToServe &&
+                              Now < Row.second.m_ServesUntil;
+                     });
 }
 
-link::LinkId Fleet::linkTo(InstanceId Id) const {
-  for (const auto &[Link, Dispatcher] : m_Up)
+link::LinkId DispatcherLinks::linkTo(InstanceId Id) const {
+  for (const auto &[Link, Dispatcher] : m_Dispatchers)
     if (Dispatcher.m_Peer.m_Instance == Id)
       return Link;
   return {};
 }
 
-std::optional<link::LinkId> Fleet::linkToClaimHome(std::uint64_t Index) const {
-  for (const Member *Home : membership::homesOf(Index, 1, m_Members)) {
+std::optional<link::LinkId>
+DispatcherLinks::linkToClaimHome(std::uint64_t Index) const {
+  for (const Member *Home : membership::topRankedMembers(Index, 1, m_Members)) {
     const link::LinkId Link = linkTo(Home->m_Id);
     if (Link != link::LinkId())
       return Link;
@@ -78,60 +81,60 @@
   return std::nullopt;
 }
 
-link::LinkId Fleet::linkToOwner(PoolId Pool) const {
+link::LinkId DispatcherLinks::linkToOwner(PoolId Pool) const {
   const Member *Owner = membership::ownerOf(Pool, m_Members);
   return Owner == nullptr ? link::LinkId() : linkTo(Owner->m_Id);
 }
 
 // ---- Links ------------------------------------------------------------------
 
-void Fleet::linkUp(link::LinkId Link, const link::Peer &Peer) {
-  Neighbour NewState;
+void DispatcherLinks::linkUp(link::LinkId Link, const link::Peer &Peer) {
+  DispatcherState NewState;
   NewState.m_Peer = Peer;
-  m_Up.emplace(Link, std::move(NewState));
-  if (Peer.m_Address == m_Homes[m_Home]) {
-    m_Patience.stop();
+  m_Dispatchers.emplace(Link, std::move(NewState));
+  if (Peer.m_Address == m_HomeAddresses[m_HomeIndex]) {
+    m_HomeTimer.stop();
     logEvent(LogEvent::EntryHomeUp, {{"dispatcher", Peer.m_Name}});
     attachToHome();
   }
-  if (m_Routes)
-    m_Routes();
+  if (m_RoutesChanged)
+    m_RoutesChanged();
 }
 
-void Fleet::linkDown(link::LinkId Link, const link::Peer &Peer,
-                     link::CloseReason) {
-  m_Up.erase(Link);
-  if (Peer.m_Address == m_Homes[m_Home]) {
+void DispatcherLinks::linkDown(link::LinkId Link, const link::Peer &Peer,
+                               link::CloseReason) {
+  m_Dispatchers.erase(Link);
+  if (Peer.m_Address == m_HomeAddresses[m_HomeIndex]) {
     logEvent(LogEvent::EntryHomeDown, {{"dispatcher", Peer.m_Name}});
-    watchHome();
+    startHomeTimer();
   }
-  if (m_Routes)
-    m_Routes();
+  if (m_RoutesChanged)
+    m_RoutesChanged();
 }
 
-void Fleet::dialFailed(const Address &, link::CloseReason) {}
+void DispatcherLinks::dialFailed(const Address &, link::CloseReason) {}
 
-Fleet::Neighbour *Fleet::home() {
-  for (auto &[Link, Dispatcher] : m_Up)
-    if (Dispatcher.m_Peer.m_Address == m_Homes[m_Home])
+DispatcherLinks::DispatcherState *DispatcherLinks::findHome() {
+  for (auto &[Link, Dispatcher] : m_Dispatchers)
+    if (Dispatcher.m_Peer.m_Address == m_HomeAddresses[m_HomeIndex])
       return &Dispatcher;
   return nullptr;
 }
 
-void Fleet::watchHome() {
-  if (home() != nullptr || m_Patience.running())
+void DispatcherLinks::startHomeTimer() {
+  if (findHome() != nullptr || m_HomeTimer.isRunning())
     return;
-  m_Patience.start(HomePatience, [this] {
-    m_Home = (m_Home + 1) % m_Homes.size();
-    redial();
+  m_HomeTimer.start(HomeTimeout, [this] {
+    m_HomeIndex = (m_HomeIndex + 1) % m_HomeAddresses.size();
+    updateDials();
     attachToHome();
-    useHome();
-    watchHome();
+    applyHomeState();
+    startHomeTimer();
   });
 }
 
-void Fleet::redial() {
-  std::set<Address> Wanted = {m_Homes[m_Home]};
+void DispatcherLinks::updateDials() {
+  std::set<Address> Wanted = {m_HomeAddresses[m_HomeIndex]};
   // A link to each owner of a pool. There are few owners, so the number of
   // links stays low.
   std::set<std::string> Services;
@@ -142,49 +145,49 @@
             membership::ownerOf(poolIdOf(Service, 0), m_Members))
       Wanted.insert(Owner->m_Address);
   for (std::uint64_t Index = 0; Index < claim::ClaimHomeCount; ++Index)
-    for (const Member *Home : membership::homesOf(Index, 1, m_Members))
+    for (const Member *Home : membership::topRankedMembers(Index, 1, m_Members))
       Wanted.insert(Home->m_Address);
-  for (const Address &Target : m_Dialled)
+  for (const Address &Target : m_DialledAddresses)
     if (!Wanted.contains(Target))
-      m_Links->hangUp(Target);
+      m_Links->disconnect(Target);
   for (const Address &Target : Wanted)
-    if (!m_Dialled.contains(Target))
+    if (!m_DialledAddresses.contains(Target))
       m_Links->dial(Target);
-  m_Dialled = std::move(Wanted);
+  m_DialledAddresses = std::move(Wanted);
 }
 
-void Fleet::useHome() {
-  const Neighbour *Home = home();
+void DispatcherLinks::applyHomeState() {
+  const DispatcherState *Home = findHome();
   if (Home == nullptr || Home->m_Members.empty())
     return;
   m_Members = Home->m_Members;
   m_Directory.setUpstreams(Home->m_Upstreams);
   m_Directory.setWorkspaces(Home->m_Workspaces);
-  if (m_Upstreams)
-    m_Upstreams();
-  redial();
-  if (m_Routes)
-    m_Routes();
+  if (m_UpstreamsChanged)
+    m_UpstreamsChanged();
+  updateDials();
+  if (m_RoutesChanged)
+    m_RoutesChanged();
 }
 
 // ---- Frames -----------------------------------------------------------------
 
-void Fleet::linkFrame(link::LinkId Link, const wire::Frame &Frame) {
-  const auto Found = m_Up.find(Link);
-  if (Found == m_Up.end())
+void DispatcherLinks::linkFrame(link::LinkId Link, const wire::Frame &Frame) {
+  const auto Found = m_Dispatchers.find(Link);
+  if (Found == m_Dispatchers.end())
     return;
   // The table first, as the acknowledgement names the version in force.
   if (Frame.table_update() != nullptr) {
-    tableUpdate(*Frame.table_update());
+    handleTableUpdate(*Frame.table_update());
     acknowledge(Link, Found->second);
   }
   if (Frame.attachment() != nullptr)
-    attachment(Link, Found->second, *Frame.attachment());
-  if (m_Frame)
-    m_Frame(Link, Frame);
+    handleAttachment(Link, Found->second, *Frame.attachment());
+  if (m_FrameHandler)
+    m_FrameHandler(Link, Frame);
 }
 
-void Fleet::tableUpdate(const wire::TableUpdate &Update) {
+void DispatcherLinks::handleTableUpdate(const wire::TableUpdate &Update) {
   if (Update.json() == nullptr ||
       TableVersion(Update.version()) <= m_Directory.table().m_Version)
     return;
@@ -199,25 +202,27 @@
   }
   logEvent(LogEvent::EntryTableInForce,
            {{"version", std::to_string(Update.version())}});
-  redial();
-  if (m_Table)
-    m_Table();
-  if (m_Routes)
-    m_Routes();
+  updateDials();
+  if (m_TableChanged)
+    m_TableChanged();
+  if (m_RoutesChanged)
+    m_RoutesChanged();
 }
 
-void Fleet::attachment(link::LinkId Link, Neighbour &Sender,
-                       const wire::Attachment &Attachment) {
-  Sender.m_Sequence = std::max(Sender.m_Sequence, Attachment.sequence());
-  Sender.m_Right = Attachment.right_to_serve();
+void DispatcherLinks::handleAttachment(link::LinkId Link,
+                                       DispatcherState &Sender,
+                                       const wire::Attachment &Attachment) {
+  Sender.m_LastSequence =
+      std::max(Sender.m_LastSequence, Attachment.sequence());
+  Sender.m_RightToServe = Attachment.right_to_serve();
   // The echo names an acknowledgement whose time of sending is known. The time
   // of receipt proves nothing: after a pause the process reads old attachments
   // from its socket as if they were new.
-  const auto Echoed = Sender.m_Sent.find(Attachment.acked());
-  if (Echoed != Sender.m_Sent.end()) {
+  const auto Echoed = Sender.m_AcknowledgedAt.find(Attachment.acked());
+  if (Echoed != Sender.m_AcknowledgedAt.end()) {
     Sender.m_ServesUntil =
         std::max(Sender.m_ServesUntil, Echoed->second + EntryRightToServe);
-    Sender.m_Sent.erase(Sender.m_Sent.begin(), Echoed);
+    Sender.m_AcknowledgedAt.erase(Sender.m_AcknowledgedAt.begin(), Echoed);
   }
   const bool Members = replaceRows(
       Attachment.members(), Sender.m_Members,
@@ -227,36 +232,39 @@
                   [](const wire::UpstreamInfo &Row) { return fromWire(Row); });
   const bool Workspaces =
       replaceRows(Attachment.workspaces(), Sender.m_Workspaces, workspaceOf);
-  if (&Sender == home()) {
+  if (&Sender == findHome()) {
     m_Draining = Attachment.draining();
     if (Members || Upstreams || Workspaces)
-      useHome();
+      applyHomeState();
   }
   acknowledge(Link, Sender);
 }
 
-void Fleet::acknowledge(link::LinkId Link, Neighbour &Dispatcher) {
+void DispatcherLinks::acknowledge(link::LinkId Link,
+                                  DispatcherState &Dispatcher) {
   // Sequence 0 means "none" in an echo. If it were recorded as sent, the first
   // attachment of a link would grant a right that nobody confirmed.
-  if (Dispatcher.m_Sequence == 0)
+  if (Dispatcher.m_LastSequence == 0)
     return;
   // The first acknowledgement of a sequence counts, as the echo may be of it.
-  Dispatcher.m_Sent.try_emplace(Dispatcher.m_Sequence, m_Clock.fresh());
-  if (Dispatcher.m_Sent.size() > MaxUnechoed)
-    Dispatcher.m_Sent.erase(Dispatcher.m_Sent.begin());
-  sendAcknowledgement(Link, Dispatcher.m_Sequence);
+  Dispatcher.m_AcknowledgedAt.try_emplace(Dispatcher.m_LastSequence,
+                                          m_Clock.readNow());
+  if (Dispatcher.m_AcknowledgedAt.size() > MaxUnechoed)
+    Dispatcher.m_AcknowledgedAt.erase(Dispatcher.m_AcknowledgedAt.begin());
+  sendAcknowledgement(Link, Dispatcher.m_LastSequence);
 }
 
-void Fleet::attachToHome() {
-  for (auto &[Link, Dispatcher] : m_Up)
-    if (Dispatcher.m_Peer.m_Address == m_Homes[m_Home] &&
+void DispatcherLinks::attachToHome() {
+  for (auto &[Link, Dispatcher] : m_Dispatchers)
+    if (Dispatcher.m_Peer.m_Address == m_HomeAddresses[m_HomeIndex] &&
         !Dispatcher.m_Attached) {
       Dispatcher.m_Attached = true;
       sendAcknowledgement(Link, 0);
     }
 }
 
-void Fleet::sendAcknowledgement(link::LinkId Link, std::uint64_t Sequence) {
+void DispatcherLinks::sendAcknowledgement(link::LinkId Link,
+                                          std::uint64_t Sequence) {
   wire::FrameT &Out = m_Links->outbox(Link);
   Out.attachment_ack = std::make_unique<wire::AttachmentAckT>();
   Out.attachment_ack->sequence = Sequence;
--- a/src/entry/fleet.h
+++ b/src/entry/fleet.h
@@ -22,22 +22,22 @@
 namespace crowstep::entry {
 
 /// If the link to the home is down for longer, the next home is used.
-inline constexpr Duration HomePatience = std::chrono::milliseconds(500);
+inline constexpr Duration HomeTimeout = std::chrono::milliseconds(500);
 
-class Fleet final : public link::LinkListener {
+class DispatcherLinks final : public link::LinkListener {
 public:
-  Fleet(std::vector<Address> Homes, const Clock &Time, Scheduler &Timers,
-        Directory &Dir);
+  DispatcherLinks(std::vector<Address> Homes, const Clock &Time,
+                  Scheduler &Timers, Directory &Dir);
 
   /// Starts to dial over \p NewLinks, which must exist while this object is
   /// used.
   void start(link::Links &NewLinks);
 
   /// Returns whether new work may be accepted, by Clock::fresh().
-  [[nodiscard]] bool rightToServe() const;
+  [[nodiscard]] bool hasRightToServe() const;
 
   /// Returns whether the home reports that this instance is draining.
-  [[nodiscard]] bool draining() const { return m_Draining; }
+  [[nodiscard]] bool isDraining() const { return m_Draining; }
 
   /// Returns the link to the owner of \p Pool, or none.
   [[nodiscard]] link::LinkId linkToOwner(PoolId Pool) const;
@@ -58,18 +58,18 @@
 
   /// Set the callbacks for changes of owners or links, of upstreams and of the
   /// table, and for each received frame.
-  void onRoutes(std::function<void()> Callback) {
-    m_Routes = std::move(Callback);
+  void onRoutesChanged(std::function<void()> Callback) {
+    m_RoutesChanged = std::move(Callback);
   }
-  void onUpstreams(std::function<void()> Callback) {
-    m_Upstreams = std::move(Callback);
+  void onUpstreamsChanged(std::function<void()> Callback) {
+    m_UpstreamsChanged = std::move(Callback);
   }
-  void onTable(std::function<void()> Callback) {
-    m_Table = std::move(Callback);
+  void onTableChanged(std::function<void()> Callback) {
+    m_TableChanged = std::move(Callback);
   }
   void
   onFrame(std::function<void(link::LinkId, const wire::Frame &)> Callback) {
-    m_Frame = std::move(Callback);
+    m_FrameHandler = std::move(Callback);
   }
 
   void linkUp(link::LinkId Link, const link::Peer &Peer) override;
@@ -81,44 +81,44 @@
 private:
   /// State received from one dispatcher. It is kept for every linked
   /// dispatcher, because each may become the home.
-  struct Neighbour {
+  struct DispatcherState {
     link::Peer m_Peer;
-    std::uint64_t m_Sequence = 0;              ///< Of the last attachment.
-    std::map<std::uint64_t, TimePoint> m_Sent; ///< Time by sequence.
+    std::uint64_t m_LastSequence = 0; ///< Of the last attachment.
+    std::map<std::uint64_t, TimePoint> m_AcknowledgedAt; ///< Time by sequence.
     TimePoint m_ServesUntil;                   ///< From the last echo.
-    bool m_Right = false;                      ///< As last received.
+    bool m_RightToServe = false;               ///< As last received.
     bool m_Attached = false;                   ///< Attachments were requested.
     std::vector<membership::Member> m_Members; ///< Last full list.
     std::vector<Upstream> m_Upstreams;         ///< As above.
     std::vector<WorkspaceRow> m_Workspaces;    ///< As above.
   };
 
-  void attachment(link::LinkId Link, Neighbour &Sender,
-                  const wire::Attachment &Attachment);
-  void tableUpdate(const wire::TableUpdate &Update);
-  void acknowledge(link::LinkId Link, Neighbour &Dispatcher);
+  void handleAttachment(link::LinkId Link, DispatcherState &Sender,
+                        const wire::Attachment &Attachment);
+  void handleTableUpdate(const wire::TableUpdate &Update);
+  void acknowledge(link::LinkId Link, DispatcherState &Dispatcher);
   void sendAcknowledgement(link::LinkId Link, std::uint64_t Sequence);
   void attachToHome();
-  [[nodiscard]] Neighbour *home();
-  void useHome();
-  void redial();
-  void watchHome();
-
-  std::vector<Address> m_Homes;   ///< In order of preference; not empty.
-  std::size_t m_Home = 0;         ///< Index of the current home.
-  const Clock &m_Clock;           ///< Outlives this object.
-  Directory &m_Directory;         ///< Outlives this object.
-  link::Links *m_Links = nullptr; ///< Null before start().
-  Timer m_Patience;               ///< Runs while the home is down.
-  std::map<link::LinkId, Neighbour> m_Up;    ///< By link.
-  std::set<Address> m_Dialled;               ///< Of the wanted links.
+  [[nodiscard]] DispatcherState *findHome();
+  void applyHomeState();
+  void updateDials();
+  void startHomeTimer();
+
+  std::vector<Address> m_HomeAddresses; ///< In order of preference; not empty.
+  std::size_t m_HomeIndex = 0;          ///< Index of the current home.
+  const Clock &m_Clock;                 ///< Outlives this object.
+  Directory &m_Directory;               ///< Outlives this object.
+  link::Links *m_Links = nullptr;       ///< Null before start().
+  Timer m_HomeTimer;                    ///< Runs while the home is down.
+  std::map<link::LinkId, DispatcherState> m_Dispatchers; ///< By link.
+  std::set<Address> m_DialledAddresses;      ///< Of the wanted links.
   std::vector<membership::Member> m_Members; ///< From the home.
   bool m_Draining = false;                   ///< From the home.
-  std::function<void()> m_Routes;            ///< May be empty.
-  std::function<void()> m_Upstreams;         ///< May be empty.
-  std::function<void()> m_Table;             ///< May be empty.
+  std::function<void()> m_RoutesChanged;     ///< May be empty.
+  std::function<void()> m_UpstreamsChanged;  ///< May be empty.
+  std::function<void()> m_TableChanged;      ///< May be empty.
   std::function<void(link::LinkId, const wire::Frame &)>
-      m_Frame; ///< May be empty.
+      m_FrameHandler; ///< May be empty.
 };
 
 } // namespace crowstep::entry
--- a/src/entry/local_placement.cpp
+++ b/src/entry/local_placement.cpp
@@ -20,12 +20,12 @@
                                const Directory &Dir, const Clock &Time,
                                Scheduler &Timers)
     : m_Config(std::move(Config)), m_Directory(Dir), m_Clock(Time),
-      m_Timers(Timers), m_Deliver(Timers) {}
+      m_Timers(Timers), m_DeliverTimer(Timers) {}
 
 void LocalPlacement::ensurePool(const std::string &Service) {
   std::unique_ptr<Pool> &NewPool = m_Pools[Service];
   if (NewPool == nullptr) {
-    NewPool = std::make_unique<Pool>(m_Config.m_Policy, m_Timers);
+    NewPool = std::make_unique<Pool>(m_Config.m_Decider, m_Timers);
     refresh(Service);
   }
 }
@@ -37,7 +37,7 @@
 
 void LocalPlacement::refresh(const std::string &Service) {
   decision::UpstreamsChanged Change;
-  const std::uint32_t Divisor = std::max(m_Config.m_Divisor(), 1U);
+  const std::uint32_t Divisor = std::max(m_Config.m_SlotDivisor(), 1U);
   for (const Upstream &Row : m_Directory.upstreams())
     if (Row.m_Service == Service)
       Change.m_Upstreams.push_back(withShare(Row, Divisor));
@@ -51,7 +51,7 @@
   std::vector<decision::Action> Actions;
   Target.m_Decider.handle(Event, m_Clock.now(), Actions);
   for (const decision::Action &Action : Actions)
-    later(Action);
+    queueAction(Action);
   const std::optional<TimePoint> Due = Target.m_Decider.nextDeadline();
   if (!Due)
     Target.m_Timer.stop();
@@ -65,40 +65,40 @@
                               PlacementListener &Listener) {
   const BidNumber Number(++m_LastNumber);
   ensurePool(Terms.m_Service);
-  m_Held.emplace(Number.value(), Held{Terms.m_Service, &Listener, false});
+  m_Bids.emplace(Number.value(), BidState{Terms.m_Service, &Listener, false});
   decision::Bid Bid;
   Bid.m_Request = {m_Config.m_Self, Number.value()};
   Bid.m_Class = Terms.m_Class;
   Bid.m_Workspace = Terms.m_Workspace;
   Bid.m_PromptTokens = Terms.m_PromptTokens;
   Bid.m_MaxTokens = Terms.m_MaxTokens;
-  Bid.m_DoneTokens = Terms.m_Ask.m_DoneTokens;
+  Bid.m_DoneTokens = Terms.m_Bid.m_DoneTokens;
   Bid.m_Prefixes = Terms.m_Prefixes;
   Bid.m_Zone = m_Config.m_Zone;
-  Bid.m_UntilTarget = Terms.m_Ask.m_UntilTarget;
-  Bid.m_UntilLimit = Terms.m_Ask.m_UntilLimit;
-  Bid.m_IsRetry = Terms.m_Ask.m_IsRetry;
-  Bid.m_Avoid = Terms.m_Ask.m_Avoid;
+  Bid.m_UntilTarget = Terms.m_Bid.m_UntilTarget;
+  Bid.m_UntilLimit = Terms.m_Bid.m_UntilLimit;
+  Bid.m_IsRetry = Terms.m_Bid.m_IsRetry;
+  Bid.m_Avoid = Terms.m_Bid.m_Avoid;
   handle(Terms.m_Service, Bid);
   return Number;
 }
 
 void LocalPlacement::withdraw(BidNumber Bid) {
-  const auto Removed = m_Held.extract(Bid.value());
+  const auto Removed = m_Bids.extract(Bid.value());
   if (!Removed.empty())
     handle(Removed.mapped().m_Service,
            decision::BidWithdrawn{{m_Config.m_Self, Bid.value()}});
 }
 
-void LocalPlacement::firstToken(BidNumber Bid, Duration Latency) {
-  const auto Found = m_Held.find(Bid.value());
-  if (Found != m_Held.end())
+void LocalPlacement::reportFirstToken(BidNumber Bid, Duration Latency) {
+  const auto Found = m_Bids.find(Bid.value());
+  if (Found != m_Bids.end())
     handle(Found->second.m_Service,
            decision::FirstToken{{m_Config.m_Self, Bid.value()}, Latency});
 }
 
 void LocalPlacement::release(BidNumber Bid, const ReleaseSlot &Release) {
-  const auto Removed = m_Held.extract(Bid.value());
+  const auto Removed = m_Bids.extract(Bid.value());
   if (!Removed.empty())
     handle(Removed.mapped().m_Service,
            decision::WorkEnded{{m_Config.m_Self, Bid.value()},
@@ -108,25 +108,25 @@
                                Release.m_Elapsed});
 }
 
-bool LocalPlacement::waits(BidNumber Bid) const {
-  const auto Found = m_Held.find(Bid.value());
-  return Found != m_Held.end() && !Found->second.m_Granted;
+bool LocalPlacement::isWaiting(BidNumber Bid) const {
+  const auto Found = m_Bids.find(Bid.value());
+  return Found != m_Bids.end() && !Found->second.m_HasSlot;
 }
 
-void LocalPlacement::later(const decision::Action &Action) {
-  m_Due.push_back(Action);
-  if (!m_Deliver.running())
-    m_Deliver.start(Duration::zero(), [this] { deliver(); });
+void LocalPlacement::queueAction(const decision::Action &Action) {
+  m_PendingActions.push_back(Action);
+  if (!m_DeliverTimer.isRunning())
+    m_DeliverTimer.start(Duration::zero(), [this] { deliverActions(); });
 }
 
-void LocalPlacement::deliver() {
+void LocalPlacement::deliverActions() {
   std::deque<decision::Action> Actions;
-  Actions.swap(m_Due);
+  Actions.swap(m_PendingActions);
   for (const decision::Action &Action : Actions)
     std::visit([this](const auto &Typed) { carryOut(Typed); }, Action);
 }
 
-const Upstream *LocalPlacement::upstream(UpstreamId Id) const {
+const Upstream *LocalPlacement::findUpstream(UpstreamId Id) const {
   const auto &All = m_Directory.upstreams();
   const auto Found = std::find_if(
       All.begin(), All.end(), [&](const auto &Row) { return Row.m_Id == Id; });
@@ -134,32 +134,32 @@
 }
 
 void LocalPlacement::carryOut(const decision::Grant &Action) {
-  const auto Found = m_Held.find(Action.m_Request.m_Number);
-  const Upstream *Target = upstream(Action.m_Upstream);
+  const auto Found = m_Bids.find(Action.m_Request.m_Number);
+  const Upstream *Target = findUpstream(Action.m_Upstream);
   // Withdrawn, or the upstream was removed: the decider was notified then.
-  if (Found == m_Held.end() || Found->second.m_Granted || Target == nullptr)
+  if (Found == m_Bids.end() || Found->second.m_HasSlot || Target == nullptr)
     return;
-  Found->second.m_Granted = true;
+  Found->second.m_HasSlot = true;
   GrantedSlot Slot;
   Slot.m_Upstream = Action.m_Upstream;
   Slot.m_Address = Target->m_Address;
   Slot.m_Priority = Action.m_Priority;
   const auto *Kind = std::get_if<Engine>(&Target->m_Kind);
-  Slot.m_Resumes = Kind != nullptr && Kind->m_CanResume;
+  Slot.m_CanResume = Kind != nullptr && Kind->m_CanResume;
   Slot.m_ValidFor = Action.m_ValidFor;
   Found->second.m_Listener->slotGranted(Slot);
 }
 
 void LocalPlacement::carryOut(const decision::Refuse &Action) {
-  const auto Removed = m_Held.extract(Action.m_Request.m_Number);
+  const auto Removed = m_Bids.extract(Action.m_Request.m_Number);
   if (!Removed.empty())
     Removed.mapped().m_Listener->bidRefused(Action.m_Reason,
                                             Action.m_RetryAfter);
 }
 
 void LocalPlacement::carryOut(const decision::Preempt &Action) {
-  const auto Found = m_Held.find(Action.m_Request.m_Number);
-  if (Found != m_Held.end() && Found->second.m_Granted)
+  const auto Found = m_Bids.find(Action.m_Request.m_Number);
+  if (Found != m_Bids.end() && Found->second.m_HasSlot)
     Found->second.m_Listener->slotPreempted(Action.m_Upstream);
 }
 
--- a/src/entry/pause_guard.cpp
+++ b/src/entry/pause_guard.cpp
@@ -4,28 +4,28 @@
 namespace crowstep::entry {
 
 PauseGuard::PauseGuard(const Clock &Time, Scheduler &Timers)
-    : m_Clock(Time), m_Timer(Timers), m_LastLook(Time.fresh()) {
+    : m_Clock(Time), m_Timer(Timers), m_LastCheck(Time.readNow()) {
   tick();
 }
 
-void PauseGuard::look() {
-  const TimePoint Now = m_Clock.fresh();
-  const Duration Elapsed = Now - m_LastLook;
-  m_LastLook = Now;
+void PauseGuard::checkForPause() {
+  const TimePoint Now = m_Clock.readNow();
+  const Duration Elapsed = Now - m_LastCheck;
+  m_LastCheck = Now;
   if (Elapsed <= TickInterval + MaxLateness)
     return;
-  m_SuspectUntil = Now + Settling;
-  if (m_Job)
-    m_Job();
+  m_SuspectUntil = Now + SettleTime;
+  if (m_OnPause)
+    m_OnPause();
 }
 
-bool PauseGuard::suspect() {
-  look();
-  return m_Clock.fresh() < m_SuspectUntil;
+bool PauseGuard::isInputSuspect() {
+  checkForPause();
+  return m_Clock.readNow() < m_SuspectUntil;
 }
 
 void PauseGuard::tick() {
-  look();
+  checkForPause();
   m_Timer.start(TickInterval, [this] { tick(); });
 }
 
--- a/src/entry/pause_guard.h
+++ b/src/entry/pause_guard.h
@@ -17,26 +17,28 @@
   static constexpr Duration MaxLateness = std::chrono::milliseconds(500);
   /// For this long after a pause, received data may be old: the loop needs a
   /// few iterations to read what the sockets hold.
-  static constexpr Duration Settling = std::chrono::milliseconds(250);
+  static constexpr Duration SettleTime = std::chrono::milliseconds(250);
 
   PauseGuard(const Clock &Time, Scheduler &Timers);
 
   /// Returns whether data that is received now may be old. Checks the time
   /// itself, because the sockets may be served before the timer.
-  [[nodiscard]] bool suspect();
+  [[nodiscard]] bool isInputSuspect();
 
   /// Sets the callback for each detected pause.
-  void onPause(std::function<void()> Callback) { m_Job = std::move(Callback); }
+  void onPause(std::function<void()> Callback) {
+    m_OnPause = std::move(Callback);
+  }
 
 private:
-  void look();
+  void checkForPause();
   void tick();
 
-  const Clock &m_Clock;        ///< Outlives this object.
-  Timer m_Timer;               ///< For the next tick.
-  TimePoint m_LastLook;        ///< Time of the last tick or check.
-  TimePoint m_SuspectUntil;    ///< End of the settle time.
-  std::function<void()> m_Job; ///< May be empty.
+  const Clock &m_Clock;            ///< Outlives this object.
+  Timer m_Timer;                   ///< For the next tick.
+  TimePoint m_LastCheck;           ///< Time of the last tick or check.
+  TimePoint m_SuspectUntil;        ///< End of the settle time.
+  std::function<void()> m_OnPause; ///< May be empty.
 };
 
 } // namespace crowstep::entry
--- a/src/entry/placement.h
+++ b/src/entry/placement.h
@@ -24,7 +24,7 @@
   std::uint32_t m_PromptTokens = 0;      ///< Estimated.
   std::uint32_t m_MaxTokens = 0;         ///< Limit on the output.
   std::vector<std::uint64_t> m_Prefixes; ///< As prefixHashes() returns.
-  PlaceBid m_Ask;                        ///< As the state machine placed it.
+  PlaceBid m_Bid;                        ///< As the state machine placed it.
 };
 
 /// Receives the results of one bid. It is never called from within a call of
@@ -37,7 +37,7 @@
   virtual void slotPreempted(UpstreamId Upstream) = 0;
   /// The grant may be older than its receipt suggests, because this process was
   /// paused.
-  virtual void grantSuspect() = 0;
+  virtual void grantBecameSuspect() = 0;
   /// The owner of the pool has changed, or the link to it was lost.
   virtual void bidMoved() = 0;
   /// Returns the tokens that the running call has produced, for a new owner of
@@ -54,7 +54,7 @@
   /// refused, or its slot released.
   virtual BidNumber bid(const BidTerms &Terms, PlacementListener &Listener) = 0;
   virtual void withdraw(BidNumber Bid) = 0;
-  virtual void firstToken(BidNumber Bid, Duration Latency) = 0;
+  virtual void reportFirstToken(BidNumber Bid, Duration Latency) = 0;
   virtual void release(BidNumber Bid, const ReleaseSlot &Release) = 0;
 };
 
