--- a/src/entry/request.cpp
+++ b/src/entry/request.cpp
@@ -29,7 +29,7 @@
 RequestTerms termsOf(const CallerRequest &Parsed, const RequestLimits &Limits) {
   RequestTerms Result;
   Result.m_Repeatable = Parsed.m_Contract.m_Repeatable;
-  Result.m_Streamed = Parsed.streamed();
+  Result.m_Streamed = Parsed.isStreamed();
   Result.m_FirstTokenTarget = Parsed.m_Contract.m_FirstTokenTarget;
   Result.m_TotalLimit = Parsed.m_Contract.m_TotalLimit;
   Result.m_MaxAttempts = Limits.m_MaxAttempts;
@@ -58,54 +58,56 @@
 
 } // namespace
 
-Request::Request(RequestWorld &Context, ClassStats &Stats, CallerRequest Parsed,
-                 std::unique_ptr<Caller> Client, std::function<void()> OnEnded)
-    : m_World(Context), m_Stats(Stats), m_What(std::move(Parsed)),
-      m_Caller(std::move(Client)), m_Ended(std::move(OnEnded)),
-      m_Core(termsOf(m_What, Context.m_Limits), Context.m_Clock.fresh()),
-      m_Alive(std::make_shared<bool>(true)), m_Begin(Context.m_Clock.now()),
-      m_Limit(Context.m_Timers), m_Pause(Context.m_Timers),
-      m_RequestId(randomId()), m_Assembler(isChat(m_What)) {
-  if (!m_What.m_ClaimKey.empty())
-    m_Attempt = randomId();
+Request::Request(RequestContext &Context, ClassStats &Stats,
+                 CallerRequest Parsed, std::unique_ptr<Caller> Client,
+                 std::function<void()> OnEnded)
+    : m_Context(Context), m_Stats(Stats), m_CallerRequest(std::move(Parsed)),
+      m_Caller(std::move(Client)), m_OnEnded(std::move(OnEnded)),
+      m_Core(termsOf(m_CallerRequest, Context.m_Limits),
+             Context.m_Clock.readNow()),
+      m_Alive(std::make_shared<bool>(true)), m_ArrivedAt(Context.m_Clock.now()),
+      m_LimitTimer(Context.m_Timers), m_WakeTimer(Context.m_Timers),
+      m_RequestId(randomId()), m_Assembler(isChat(m_CallerRequest)) {
+  if (!m_CallerRequest.m_ClaimKey.empty())
+    m_AttemptId = randomId();
 }
 
 Request::~Request() { *m_Alive = false; }
 
 void Request::start() {
   m_Stats.m_Requests->add();
-  m_Caller->onGone([this] { handle(CallerLeft{}); });
-  m_Caller->onDrained([this] {
+  m_Caller->onDisconnect([this] { handle(CallerLeft{}); });
+  m_Caller->onBacklogReduced([this] {
     if (m_Call != nullptr &&
-        m_Caller->backlog() < m_World.m_Limits.m_CallerBacklog / 2)
-      m_Call->continueReading();
+        m_Caller->backlog() < m_Context.m_Limits.m_MaxCallerBacklogBytes / 2)
+      m_Call->resumeReading();
   });
-  m_Limit.start(m_What.m_Contract.m_TotalLimit,
-                [this] { handle(LimitReached{}); });
+  m_LimitTimer.start(m_CallerRequest.m_Contract.m_TotalLimit,
+                     [this] { handle(LimitReached{}); });
   handle(Admitted{});
 }
 
 void Request::handle(const RequestEvent &Event) {
   m_Events.push_back(Event);
-  if (m_Busy)
+  if (m_IsHandling)
     return;
-  m_Busy = true;
+  m_IsHandling = true;
   std::vector<RequestAction> Actions;
   while (!m_Events.empty()) {
     const RequestEvent Next = m_Events.front();
     m_Events.pop_front();
     Actions.clear();
-    m_Core.handle(Next, m_World.m_Clock.fresh(), Actions);
+    m_Core.handle(Next, m_Context.m_Clock.readNow(), Actions);
     for (const RequestAction &Action : Actions)
       std::visit([this](const auto &Typed) { carryOut(Typed); }, Action);
   }
-  m_Busy = false;
-  if (!m_Core.ended() || m_Told)
+  m_IsHandling = false;
+  if (!m_Core.isEnded() || m_EndNotified)
     return;
-  m_Told = true;
-  m_Limit.stop();
-  m_Pause.stop();
-  m_Ended();
+  m_EndNotified = true;
+  m_LimitTimer.stop();
+  m_WakeTimer.stop();
+  m_OnEnded();
 }
 
 // ---- Placement --------------------------------------------------------------
@@ -120,7 +122,7 @@
   handle(PreemptOrdered{Upstream});
 }
 
-void Request::grantSuspect() { handle(GrantSuspect{}); }
+void Request::grantBecameSuspect() { handle(GrantSuspect{}); }
 
 void Request::bidMoved() {
   m_Stats.m_Retries[static_cast<std::size_t>(RetryReason::DispatcherLost)]
@@ -131,26 +133,26 @@
 
 void Request::carryOut(const PlaceBid &Action) {
   BidTerms Terms;
-  Terms.m_Service = m_What.m_Contract.m_Service;
-  Terms.m_Class = m_What.m_Contract.m_Id;
-  Terms.m_Workspace = m_What.m_Workspace;
-  Terms.m_PromptTokens = m_What.m_PromptTokens;
-  Terms.m_MaxTokens = m_What.m_MaxTokens;
-  Terms.m_Prefixes = m_What.m_Prefixes;
-  Terms.m_Ask = Action;
-  m_Bid = m_World.m_Placement.bid(Terms, *this);
+  Terms.m_Service = m_CallerRequest.m_Contract.m_Service;
+  Terms.m_Class = m_CallerRequest.m_Contract.m_Id;
+  Terms.m_Workspace = m_CallerRequest.m_Workspace;
+  Terms.m_PromptTokens = m_CallerRequest.m_PromptTokens;
+  Terms.m_MaxTokens = m_CallerRequest.m_MaxTokens;
+  Terms.m_Prefixes = m_CallerRequest.m_Prefixes;
+  Terms.m_Bid = Action;
+  m_BidNumber = m_Context.m_Placement.bid(Terms, *this);
 }
 
 void Request::carryOut(const WithdrawBid &) {
-  m_World.m_Placement.withdraw(m_Bid);
+  m_Context.m_Placement.withdraw(m_BidNumber);
 }
 
 void Request::carryOut(const ReportFirstToken &Action) {
-  m_World.m_Placement.firstToken(m_Bid, Action.m_Latency);
+  m_Context.m_Placement.reportFirstToken(m_BidNumber, Action.m_Latency);
 }
 
 void Request::carryOut(const ReleaseSlot &Action) {
-  m_World.m_Placement.release(m_Bid, Action);
+  m_Context.m_Placement.release(m_BidNumber, Action);
 }
 
 void Request::carryOut(const CountRetry &Action) {
@@ -158,53 +160,56 @@
 }
 
 void Request::carryOut(const WakeAfter &Action) {
-  m_Pause.start(Action.m_Pause, [this] { handle(PauseOver{}); });
+  m_WakeTimer.start(Action.m_Wait, [this] { handle(WaitElapsed{}); });
 }
 
 // ---- Claims -----------------------------------------------------------------
 
-claim::Claims::Done Request::whenClaimed() {
+claim::Claims::Done Request::claimCallback() {
   return [this, Alive = m_Alive](const claim::ClaimOutcome &Outcome) {
     if (*Alive)
       handle(ClaimAnswered{Outcome});
   };
 }
 
-claim::Claims::Done Request::whenRecorded() {
+claim::Claims::Done Request::recordCallback() {
   return [this, Alive = m_Alive](const claim::ClaimOutcome &Outcome) {
     if (*Alive)
       handle(EndRecorded{Outcome.m_Status == claim::ClaimStatus::Done});
   };
 }
 
-void Request::carryOut(const AskClaim &Action) {
-  m_World.m_Claims.claim(m_What.m_ClaimKey, m_What.m_BodyHash, m_Attempt,
-                         Action.m_Limit, whenClaimed());
+void Request::carryOut(const RequestClaim &Action) {
+  m_Context.m_Claims.claim(m_CallerRequest.m_ClaimKey,
+                           m_CallerRequest.m_BodyHash, m_AttemptId,
+                           Action.m_Timeout, claimCallback());
 }
 
 void Request::carryOut(const ReadClaim &) {
-  m_World.m_Claims.read(m_What.m_ClaimKey, m_What.m_BodyHash, whenClaimed());
+  m_Context.m_Claims.read(m_CallerRequest.m_ClaimKey,
+                          m_CallerRequest.m_BodyHash, claimCallback());
 }
 
 void Request::carryOut(const RecordNotRun &) {
-  m_World.m_Claims.recordNotRun(m_What.m_ClaimKey, m_Attempt, whenRecorded());
+  m_Context.m_Claims.recordNotRun(m_CallerRequest.m_ClaimKey, m_AttemptId,
+                                  recordCallback());
 }
 
 void Request::carryOut(const RecordRan &Action) {
   claim::KeptAnswer Kept;
   if (!Action.m_OutcomeKnown) {
     logEvent(LogEvent::EntryOutcomeUnknown,
-             {{"class", m_What.m_Contract.m_Name}});
+             {{"class", m_CallerRequest.m_Contract.m_Name}});
     Kept = {OutcomeUnknownStatus, "text/plain", "unknown"};
-  } else if (m_What.streamed() && m_Status == HttpOk) {
+  } else if (m_CallerRequest.isStreamed() && m_Status == HttpOk) {
     Kept = {HttpOk, EventStreamType, m_KeptEvents};
   } else {
-    const CallerAnswer Whole = wholeAnswer();
+    const CallerAnswer Whole = completeAnswer();
     Kept = {static_cast<std::uint16_t>(Whole.m_Status), Whole.m_ContentType,
             Whole.m_Body};
   }
-  m_World.m_Claims.recordRan(m_What.m_ClaimKey, m_Attempt, Kept,
-                             whenRecorded());
+  m_Context.m_Claims.recordRan(m_CallerRequest.m_ClaimKey, m_AttemptId, Kept,
+                               recordCallback());
 }
 
 // ---- Calls to upstreams -----------------------------------------------------
@@ -214,24 +219,24 @@
   m_Status = 0;
   m_Body.clear();
   m_Splitter = EventSplitter();
-  m_Done = false;
+  m_StreamDone = false;
   m_CallTokens = 0;
   if (Action.m_ResumeTokens == 0) {
-    m_Tokens = 0;
+    m_AnswerTokens = 0;
     m_Assembler.clear();
     m_KeptEvents.clear();
   }
-  UpstreamSend Send;
-  Send.m_Where = Action.m_Slot.m_Address;
-  Send.m_Repeatable = m_What.m_Contract.m_Repeatable;
+  UpstreamRequest Send;
+  Send.m_Address = Action.m_Slot.m_Address;
+  Send.m_Repeatable = m_CallerRequest.m_Contract.m_Repeatable;
   Send.m_CloseAfter = !Send.m_Repeatable;
-  Send.m_SendBefore = Action.m_SendBefore;
-  Send.m_Wanted = [this] { return !m_Caller->hasLeft(); };
-  Send.m_SilenceLimit = m_World.m_Limits.m_UpstreamSilence;
-  if (const auto *Model = std::get_if<EngineCall>(&m_What.m_Call)) {
+  Send.m_SendDeadline = Action.m_SendDeadline;
+  Send.m_SendCheck = [this] { return !m_Caller->hasDisconnected(); };
+  Send.m_SilenceTimeout = m_Context.m_Limits.m_UpstreamSilenceTimeout;
+  if (const auto *Model = std::get_if<EngineCall>(&m_CallerRequest.m_Call)) {
     // Each call has an id of its own, so that a late order to cancel an earlier
     // one does not stop this one at the same engine.
-    m_CallId = m_RequestId + "-" + std::to_string(++m_Calls);
+    m_CallId = m_RequestId + "-" + std::to_string(++m_CallCount);
     Json Body = Model->m_Body;
     Body["stream"] = true;
     Body["request_id"] = m_CallId;
@@ -241,30 +246,30 @@
     Send.m_Path = Model->m_Chat ? "/v1/chat/completions" : "/v1/completions";
     Send.m_Body = Body.dump();
   } else {
-    const auto &Service = std::get<ServiceCall>(m_What.m_Call);
+    const auto &Service = std::get<ServiceCall>(m_CallerRequest.m_Call);
     Send.m_Path = Service.m_Path;
     Send.m_Body = Service.m_Body;
-    if (!Service.m_Key.empty())
-      Send.m_Headers.push_back({"Idempotency-Key", Service.m_Key});
+    if (!Service.m_IdempotencyKey.empty())
+      Send.m_Headers.push_back({"Idempotency-Key", Service.m_IdempotencyKey});
   }
   Send.m_Headers.push_back({"Content-Type", "application/json"});
   m_Stats.m_Calls->add();
-  m_Call = m_World.m_Upstream.send(Send, *this);
+  m_Call = m_Context.m_UpstreamClient.send(Send, *this);
 }
 
 void Request::carryOut(const CancelCall &) {
   m_Call.reset();
-  if (!std::holds_alternative<EngineCall>(m_What.m_Call))
+  if (!std::holds_alternative<EngineCall>(m_CallerRequest.m_Call))
     return;
   HttpCall Order;
   Order.m_Method = "POST";
-  Order.m_Where = m_Slot.m_Address;
+  Order.m_Address = m_Slot.m_Address;
   Order.m_Path = "/v1/cancel";
   Order.m_Body = Json{{"request_id", m_CallId}}.dump();
   Order.m_Timeout = CancelTimeout;
   // Closing the connection also stops the engine; the order is for engines that
   // notice a closed connection only when they write.
-  m_World.m_Http.call(Order, [](const HttpResult &) {});
+  m_Context.m_HttpClient.call(Order, [](const HttpResult &) {});
 }
 
 void Request::upstreamHeaders(unsigned Status, const HeaderList &Headers) {
@@ -274,8 +279,9 @@
 }
 
 void Request::upstreamBytes(std::string_view Bytes) {
-  if (std::holds_alternative<EngineCall>(m_What.m_Call) && m_Status == HttpOk) {
-    takeEvents(Bytes);
+  if (std::holds_alternative<EngineCall>(m_CallerRequest.m_Call) &&
+      m_Status == HttpOk) {
+    processEvents(Bytes);
     return;
   }
   const bool First = m_Body.empty();
@@ -283,50 +289,51 @@
   if (m_Body.size() > MaxWholeAnswer)
     endCall(CallEnd::ClosedMidStream);
   else if (First && m_Status < FirstServerError)
-    handle(TokensArrived{0});
+    handle(TokensReceived{0});
 }
 
-void Request::takeEvents(std::string_view Bytes) {
-  if (m_Done)
+void Request::processEvents(std::string_view Bytes) {
+  if (m_StreamDone)
     return;
   const EventBatch Batch = m_Splitter.feed(Bytes);
-  m_Done = Batch.m_Done;
-  const bool Parsed = m_What.streamed() || m_Assembler.feed(Batch.m_Events);
+  m_StreamDone = Batch.m_Done;
+  const bool Parsed =
+      m_CallerRequest.isStreamed() || m_Assembler.feed(Batch.m_Events);
   if (!Batch.m_Events.empty())
-    relay(Batch);
+    relayEvents(Batch);
   if (Batch.m_Failed || !Parsed)
-    endCall(m_Tokens > 0 ? CallEnd::ClosedMidStream
-                         : CallEnd::ClosedBeforeByte);
+    endCall(m_AnswerTokens > 0 ? CallEnd::ClosedMidStream
+                               : CallEnd::ClosedBeforeByte);
 }
 
-void Request::relay(const EventBatch &Batch) {
+void Request::relayEvents(const EventBatch &Batch) {
   countTokens(Batch.m_Tokens);
-  handle(TokensArrived{Batch.m_Tokens});
-  if (!m_What.streamed())
+  handle(TokensReceived{Batch.m_Tokens});
+  if (!m_CallerRequest.isStreamed())
     return;
   CallerAnswer StreamHeaders;
   StreamHeaders.m_ContentType = EventStreamType;
   m_Caller->beginStream(StreamHeaders);
   m_Caller->append(Batch.m_Events);
-  if (!m_What.m_ClaimKey.empty())
+  if (!m_CallerRequest.m_ClaimKey.empty())
     m_KeptEvents += Batch.m_Events;
   // The answer must not pile up in memory for a caller that reads slowly. The
   // engine is slowed down by flow control of its connection instead.
   if (m_Call != nullptr &&
-      m_Caller->backlog() > m_World.m_Limits.m_CallerBacklog)
+      m_Caller->backlog() > m_Context.m_Limits.m_MaxCallerBacklogBytes)
     m_Call->pauseReading();
 }
 
 void Request::countTokens(std::uint32_t Count) {
   if (Count == 0)
     return;
-  const TimePoint Now = m_World.m_Clock.now();
-  if (m_LastToken == TimePoint())
-    m_Stats.m_FirstToken->record(Now - m_Begin);
+  const TimePoint Now = m_Context.m_Clock.now();
+  if (m_LastTokenAt == TimePoint())
+    m_Stats.m_FirstToken->record(Now - m_ArrivedAt);
   else
-    m_Stats.m_TokenGap->record(Now - m_LastToken);
-  m_LastToken = Now;
-  m_Tokens += Count;
+    m_Stats.m_TokenGap->record(Now - m_LastTokenAt);
+  m_LastTokenAt = Now;
+  m_AnswerTokens += Count;
   m_CallTokens += Count;
   m_Stats.m_Tokens->add(Count);
 }
@@ -337,44 +344,44 @@
   case TransportEnd::NotSent:
     endCall(CallEnd::ConnectFailed);
     return;
-  case TransportEnd::TooOld:
-    endCall(CallEnd::TooOld);
+  case TransportEnd::Withheld:
+    endCall(CallEnd::Withheld);
     return;
   case TransportEnd::Complete:
-    endCall(wholeOrRefused());
+    endCall(classifyAnswer());
     return;
   case TransportEnd::Broken:
     // After [DONE], how the connection ends does not matter.
-    if (m_Done)
-      endCall(CallEnd::Whole);
+    if (m_StreamDone)
+      endCall(CallEnd::Complete);
     else
       endCall(Begun ? CallEnd::ClosedMidStream : CallEnd::ClosedBeforeByte);
     return;
   }
 }
 
-CallEnd Request::wholeOrRefused() const {
-  const bool Model = std::holds_alternative<EngineCall>(m_What.m_Call);
+CallEnd Request::classifyAnswer() const {
+  const bool Model = std::holds_alternative<EngineCall>(m_CallerRequest.m_Call);
   if (Model && m_Status == HttpOk) {
-    if (m_Done)
-      return CallEnd::Whole;
+    if (m_StreamDone)
+      return CallEnd::Complete;
     return m_CallTokens > 0 ? CallEnd::ClosedMidStream
                             : CallEnd::ClosedBeforeByte;
   }
   if (const auto Code = notRunCode(m_Status, m_Body))
-    return *Code == "leaving" ? CallEnd::Leaving : CallEnd::Busy;
-  if (m_Tokens > 0)
+    return *Code == "leaving" ? CallEnd::Draining : CallEnd::Busy;
+  if (m_AnswerTokens > 0)
     return CallEnd::ClosedMidStream;
-  if (m_What.m_Contract.m_Repeatable && m_Status >= FirstServerError)
+  if (m_CallerRequest.m_Contract.m_Repeatable && m_Status >= FirstServerError)
     return CallEnd::ClosedBeforeByte;
-  return CallEnd::Whole;
+  return CallEnd::Complete;
 }
 
 void Request::endCall(CallEnd End) {
   m_Call.reset();
   if (End == CallEnd::ClosedBeforeByte || End == CallEnd::ClosedMidStream)
     logEvent(LogEvent::EntryUpstreamFailed,
-             {{"class", m_What.m_Contract.m_Name},
+             {{"class", m_CallerRequest.m_Contract.m_Name},
               {"upstream", toString(m_Slot.m_Address)},
               {"tokens", std::to_string(m_CallTokens)}});
   handle(CallEnded{End});
@@ -382,10 +389,12 @@
 
 // ---- Final answers ----------------------------------------------------------
 
-CallerAnswer Request::wholeAnswer() const {
+CallerAnswer Request::completeAnswer() const {
   CallerAnswer Result;
-  if (std::holds_alternative<EngineCall>(m_What.m_Call) && m_Status == HttpOk) {
-    Result.m_Body = m_Assembler.answer(m_What.m_PromptTokens, m_Tokens);
+  if (std::holds_alternative<EngineCall>(m_CallerRequest.m_Call) &&
+      m_Status == HttpOk) {
+    Result.m_Body =
+        m_Assembler.buildAnswer(m_CallerRequest.m_PromptTokens, m_AnswerTokens);
     return Result;
   }
   Result.m_Status =
@@ -396,12 +405,12 @@
   return Result;
 }
 
-void Request::count(RefusalReason Reason) {
+void Request::countRefusal(RefusalReason Reason) {
   m_Stats.m_Refusals[static_cast<std::size_t>(Reason)]->add();
 }
 
 void Request::carryOut(const Refuse &Action) {
-  count(Action.m_Reason);
+  countRefusal(Action.m_Reason);
   m_Caller->answer(
       refusalAnswer(Action.m_Reason, Action.m_State, Action.m_RetryAfter));
 }
@@ -421,22 +430,22 @@
 
 void Request::carryOut(const FinishAnswer &) {
   m_Stats.m_Finished->add();
-  m_Stats.m_Total->record(m_World.m_Clock.now() - m_Begin);
-  if (m_What.streamed() && m_Status == HttpOk)
+  m_Stats.m_Total->record(m_Context.m_Clock.now() - m_ArrivedAt);
+  if (m_CallerRequest.isStreamed() && m_Status == HttpOk)
     m_Caller->endStream();
   else
-    m_Caller->answer(wholeAnswer());
+    m_Caller->answer(completeAnswer());
 }
 
 void Request::carryOut(const CutAnswer &Action) {
-  count(Action.m_Reason);
+  countRefusal(Action.m_Reason);
   m_Caller->append(errorEvent(Action.m_Reason));
   m_Caller->endStream();
 }
 
 void Request::carryOut(const DropAnswer &) {
-  count(RefusalReason::CallerGone);
-  m_Caller->drop();
+  countRefusal(RefusalReason::CallerGone);
+  m_Caller->abortAnswer();
 }
 
 } // namespace crowstep::entry
--- a/src/entry/request.h
+++ b/src/entry/request.h
@@ -24,21 +24,21 @@
 inline constexpr std::uint16_t OutcomeUnknownStatus = 599;
 
 /// Dependencies of requests; outlives all of them.
-struct RequestWorld {
-  const Clock &m_Clock;       ///< Clock of the event loop.
-  Scheduler &m_Timers;        ///< For limits and waits.
-  Placement &m_Placement;     ///< Grants slots.
-  claim::Claims &m_Claims;    ///< For calls that are not repeatable.
-  UpstreamCaller &m_Upstream; ///< Sends calls to upstreams.
-  HttpCaller &m_Http;         ///< Sends orders to cancel calls.
-  RequestLimits m_Limits;     ///< From the settings.
+struct RequestContext {
+  const Clock &m_Clock;              ///< Clock of the event loop.
+  Scheduler &m_Timers;               ///< For limits and waits.
+  Placement &m_Placement;            ///< Grants slots.
+  claim::Claims &m_Claims;           ///< For calls that are not repeatable.
+  UpstreamClient &m_UpstreamClient;  ///< Sends calls to upstreams.
+  HttpClientInterface &m_HttpClient; ///< Sends orders to cancel calls.
+  RequestLimits m_Limits;            ///< From the settings.
 };
 
 class Request final : private PlacementListener, private UpstreamListener {
 public:
   /// \p OnEnded is called once when no action is outstanding any more. The
   /// request may be destroyed after that call, but not within it.
-  Request(RequestWorld &Context, ClassStats &Stats, CallerRequest Parsed,
+  Request(RequestContext &Context, ClassStats &Stats, CallerRequest Parsed,
           std::unique_ptr<Caller> Client, std::function<void()> OnEnded);
   ~Request() override;
   Request(const Request &) = delete;
@@ -51,7 +51,7 @@
   void slotGranted(const GrantedSlot &Slot) override;
   void bidRefused(RefusalReason Reason, Duration RetryAfter) override;
   void slotPreempted(UpstreamId Upstream) override;
-  void grantSuspect() override;
+  void grantBecameSuspect() override;
   void bidMoved() override;
   [[nodiscard]] std::uint32_t callTokens() const override;
 
@@ -64,7 +64,7 @@
   void carryOut(const WithdrawBid &Action);
   void carryOut(const ReportFirstToken &Action);
   void carryOut(const ReleaseSlot &Action);
-  void carryOut(const AskClaim &Action);
+  void carryOut(const RequestClaim &Action);
   void carryOut(const ReadClaim &Action);
   void carryOut(const RecordNotRun &Action);
   void carryOut(const RecordRan &Action);
@@ -78,34 +78,34 @@
   void carryOut(const DropAnswer &Action);
   void carryOut(const CountRetry &Action);
 
-  void takeEvents(std::string_view Bytes);
-  void relay(const EventBatch &Batch);
+  void processEvents(std::string_view Bytes);
+  void relayEvents(const EventBatch &Batch);
   void countTokens(std::uint32_t Count);
   void endCall(CallEnd End);
-  [[nodiscard]] CallEnd wholeOrRefused() const;
-  [[nodiscard]] CallerAnswer wholeAnswer() const;
-  [[nodiscard]] claim::Claims::Done whenClaimed();
-  [[nodiscard]] claim::Claims::Done whenRecorded();
-  void count(RefusalReason Reason);
+  [[nodiscard]] CallEnd classifyAnswer() const;
+  [[nodiscard]] CallerAnswer completeAnswer() const;
+  [[nodiscard]] claim::Claims::Done claimCallback();
+  [[nodiscard]] claim::Claims::Done recordCallback();
+  void countRefusal(RefusalReason Reason);
 
-  RequestWorld &m_World;             ///< Outlives the request.
+  RequestContext &m_Context;         ///< Outlives the request.
   ClassStats &m_Stats;               ///< Metrics of the class.
-  CallerRequest m_What;              ///< As parsed.
+  CallerRequest m_CallerRequest;     ///< As parsed.
   std::unique_ptr<Caller> m_Caller;  ///< Never null.
-  std::function<void()> m_Ended;     ///< Called once.
+  std::function<void()> m_OnEnded;   ///< Called once.
   RequestCore m_Core;                ///< State machine.
-  bool m_Busy = false;               ///< handle() is on the stack.
-  bool m_Told = false;               ///< m_OnEnded has been called.
+  bool m_IsHandling = false;         ///< handle() is on the stack.
+  bool m_EndNotified = false;        ///< m_OnEnded has been called.
   std::deque<RequestEvent> m_Events; ///< Not yet handled.
   std::shared_ptr<bool> m_Alive;     ///< False once destroyed.
-  TimePoint m_Begin;                 ///< When the request was read.
-  Timer m_Limit;                     ///< Total time limit of the class.
-  Timer m_Pause;                     ///< For WakeAfter.
-  claim::AttemptId m_Attempt;        ///< Random; empty for repeatable classes.
-  unsigned m_Calls = 0;              ///< Calls to engines so far.
+  TimePoint m_ArrivedAt;             ///< When the request was read.
+  Timer m_LimitTimer;                ///< Total time limit of the class.
+  Timer m_WakeTimer;                 ///< For WakeAfter.
+  claim::AttemptId m_AttemptId;      ///< Random; empty for repeatable classes.
+  unsigned m_CallCount = 0;          ///< Calls to engines so far.
   std::string m_CallId;              ///< Id of the current call at its engine.
   std::string m_RequestId;           ///< Random; prefix of the call ids.
-  BidNumber m_Bid;                   ///< Of the current bid.
+  BidNumber m_BidNumber;             ///< Of the current bid.
   GrantedSlot m_Slot;                ///< Of the current call.
 
   std::unique_ptr<UpstreamCall> m_Call; ///< Null while none is in progress.
@@ -115,10 +115,10 @@
   EventSplitter m_Splitter;       ///< Of the current call.
   AnswerAssembler m_Assembler;    ///< For an answer without streaming.
   std::string m_KeptEvents;       ///< Relayed events, for the claim.
-  bool m_Done = false;            ///< The engine has sent [DONE].
+  bool m_StreamDone = false;      ///< The engine has sent [DONE].
   std::uint32_t m_CallTokens = 0; ///< Of the current call.
-  std::uint32_t m_Tokens = 0;     ///< Of the answer.
-  TimePoint m_LastToken;          ///< For the gaps between tokens.
+  std::uint32_t m_AnswerTokens = 0; ///< Of the answer.
+  TimePoint m_LastTokenAt;          ///< For the gaps between tokens.
 };
 
 } // namespace crowstep::entry
--- a/src/entry/request_core.cpp
+++ b/src/entry/request_core.cpp
@@ -11,16 +11,16 @@
 
 WorkEnd workEndOf(CallEnd End) {
   switch (End) {
-  case CallEnd::Whole:
+  case CallEnd::Complete:
     return WorkEnd::Finished;
   case CallEnd::ConnectFailed:
     return WorkEnd::ConnectFailed;
-  case CallEnd::TooOld:
+  case CallEnd::Withheld:
     return WorkEnd::Unused;
   case CallEnd::Busy:
     return WorkEnd::UpstreamRefused;
-  case CallEnd::Leaving:
-    return WorkEnd::UpstreamLeaving;
+  case CallEnd::Draining:
+    return WorkEnd::UpstreamDraining;
   case CallEnd::ClosedBeforeByte:
   case CallEnd::ClosedMidStream:
     return WorkEnd::Failed;
@@ -32,15 +32,15 @@
   switch (End) {
   case CallEnd::ConnectFailed:
     return RetryReason::ConnectFailed;
-  case CallEnd::TooOld:
+  case CallEnd::Withheld:
     return RetryReason::GrantExpired;
   case CallEnd::Busy:
     return RetryReason::UpstreamRefused;
-  case CallEnd::Leaving:
-    return RetryReason::UpstreamLeaving;
+  case CallEnd::Draining:
+    return RetryReason::UpstreamDraining;
   case CallEnd::ClosedMidStream:
     return RetryReason::ClosedMidStream;
-  case CallEnd::Whole:
+  case CallEnd::Complete:
   case CallEnd::ClosedBeforeByte:
     return RetryReason::ClosedBeforeByte;
   }
@@ -50,7 +50,7 @@
 } // namespace
 
 RequestCore::RequestCore(const RequestTerms &Terms, TimePoint Now)
-    : m_Terms(Terms), m_Begin(Now), m_Now(Now) {}
+    : m_Terms(Terms), m_ArrivedAt(Now), m_Now(Now) {}
 
 void RequestCore::handle(const RequestEvent &Event, TimePoint Now,
                          Actions &Out) {
@@ -64,13 +64,13 @@
 
 void RequestCore::on(const Admitted &, Actions &Out) {
   if (m_State == State::New)
-    bid(false, std::nullopt, Out);
+    placeBid(false, std::nullopt, Out);
 }
 
-void RequestCore::bid(bool IsRetry, std::optional<UpstreamId> Avoid,
-                      Actions &Out) {
+void RequestCore::placeBid(bool IsRetry, std::optional<UpstreamId> Avoid,
+                           Actions &Out) {
   m_State = State::Bidding;
-  const Duration Waited = m_Now - m_Begin;
+  const Duration Waited = m_Now - m_ArrivedAt;
   const auto Left = [&](Duration Whole) {
     return std::max(Whole - Waited, Duration::zero());
   };
@@ -86,25 +86,25 @@
   m_SlotHeld = true;
   m_SlotSuspect = false;
   m_GrantedAt = m_Now;
-  if (m_Tokens > 0 && !m_Slot.m_Resumes) {
+  if (m_Tokens > 0 && !m_Slot.m_CanResume) {
     if (m_StreamBegun) {
       // The engine would start from the beginning, but the tokens that were
       // relayed can't be taken back: the caller would get them twice.
-      release(WorkEnd::Unused, Out);
+      releaseSlot(WorkEnd::Unused, Out);
       refuse(RefusalReason::UpstreamFailed, Duration::zero(), Out);
       return;
     }
     m_Tokens = 0;
   }
   if (m_Terms.m_Repeatable || m_ClaimOwned) {
-    send(Out);
+    sendCall(Out);
     return;
   }
   m_State = State::Claiming;
-  if (!m_ClaimAsked)
+  if (!m_ClaimRequested)
     m_ClaimedAt = m_Now;
-  m_ClaimAsked = true;
-  askClaim(Out);
+  m_ClaimRequested = true;
+  requestClaim(Out);
 }
 
 void RequestCore::on(const GrantSuspect &, Actions &) {
@@ -118,11 +118,11 @@
     refuse(Event.m_Reason, Event.m_RetryAfter, Out);
 }
 
-bool RequestCore::slotStale() const {
+bool RequestCore::isSlotStale() const {
   return m_SlotSuspect || m_Now - m_GrantedAt >= m_Slot.m_ValidFor;
 }
 
-void RequestCore::release(WorkEnd End, Actions &Out) {
+void RequestCore::releaseSlot(WorkEnd End, Actions &Out) {
   if (!m_SlotHeld)
     return;
   m_SlotHeld = false;
@@ -133,9 +133,9 @@
 
 // ---- Calling ----------------------------------------------------------------
 
-void RequestCore::send(Actions &Out) {
+void RequestCore::sendCall(Actions &Out) {
   m_State = State::Calling;
-  m_FirstToken = false;
+  m_FirstTokenReported = false;
   m_CallTokens = 0;
   ++m_Attempts;
   TimePoint SendDeadline = m_GrantedAt + m_Slot.m_ValidFor;
@@ -144,12 +144,12 @@
   Out.emplace_back(SendCall{m_Slot, SendDeadline, m_Tokens});
 }
 
-void RequestCore::on(const TokensArrived &Event, Actions &Out) {
+void RequestCore::on(const TokensReceived &Event, Actions &Out) {
   if (m_State != State::Calling)
     return;
   m_StreamBegun |= m_Terms.m_Streamed;
-  if (!m_FirstToken) {
-    m_FirstToken = true;
+  if (!m_FirstTokenReported) {
+    m_FirstTokenReported = true;
     Out.emplace_back(ReportFirstToken{m_Now - m_GrantedAt});
   }
   m_Tokens += Event.m_Count;
@@ -159,39 +159,39 @@
 void RequestCore::on(const CallEnded &Event, Actions &Out) {
   if (m_State != State::Calling)
     return;
-  release(workEndOf(Event.m_End), Out);
+  releaseSlot(workEndOf(Event.m_End), Out);
   switch (Event.m_End) {
-  case CallEnd::Whole:
+  case CallEnd::Complete:
     if (m_Terms.m_Repeatable) {
       finish(FinishAnswer{}, Out);
       return;
     }
-    keep(true, Out);
+    recordAnswer(true, Out);
     return;
   case CallEnd::ConnectFailed:
-  case CallEnd::TooOld:
+  case CallEnd::Withheld:
   case CallEnd::Busy:
-  case CallEnd::Leaving:
-    neverRan(Event.m_End, Out);
+  case CallEnd::Draining:
+    handleNotRun(Event.m_End, Out);
     return;
   case CallEnd::ClosedBeforeByte:
   case CallEnd::ClosedMidStream:
-    mayHaveRun(Event.m_End, Out);
+    handleMayHaveRun(Event.m_End, Out);
     return;
   }
 }
 
-void RequestCore::neverRan(CallEnd End, Actions &Out) {
+void RequestCore::handleNotRun(CallEnd End, Actions &Out) {
   if (m_CallerGone || m_Answered) {
     refuse(RefusalReason::CallerGone, Duration::zero(), Out);
     return;
   }
-  const bool Fault = End != CallEnd::TooOld;
+  const bool Fault = End != CallEnd::Withheld;
   retry(retryReasonOf(End), Fault,
         Fault ? std::optional(m_Slot.m_Upstream) : std::nullopt, Out);
 }
 
-void RequestCore::mayHaveRun(CallEnd End, Actions &Out) {
+void RequestCore::handleMayHaveRun(CallEnd End, Actions &Out) {
   m_MayHaveRun = true;
   if (m_Terms.m_Repeatable) {
     retry(retryReasonOf(End), true, m_Slot.m_Upstream, Out);
@@ -199,34 +199,35 @@
   }
   // Not sent again: a second call could reserve two seats. The claim stays with
   // this attempt, and further requests with the key are answered "unknown".
-  keep(false, Out);
+  recordAnswer(false, Out);
 }
 
-void RequestCore::keep(bool OutcomeKnown, Actions &Out) {
-  m_State = State::Keeping;
+void RequestCore::recordAnswer(bool OutcomeKnown, Actions &Out) {
+  m_State = State::RecordingAnswer;
   m_OutcomeKnown = OutcomeKnown;
   Out.emplace_back(RecordRan{OutcomeKnown});
   // An outage of the table service must not delay the answer for longer. Until
   // the record is written, further requests with the key are answered "in
   // progress".
-  Out.emplace_back(WakeAfter{KeepPatience});
+  Out.emplace_back(WakeAfter{RecordTimeout});
 }
 
 void RequestCore::retry(RetryReason Reason, bool IsRetry,
                         std::optional<UpstreamId> Avoid, Actions &Out) {
-  const bool TimeLeft = m_Tokens > 0 || m_Now - m_Begin < m_Terms.m_TotalLimit;
+  const bool TimeLeft =
+      m_Tokens > 0 || m_Now - m_ArrivedAt < m_Terms.m_TotalLimit;
   if (m_Attempts >= m_Terms.m_MaxAttempts || !TimeLeft) {
     refuse(RefusalReason::UpstreamFailed, Duration::zero(), Out);
     return;
   }
   Out.emplace_back(CountRetry{Reason});
-  bid(IsRetry, Avoid, Out);
+  placeBid(IsRetry, Avoid, Out);
 }
 
 void RequestCore::on(const PreemptOrdered &Event, Actions &Out) {
   if (!m_SlotHeld || m_Slot.m_Upstream != Event.m_Upstream)
     return;
-  if (m_State == State::Claiming || m_State == State::ClaimPause) {
+  if (m_State == State::Claiming || m_State == State::ClaimRetryWait) {
     m_SlotSuspect = true;
     return;
   }
@@ -236,10 +237,10 @@
     return;
   m_MayHaveRun = true;
   Out.emplace_back(CancelCall{});
-  release(WorkEnd::Preempted, Out);
+  releaseSlot(WorkEnd::Preempted, Out);
   Out.emplace_back(CountRetry{RetryReason::Preempted});
   --m_Attempts; // Preemption does not use up an attempt.
-  bid(false, std::nullopt, Out);
+  placeBid(false, std::nullopt, Out);
 }
 
 // ---- Ending -----------------------------------------------------------------
@@ -250,8 +251,8 @@
   m_CallerGone = true;
   switch (m_State) {
   case State::New:
-  case State::KeyWait:
-  case State::KeyRead:
+  case State::WaitingForKey:
+  case State::ReadingClaim:
     finish(DropAnswer{}, Out);
     return;
   case State::Bidding:
@@ -264,13 +265,13 @@
     if (!m_Terms.m_Repeatable)
       return;
     Out.emplace_back(CancelCall{});
-    release(WorkEnd::Cancelled, Out);
+    releaseSlot(WorkEnd::Cancelled, Out);
     finish(DropAnswer{}, Out);
     return;
   case State::Claiming:
-  case State::ClaimPause:
-  case State::GivingBack:
-  case State::Keeping:
+  case State::ClaimRetryWait:
+  case State::ReleasingClaim:
+  case State::RecordingAnswer:
   case State::Ended:
     return; // The state of the claim must be settled first.
   }
@@ -285,20 +286,20 @@
     Out.emplace_back(WithdrawBid{});
     refuse(RefusalReason::TargetUnreachable, Duration::zero(), Out);
     return;
-  case State::ClaimPause:
-    release(WorkEnd::Unused, Out);
+  case State::ClaimRetryWait:
+    releaseSlot(WorkEnd::Unused, Out);
     refuse(RefusalReason::ClaimUnavailable, ClaimRetryAfter, Out);
-    giveUpRecord(Out);
+    stopWaitingForRecord(Out);
     return;
-  case State::GivingBack:
-    giveUpRecord(Out);
+  case State::ReleasingClaim:
+    stopWaitingForRecord(Out);
     return;
-  case State::KeyWait:
-  case State::KeyRead:
+  case State::WaitingForKey:
+  case State::ReadingClaim:
     refuse(RefusalReason::KeyInProgress, ClaimRetryAfter, Out);
     return;
   case State::Calling:
-    if (m_FirstToken || m_StreamBegun || m_Answered || m_CallerGone)
+    if (m_FirstTokenReported || m_StreamBegun || m_Answered || m_CallerGone)
       return; // An answer that has begun runs to its end.
     if (!m_Terms.m_Repeatable) {
       // The call goes on and its answer is recorded, but the caller does not
@@ -310,61 +311,62 @@
     }
     m_MayHaveRun = true;
     Out.emplace_back(CancelCall{});
-    release(WorkEnd::Cancelled, Out);
+    releaseSlot(WorkEnd::Cancelled, Out);
     refuse(RefusalReason::TargetUnreachable, Duration::zero(), Out);
     return;
   case State::Claiming:
-  case State::Keeping:
+  case State::RecordingAnswer:
   case State::Ended:
     return; // These states end without the limit.
   }
 }
 
 RunState RequestCore::runState() const {
-  return m_MayHaveRun || m_OtherHolds ? RunState::Unknown : RunState::NotRun;
+  return m_MayHaveRun || m_KeyHeldElsewhere ? RunState::Unknown
+                                            : RunState::NotRun;
 }
 
 void RequestCore::refuse(RefusalReason Reason, Duration RetryAfter,
                          Actions &Out) {
-  m_Final = Refuse{Reason, runState(), RetryAfter};
-  if (m_ClaimAsked) {
+  m_FinalRefusal = Refuse{Reason, runState(), RetryAfter};
+  if (m_ClaimRequested) {
     // "Not run" is only answered once the claim is released. Otherwise a
     // request with the same key would find the claim taken and be answered
     // that the call may have run.
-    m_State = State::GivingBack;
+    m_State = State::ReleasingClaim;
     Out.emplace_back(RecordNotRun{});
     return;
   }
-  sayFinal(Out);
+  giveFinalRefusal(Out);
 }
 
-void RequestCore::giveUpRecord(Actions &Out) {
+void RequestCore::stopWaitingForRecord(Actions &Out) {
   // The caller does not wait for the table service any longer. The claim client
   // keeps retrying the write of the record.
-  m_Final.m_State = RunState::Unknown;
-  sayFinal(Out);
+  m_FinalRefusal.m_State = RunState::Unknown;
+  giveFinalRefusal(Out);
 }
 
-void RequestCore::sayFinal(Actions &Out) {
+void RequestCore::giveFinalRefusal(Actions &Out) {
   if (m_CallerGone)
     finish(DropAnswer{}, Out);
   else if (m_StreamBegun)
-    finish(CutAnswer{m_Final.m_Reason}, Out);
+    finish(CutAnswer{m_FinalRefusal.m_Reason}, Out);
   else
-    finish(m_Final, Out);
+    finish(m_FinalRefusal, Out);
 }
 
 void RequestCore::on(const EndRecorded &Event, Actions &Out) {
-  if (m_State == State::Keeping) {
-    answerRan(Out);
-  } else if (m_State == State::GivingBack) {
+  if (m_State == State::RecordingAnswer) {
+    answerAfterRecord(Out);
+  } else if (m_State == State::ReleasingClaim) {
     if (!Event.m_Certain)
-      m_Final.m_State = RunState::Unknown;
-    sayFinal(Out);
+      m_FinalRefusal.m_State = RunState::Unknown;
+    giveFinalRefusal(Out);
   }
 }
 
-void RequestCore::answerRan(Actions &Out) {
+void RequestCore::answerAfterRecord(Actions &Out) {
   if (m_OutcomeKnown)
     finish(FinishAnswer{}, Out);
   else if (m_StreamBegun)
--- a/src/entry/request_service.cpp
+++ b/src/entry/request_service.cpp
@@ -16,9 +16,9 @@
 /// one.
 constexpr Duration IdleLimit = std::chrono::seconds(60);
 
-ArrivalLimits arrivalLimits(const RequestLimits &Limits) {
-  return {Limits.m_MaxBody, Limits.m_MaxHeader, Limits.m_ReceiveLimit,
-          IdleLimit};
+ReceiveLimits arrivalLimits(const RequestLimits &Limits) {
+  return {Limits.m_MaxBodyBytes, Limits.m_MaxHeaderBytes,
+          Limits.m_ReceiveTimeout, IdleLimit};
 }
 
 void answerText(Caller &Client, unsigned Status, const std::string &ContentType,
@@ -48,40 +48,43 @@
 
 } // namespace
 
-RequestService::RequestService(RequestWorld Context, const Directory &Dir,
-                               ServiceRights Conditions, Metrics &Stats)
-    : m_World(Context), m_Directory(Dir), m_Rights(std::move(Conditions)),
+RequestService::RequestService(RequestContext Context, const Directory &Dir,
+                               ServiceConditions Conditions, Metrics &Stats)
+    : m_Context(Context), m_Directory(Dir), m_Conditions(std::move(Conditions)),
       m_Metrics(Stats), m_Stats(Stats),
-      m_Front(
+      m_Frontend(
           arrivalLimits(Context.m_Limits),
           [this](RefusalReason Reason) {
-            m_Stats.of("").m_Refusals[static_cast<std::size_t>(Reason)]->add();
+            m_Stats.statsOf("")
+                .m_Refusals[static_cast<std::size_t>(Reason)]
+                ->add();
           },
           Context.m_Timers),
-      m_Sweep(Context.m_Timers), m_StopCheck(Context.m_Timers) {
+      m_CleanupTimer(Context.m_Timers), m_StopTimer(Context.m_Timers) {
   tableChanged();
 }
 
 void RequestService::listen(const Address &LocalAddress) {
-  m_Front.listen(LocalAddress, [this](IncomingRequest Incoming,
-                                      std::unique_ptr<Caller> Client) {
+  m_Frontend.listen(LocalAddress, [this](IncomingRequest Incoming,
+                                         std::unique_ptr<Caller> Client) {
     const RawRequest Raw = rawRequestOf(std::move(Incoming));
-    if (!handleOwn(*Client, Raw))
-      handleCall(std::move(Client), Raw);
+    if (!handleOwnResource(*Client, Raw))
+      handleRequest(std::move(Client), Raw);
   });
 }
 
-bool RequestService::ready() const {
-  return !m_Stopping && !m_Rights.m_Draining() && m_Rights.m_RightToServe();
+bool RequestService::isReady() const {
+  return !m_Stopping && !m_Conditions.m_IsDraining() &&
+         m_Conditions.m_HasRightToServe();
 }
 
 // ---- Requests ---------------------------------------------------------------
 
-bool RequestService::handleOwn(Caller &Client, const RawRequest &Raw) {
+bool RequestService::handleOwnResource(Caller &Client, const RawRequest &Raw) {
   if (Raw.m_Method != "GET")
     return false;
   if (Raw.m_Path == "/healthz" || Raw.m_Path == "/readyz") {
-    const bool IsReady = ready();
+    const bool IsReady = isReady();
     answerText(Client, IsReady ? HttpOk : HttpUnavailable, "text/plain",
                IsReady ? "ok\n" : "unavailable\n");
     return true;
@@ -99,19 +102,19 @@
 
 void RequestService::refuse(Caller &Client, const std::string &Class,
                             RefusalReason Reason, Duration RetryAfter) {
-  m_Stats.of(Class).m_Refusals[static_cast<std::size_t>(Reason)]->add();
+  m_Stats.statsOf(Class).m_Refusals[static_cast<std::size_t>(Reason)]->add();
   Client.answer(refusalAnswer(Reason, RunState::NotRun, RetryAfter));
 }
 
-void RequestService::handleCall(std::unique_ptr<Caller> Client,
-                                const RawRequest &Raw) {
+void RequestService::handleRequest(std::unique_ptr<Caller> Client,
+                                   const RawRequest &Raw) {
   if (m_Stopping) {
     refuse(*Client, "", RefusalReason::ShuttingDown, ElsewhereRetryAfter);
     return;
   }
   // Without the right to serve, the table may be outdated although an operator
   // was notified that a new one is in force everywhere.
-  if (!m_Rights.m_RightToServe()) {
+  if (!m_Conditions.m_HasRightToServe()) {
     refuse(*Client, "", RefusalReason::NotInForce, ElsewhereRetryAfter);
     return;
   }
@@ -121,45 +124,46 @@
     return;
   }
   auto &Parsed = std::get<CallerRequest>(Outcome);
-  ClassStats &Stats = m_Stats.of(Parsed.m_Contract.m_Name);
-  const std::uint64_t Number = ++m_LastRequest;
+  ClassStats &Stats = m_Stats.statsOf(Parsed.m_Contract.m_Name);
+  const std::uint64_t Number = ++m_LastRequestNumber;
   auto NewRequest = std::make_unique<Request>(
-      m_World, Stats, std::move(Parsed), std::move(Client),
-      [this, Number] { ended(Number); });
+      m_Context, Stats, std::move(Parsed), std::move(Client),
+      [this, Number] { handleRequestEnd(Number); });
   Request &Started = *NewRequest;
   m_Requests.emplace(Number, std::move(NewRequest));
   Started.start();
 }
 
-void RequestService::ended(std::uint64_t Number) {
+void RequestService::handleRequestEnd(std::uint64_t Number) {
   auto Node = m_Requests.extract(Number);
-  m_Ended.push_back(std::move(Node.mapped()));
-  if (!m_Sweep.running())
-    m_Sweep.start(Duration::zero(), [this] { sweep(); });
+  m_EndedRequests.push_back(std::move(Node.mapped()));
+  if (!m_CleanupTimer.isRunning())
+    m_CleanupTimer.start(Duration::zero(), [this] { destroyEndedRequests(); });
 }
 
-void RequestService::sweep() {
+void RequestService::destroyEndedRequests() {
   // Runs from a timer, as a request must not be destroyed while it is on the
   // stack.
-  const std::vector<std::unique_ptr<Request>> Ended = std::move(m_Ended);
-  m_Ended.clear();
+  const std::vector<std::unique_ptr<Request>> Ended =
+      std::move(m_EndedRequests);
+  m_EndedRequests.clear();
 }
 
 // ---- Shutdown ---------------------------------------------------------------
 
 void RequestService::stop(std::function<void()> Done) {
   m_Stopping = true;
-  m_StopDone = std::move(Done);
+  m_OnStopped = std::move(Done);
   checkStopped();
 }
 
 void RequestService::checkStopped() {
-  if (m_Requests.empty() && m_Front.unfinished() == 0) {
+  if (m_Requests.empty() && m_Frontend.unansweredRequests() == 0) {
     logEvent(LogEvent::EntryDrained);
-    m_StopDone();
+    m_OnStopped();
     return;
   }
-  m_StopCheck.start(StopCheckInterval, [this] { checkStopped(); });
+  m_StopTimer.start(StopCheckInterval, [this] { checkStopped(); });
 }
 
 } // namespace crowstep::entry
--- a/src/entry/request_type.h
+++ b/src/entry/request_type.h
@@ -23,17 +23,17 @@
   UpstreamId m_Upstream;       ///< Where to send the request.
   Address m_Address;           ///< Of the upstream's HTTP server.
   std::uint8_t m_Priority = 0; ///< For the engine; 0 is the most urgent.
-  bool m_Resumes = false;      ///< The upstream can resume an answer.
+  bool m_CanResume = false;    ///< The upstream can resume an answer.
   Duration m_ValidFor{};       ///< Counted from receipt of the grant.
 };
 
 /// How a call to an upstream ended.
 enum class CallEnd : std::uint8_t {
-  Whole,            ///< A complete answer, with any status.
+  Complete,         ///< A complete answer, with any status.
   ConnectFailed,    ///< No connection: nothing was sent.
-  TooOld,           ///< Stopped by the last check: nothing was sent.
+  Withheld,         ///< Stopped by the last check: nothing was sent.
   Busy,             ///< The upstream reports that it did not run it.
-  Leaving,          ///< As Busy, because the upstream is draining.
+  Draining,         ///< As Busy, because the upstream is draining.
   ClosedBeforeByte, ///< May have been sent; no byte of an answer.
   ClosedMidStream,  ///< Closed in the middle of the answer.
 };
@@ -67,7 +67,7 @@
   bool m_Certain; ///< False: the write's outcome is unknown.
 };
 /// Tokens (from a service that is not an engine: the first byte) arrived.
-struct TokensArrived {
+struct TokensReceived {
   std::uint32_t m_Count; ///< 0 for bytes that hold no token.
 };
 /// The call to the upstream has ended.
@@ -79,12 +79,12 @@
 /// The total time limit of the class is reached.
 struct LimitReached {};
 /// The wait requested by WakeAfter is over.
-struct PauseOver {};
+struct WaitElapsed {};
 
 using RequestEvent =
     std::variant<Admitted, Granted, GrantSuspect, BidRefused, PreemptOrdered,
-                 ClaimAnswered, EndRecorded, TokensArrived, CallEnded,
-                 CallerLeft, LimitReached, PauseOver>;
+                 ClaimAnswered, EndRecorded, TokensReceived, CallEnded,
+                 CallerLeft, LimitReached, WaitElapsed>;
 
 // ---- Actions ----------------------------------------------------------------
 
@@ -111,8 +111,8 @@
 };
 /// Request the claim of the key. A request uses the same attempt id for all its
 /// requests of the claim.
-struct AskClaim {
-  Duration m_Limit; ///< Longest wait for the outcome.
+struct RequestClaim {
+  Duration m_Timeout; ///< Longest wait for the outcome.
 };
 /// Read the state of the claim that another attempt holds.
 struct ReadClaim {};
@@ -126,14 +126,14 @@
 /// byte: bytes may only be sent before m_SendDeadline, by Clock::fresh().
 struct SendCall {
   GrantedSlot m_Slot;
-  TimePoint m_SendBefore;       ///< When the grant or the claim expires.
+  TimePoint m_SendDeadline;     ///< When the grant or the claim expires.
   std::uint32_t m_ResumeTokens; ///< Tokens to resume after; 0: from the start.
 };
 /// Close the connection of the call and order an engine to stop.
 struct CancelCall {};
 /// Deliver WaitElapsed after a wait.
 struct WakeAfter {
-  Duration m_Pause; ///< > 0.
+  Duration m_Wait; ///< > 0.
 };
 /// Final answer: a refusal.
 struct Refuse {
@@ -159,10 +159,10 @@
 };
 
 using RequestAction =
-    std::variant<PlaceBid, WithdrawBid, ReportFirstToken, ReleaseSlot, AskClaim,
-                 ReadClaim, RecordNotRun, RecordRan, SendCall, CancelCall,
-                 WakeAfter, Refuse, ReplayAnswer, FinishAnswer, CutAnswer,
-                 DropAnswer, CountRetry>;
+    std::variant<PlaceBid, WithdrawBid, ReportFirstToken, ReleaseSlot,
+                 RequestClaim, ReadClaim, RecordNotRun, RecordRan, SendCall,
+                 CancelCall, WakeAfter, Refuse, ReplayAnswer, FinishAnswer,
+                 CutAnswer, DropAnswer, CountRetry>;
 
 /// Properties of a request, from the table, the caller and the settings.
 struct RequestTerms {
--- a/src/gateway/admission.cpp
+++ b/src/gateway/admission.cpp
@@ -19,33 +19,33 @@
 
 } // namespace
 
-std::variant<Admitted, NotAdmitted> admit(const IncomingRequest &Request,
-                                          const RouteTablePtr &Table,
-                                          const HeaderCodec &Codec) {
+std::variant<AdmittedRequest, RefusedRequest>
+admit(const IncomingRequest &Request, const RouteTablePtr &Table,
+      const HeaderCodec &Codec) {
   auto Read = Codec.readRequest(Request.m_Headers);
   if (std::holds_alternative<UnreadableHeader>(Read))
-    return NotAdmitted{RefusalReason::MalformedHeader, {}};
+    return RefusedRequest{RefusalReason::MalformedHeader, {}};
   auto &Facts = std::get<RequestFacts>(Read);
   // Without a table it is unknown whether a route or key exists.
   if (Table == nullptr)
-    return NotAdmitted{RefusalReason::NotInForce, Facts.m_Id};
+    return RefusedRequest{RefusalReason::NotInForce, Facts.m_Id};
   const Route *Found = routeOf(Request, *Table);
   if (Found == nullptr)
-    return NotAdmitted{RefusalReason::UnknownPath, Facts.m_Id};
-  Admitted Result;
+    return RefusedRequest{RefusalReason::UnknownPath, Facts.m_Id};
+  AdmittedRequest Result;
   Result.m_Table = Table;
   Result.m_Route = Found;
-  const KeyHolder *KeyOwner = nullptr;
+  const WorkspaceEntry *KeyOwner = nullptr;
   if (Table->hasKeys() && Found->m_NeedsKey) {
     if (Facts.m_Key.empty())
-      return NotAdmitted{RefusalReason::MissingKey, Facts.m_Id};
-    KeyOwner = Table->holderOf(Facts.m_Key);
+      return RefusedRequest{RefusalReason::MissingKey, Facts.m_Id};
+    KeyOwner = Table->workspaceOfKey(Facts.m_Key);
     if (KeyOwner == nullptr)
-      return NotAdmitted{RefusalReason::UnknownKey, Facts.m_Id};
+      return RefusedRequest{RefusalReason::UnknownKey, Facts.m_Id};
     Result.m_Workspace = KeyOwner->m_Name;
   }
-  Result.m_Turn = Table->urgency(*Found, KeyOwner);
-  Result.m_Urgency = Table->engineRank(*Found, KeyOwner);
+  Result.m_QueueRank = Table->queueRank(*Found, KeyOwner);
+  Result.m_EngineRank = Table->engineRank(*Found, KeyOwner);
   Result.m_Facts = std::move(Facts);
   return Result;
 }
--- a/src/gateway/admission.h
+++ b/src/gateway/admission.h
@@ -10,25 +10,25 @@
 namespace crowstep::gateway {
 
 /// A request that passed the checks.
-struct Admitted {
-  RouteTablePtr m_Table;   ///< Keeps m_Route alive.
-  const Route *m_Route;    ///< Never null.
-  std::string m_Workspace; ///< Of the checked key; empty: none.
-  unsigned m_Turn = 0;     ///< See RouteTable::queueRank().
-  unsigned m_Urgency = 0;  ///< See RouteTable::engineRank().
-  RequestFacts m_Facts;    ///< From its headers.
+struct AdmittedRequest {
+  RouteTablePtr m_Table;     ///< Keeps m_Route alive.
+  const Route *m_Route;      ///< Never null.
+  std::string m_Workspace;   ///< Of the checked key; empty: none.
+  unsigned m_QueueRank = 0;  ///< See RouteTable::queueRank().
+  unsigned m_EngineRank = 0; ///< See RouteTable::engineRank().
+  RequestFacts m_Facts;      ///< From its headers.
 };
 
 /// A request that is refused before placement.
-struct NotAdmitted {
+struct RefusedRequest {
   RefusalReason m_Reason; ///< Never None.
   std::string m_Id;       ///< Of the caller's attempt; empty if unreadable.
 };
 
 /// Checks \p Request against \p Table, which is null until one was received.
-std::variant<Admitted, NotAdmitted> admit(const IncomingRequest &Request,
-                                          const RouteTablePtr &Table,
-                                          const HeaderCodec &Codec);
+std::variant<AdmittedRequest, RefusedRequest>
+admit(const IncomingRequest &Request, const RouteTablePtr &Table,
+      const HeaderCodec &Codec);
 
 } // namespace crowstep::gateway
 
--- a/src/gateway/crash_watch.cpp
+++ b/src/gateway/crash_watch.cpp
@@ -13,61 +13,62 @@
     : m_Clock(Time), m_Balancer(Balancer), m_Prober(Prober),
       m_Crashes(Stats.counter("crowstep_upstream_crashes_total")),
       m_Quarantined(Stats.gauge("crowstep_requests_quarantined")),
-      m_KeepList(Timers), m_Sweep(Timers) {
+      m_ListTimer(Timers), m_CleanupTimer(Timers) {
   m_Balancer.quarantine().setListener(this);
 }
 
 CrashWatch::~CrashWatch() { m_Balancer.quarantine().setListener(nullptr); }
 
-void CrashWatch::callBroken(UpstreamId Id, const Address &Where) {
+void CrashWatch::handleBrokenCall(UpstreamId Id, const Address &Where) {
   if (m_Probes.contains(Id))
     return;
   m_Probes[Id] =
-      m_Prober.probe(Where, ProbeLimit,
-                     [this, Id](ConnectOutcome Result) { probed(Id, Result); });
+      m_Prober.probe(Where, ProbeTimeout, [this, Id](ConnectOutcome Result) {
+        handleProbeResult(Id, Result);
+      });
 }
 
-void CrashWatch::probed(UpstreamId Id, ConnectOutcome Result) {
+void CrashWatch::handleProbeResult(UpstreamId Id, ConnectOutcome Result) {
   auto Node = m_Probes.extract(Id);
-  m_Ended.push_back(std::move(Node.mapped()));
+  m_EndedProbes.push_back(std::move(Node.mapped()));
   // The probe is on the call stack here.
-  m_Sweep.start(Duration::zero(), [this] { m_Ended.clear(); });
+  m_CleanupTimer.start(Duration::zero(), [this] { m_EndedProbes.clear(); });
   if (Result == ConnectOutcome::Refused)
-    upstreamDown(Id, "refuses connections");
+    recordUpstreamDown(Id, "refuses connections");
 }
 
 void CrashWatch::upstreamsChanged(const std::vector<Upstream> &All) {
-  std::map<UpstreamId, Listed> Present;
+  std::map<UpstreamId, ListedUpstream> Present;
   for (const Upstream &Entry : All)
-    Present[Entry.m_Id] = {Entry.m_Name, Entry.m_Leaving};
+    Present[Entry.m_Id] = {Entry.m_Name, Entry.m_Draining};
   for (const auto &[Id, Known] : m_Upstreams)
-    if (!Known.m_Leaving && !Present.contains(Id))
-      upstreamDown(Id, "no longer listed");
+    if (!Known.m_Draining && !Present.contains(Id))
+      recordUpstreamDown(Id, "no longer listed");
   m_Upstreams = std::move(Present);
 }
 
-void CrashWatch::upstreamDown(UpstreamId Id, std::string_view Reason) {
+void CrashWatch::recordUpstreamDown(UpstreamId Id, std::string_view Reason) {
   const TimePoint Now = m_Clock.now();
-  const std::size_t Calls = m_Balancer.quarantine().upstreamDown(Id, Now);
+  const std::size_t Calls = m_Balancer.quarantine().recordUpstreamDown(Id, Now);
   if (Calls == 0)
     return;
   m_Crashes.add();
   logEvent(LogEvent::GatewayUpstreamDown, {{"upstream", m_Upstreams[Id].m_Name},
                                            {"why", std::string(Reason)},
                                            {"calls", std::to_string(Calls)}});
-  m_LastCrash = Now;
-  const bool Listable = !m_Balancer.quarantine().unlisted().empty();
-  if (Listable || !m_KeepList.running())
-    m_KeepList.start(Listable ? Duration::zero() : ListAfter,
-                     [this] { keepList(); });
+  m_LastCrashAt = Now;
+  const bool Listable = !m_Balancer.quarantine().unlistedRequests().empty();
+  if (Listable || !m_ListTimer.isRunning())
+    m_ListTimer.start(Listable ? Duration::zero() : ListCheckInterval,
+                      [this] { syncQuarantineList(); });
 }
 
 void CrashWatch::quarantineChanged(const std::set<ContentHash> &Listed) {
   m_Balancer.quarantine().setListed(Listed, m_Clock.now());
 }
 
-void CrashWatch::quarantined(const ContentHash &Request, std::size_t Crashes,
-                             Duration Span) {
+void CrashWatch::onQuarantined(const ContentHash &Request, std::size_t Crashes,
+                               Duration Span) {
   m_Quarantined.set(static_cast<double>(m_Balancer.quarantine().size()));
   logEvent(LogEvent::GatewayQuarantined,
            {{"content", toString(Request)},
@@ -75,28 +76,28 @@
             {"span_us", std::to_string(Span.count())}});
 }
 
-void CrashWatch::cleared(const ContentHash &Request,
-                         balance::ClearReason Reason) {
+void CrashWatch::onCleared(const ContentHash &Request,
+                           balance::ClearReason Reason) {
   m_Quarantined.set(static_cast<double>(m_Balancer.quarantine().size()));
   logEvent(
       LogEvent::GatewayQuarantineEnded,
       {{"content", toString(Request)}, {"why", std::string(nameOf(Reason))}});
-  if (Reason == balance::ClearReason::Served && !m_KeepList.running())
-    m_KeepList.start(Duration::zero(), [this] { keepList(); });
+  if (Reason == balance::ClearReason::Served && !m_ListTimer.isRunning())
+    m_ListTimer.start(Duration::zero(), [this] { syncQuarantineList(); });
 }
 
 /// Writes may be lost; the list itself shows whether they took effect.
-void CrashWatch::keepList() {
+void CrashWatch::syncQuarantineList() {
   const balance::Quarantine &Quarantine = m_Balancer.quarantine();
-  const std::vector<ContentHash> Unlisted = Quarantine.unlisted();
+  const std::vector<ContentHash> Unlisted = Quarantine.unlistedRequests();
   for (const ContentHash &Request : Unlisted)
-    m_List->listQuarantined(Request);
-  for (const ContentHash &Request : Quarantine.wronglyListed())
-    m_List->unlistQuarantined(Request);
-  if (!Unlisted.empty() || !Quarantine.wronglyListed().empty())
-    m_KeepList.start(ListAgainAfter, [this] { keepList(); });
-  else if (m_Clock.now() - m_LastCrash < KeepWatchFor)
-    m_KeepList.start(ListAfter, [this] { keepList(); });
+    m_Directory->listQuarantined(Request);
+  for (const ContentHash &Request : Quarantine.staleListings())
+    m_Directory->unlistQuarantined(Request);
+  if (!Unlisted.empty() || !Quarantine.staleListings().empty())
+    m_ListTimer.start(ListRetryInterval, [this] { syncQuarantineList(); });
+  else if (m_Clock.now() - m_LastCrashAt < ListCheckPeriod)
+    m_ListTimer.start(ListCheckInterval, [this] { syncQuarantineList(); });
 }
 
 } // namespace crowstep::gateway
--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_watch.h
@@ -17,19 +17,19 @@
 class CrashWatch final : private balance::QuarantineListener {
 public:
   /// A machine that is up accepts or refuses a connection within this time.
-  static constexpr Duration ProbeLimit = std::chrono::milliseconds(500);
+  static constexpr Duration ProbeTimeout = std::chrono::milliseconds(500);
 
   /// Interval of checks for quarantined requests that are not listed, where
   /// another instance observed the last crash; that one lists them at once.
-  static constexpr Duration ListAfter = std::chrono::seconds(1);
+  static constexpr Duration ListCheckInterval = std::chrono::seconds(1);
 
   /// Delay before a write that has not changed the list is repeated: changes
   /// of the list arrive seconds late.
-  static constexpr Duration ListAgainAfter = std::chrono::seconds(4);
+  static constexpr Duration ListRetryInterval = std::chrono::seconds(4);
 
   /// The list is checked for this long after the last crash observed here:
   /// another instance may observe the crash that leads to the quarantine.
-  static constexpr Duration KeepWatchFor = std::chrono::seconds(10);
+  static constexpr Duration ListCheckPeriod = std::chrono::seconds(10);
 
   CrashWatch(const Clock &Time, Scheduler &Timers, balance::Balancer &Balancer,
              UpstreamProber &Prober, Metrics &Stats);
@@ -38,11 +38,11 @@
   CrashWatch &operator=(const CrashWatch &) = delete;
 
   /// \p Target outlives this object.
-  void start(Directory &Target) { m_List = &Target; }
+  void start(Directory &Target) { m_Directory = &Target; }
 
   /// Handles a broken connection of a call: probes the upstream, unless a probe
   /// is running.
-  void callBroken(UpstreamId Id, const Address &Where);
+  void handleBrokenCall(UpstreamId Id, const Address &Where);
 
   /// Takes the whole list of upstreams. Those that are no longer listed and
   /// were not draining count as down.
@@ -53,31 +53,32 @@
 
 private:
   /// A listed upstream.
-  struct Listed {
-    std::string m_Name;     ///< Of the upstream.
-    bool m_Leaving = false; ///< Its removal is no crash.
+  struct ListedUpstream {
+    std::string m_Name;      ///< Of the upstream.
+    bool m_Draining = false; ///< Its removal is no crash.
   };
 
-  void quarantined(const ContentHash &Request, std::size_t Crashes,
-                   Duration Span) override;
-  void cleared(const ContentHash &Request,
-               balance::ClearReason Reason) override;
-  void probed(UpstreamId Id, ConnectOutcome Result);
-  void upstreamDown(UpstreamId Id, std::string_view Reason);
-  void keepList();
-
-  const Clock &m_Clock;          ///< Outlives this object.
-  balance::Balancer &m_Balancer; ///< Outlives this object.
-  UpstreamProber &m_Prober;      ///< Outlives this object.
-  Directory *m_List = nullptr;   ///< Never null after start().
-  Counter &m_Crashes;            ///< Upstreams that went down under calls.
-  Gauge &m_Quarantined;          ///< Requests.
+  void onQuarantined(const ContentHash &Request, std::size_t Crashes,
+                     Duration Span) override;
+  void onCleared(const ContentHash &Request,
+                 balance::ClearReason Reason) override;
+  void handleProbeResult(UpstreamId Id, ConnectOutcome Result);
+  void recordUpstreamDown(UpstreamId Id, std::string_view Reason);
+  void syncQuarantineList();
+
+  const Clock &m_Clock;             ///< Outlives this object.
+  balance::Balancer &m_Balancer;    ///< Outlives this object.
+  UpstreamProber &m_Prober;         ///< Outlives this object.
+  Directory *m_Directory = nullptr; ///< Never null after start().
+  Counter &m_Crashes;               ///< Upstreams that went down under calls.
+  Gauge &m_Quarantined;             ///< Requests.
   std::map<UpstreamId, std::unique_ptr<UpstreamProbe>> m_Probes; ///< Running.
-  std::vector<std::unique_ptr<UpstreamProbe>> m_Ended; ///< To be destroyed.
-  std::map<UpstreamId, Listed> m_Upstreams;            ///< As last listed.
-  TimePoint m_LastCrash{};                             ///< Observed here.
-  Timer m_KeepList; ///< Next check of the list.
-  Timer m_Sweep;    ///< Destroys ended probes.
+  std::vector<std::unique_ptr<UpstreamProbe>>
+      m_EndedProbes;                                ///< To be destroyed.
+  std::map<UpstreamId, ListedUpstream> m_Upstreams; ///< As last listed.
+  TimePoint m_LastCrashAt{};                        ///< Observed here.
+  Timer m_ListTimer;                                ///< Next check of the list.
+  Timer m_CleanupTimer;                             ///< Destroys ended probes.
 };
 
 } // namespace crowstep::gateway
--- a/src/gateway/digest_codec.cpp
+++ b/src/gateway/digest_codec.cpp
@@ -22,34 +22,35 @@
 
 } // namespace
 
-void pack(const balance::LoadDigest &Digest,
-          std::unique_ptr<wire::GatewayDigestT> &Into) {
+void packDigest(const balance::LoadDigest &Digest,
+                std::unique_ptr<wire::GatewayDigestT> &Into) {
   if (Into == nullptr)
     Into = std::make_unique<wire::GatewayDigestT>();
   Into->loads.clear();
   for (const balance::UpstreamLoad &Load : Digest.m_Loads)
     Into->loads.emplace_back(
-        Load.m_Upstream.value(), Load.m_UnreadTokens, Load.m_HeldTokens,
+        Load.m_Upstream.value(), Load.m_PrefillTokens, Load.m_HeldTokens,
         static_cast<std::uint16_t>(Load.m_Running), Load.m_Urgency,
-        static_cast<std::uint16_t>(Load.m_Tight));
-  for (const balance::PartPlaced &Placement : Digest.m_Parts)
+        static_cast<std::uint16_t>(Load.m_LatencySensitive));
+  for (const balance::SegmentPlacement &Placement : Digest.m_Segments)
     Into->parts.emplace_back(Placement.m_Upstream.value(),
-                             Placement.m_Part.m_Id, Placement.m_Part.m_Tokens);
+                             Placement.m_Segment.m_Id,
+                             Placement.m_Segment.m_Tokens);
   for (const auto &[Pool, Work] : Digest.m_Work)
     Into->work.emplace_back(Pool.value(),
-                            static_cast<std::uint32_t>(Work.m_Short),
-                            static_cast<std::uint32_t>(Work.m_Long));
-  for (const balance::CrashNews &Crash : Digest.m_Crashes)
+                            static_cast<std::uint32_t>(Work.m_LatencySensitive),
+                            static_cast<std::uint32_t>(Work.m_Other));
+  for (const balance::CrashUpdate &Crash : Digest.m_Crashes)
     Into->crashes.emplace_back(Crash.m_Request.m_High, Crash.m_Request.m_Low,
                                Crash.m_Upstream.value_or(UpstreamId()).value(),
                                !Crash.m_Upstream);
-  for (const balance::LimitNews &Limit : Digest.m_Limits)
+  for (const balance::LimitUpdate &Limit : Digest.m_Limits)
     Into->limits.emplace_back(Limit.m_Upstream.value(),
                               toMilli(Limit.m_Limit.value_or(0)),
                               milliseconds(Limit.m_Age), !Limit.m_Limit);
 }
 
-balance::LoadDigest unpacked(const wire::GatewayDigest &From) {
+balance::LoadDigest unpack(const wire::GatewayDigest &From) {
   balance::LoadDigest Result;
   if (From.loads() != nullptr)
     for (const wire::UpstreamLoad *Load : *From.loads())
@@ -59,8 +60,8 @@
                                   Load->held_tokens(), Load->tight()});
   if (From.parts() != nullptr)
     for (const wire::PartPlaced *Placement : *From.parts())
-      Result.m_Parts.push_back({UpstreamId(Placement->upstream()),
-                                {Placement->part(), Placement->tokens()}});
+      Result.m_Segments.push_back({UpstreamId(Placement->upstream()),
+                                   {Placement->part(), Placement->tokens()}});
   if (From.work() != nullptr)
     for (const wire::WorkPlaced *Work : *From.work())
       Result.m_Work[PoolId(Work->pool())] +=
--- a/src/gateway/digest_codec.h
+++ b/src/gateway/digest_codec.h
@@ -12,11 +12,11 @@
 /// Merges \p Digest into \p Into, the digest of a frame that is being filled.
 /// Two digests of one loop iteration are sent as one: the later one's loads
 /// replace the earlier ones, everything else is appended.
-void pack(const balance::LoadDigest &Digest,
-          std::unique_ptr<wire::GatewayDigestT> &Into);
+void packDigest(const balance::LoadDigest &Digest,
+                std::unique_ptr<wire::GatewayDigestT> &Into);
 
 /// Returns the digest without loads of an unknown urgency.
-balance::LoadDigest unpacked(const wire::GatewayDigest &From);
+balance::LoadDigest unpack(const wire::GatewayDigest &From);
 
 } // namespace crowstep::gateway
 
--- a/src/gateway/digest_exchange.h
+++ b/src/gateway/digest_exchange.h
@@ -22,10 +22,10 @@
 namespace crowstep::gateway {
 
 /// Handles a directory update from a reader of this instance's zone.
-using TakeUpdate = std::function<void(const DirectoryUpdate &)>;
+using UpdateHandler = std::function<void(const DirectoryUpdate &)>;
 
 /// Opens an instance's links once their \p Key is known.
-using OpenLinks = std::function<std::unique_ptr<link::Links>(
+using LinksFactory = std::function<std::unique_ptr<link::Links>(
     const std::string &Key, link::LinkListener &Listener)>;
 
 class DigestExchange final : private link::LinkListener {
@@ -43,12 +43,12 @@
   /// Digest intervals between two sums of the other zones that a hub sends to
   /// its own zone: such a sum has an entry for each engine and goes to every
   /// instance of the zone.
-  static constexpr unsigned TicksPerRelay = 2;
+  static constexpr unsigned IntervalsPerRelay = 2;
 
   /// \p Self holds the address at which others open links to this instance.
-  DigestExchange(PeerInstance Self, OpenLinks Open, const Clock &Time,
+  DigestExchange(PeerInstance Self, LinksFactory Open, const Clock &Time,
                  Scheduler &Timers, balance::Balancer &Balancer, Metrics &Stats,
-                 TakeUpdate OnUpdate);
+                 UpdateHandler OnUpdate);
   ~DigestExchange() override;
   DigestExchange(const DigestExchange &) = delete;
   DigestExchange &operator=(const DigestExchange &) = delete;
@@ -61,14 +61,14 @@
   [[nodiscard]] ReadingRole readingRole() const;
 
   /// Sends an update that this instance has read to its zone.
-  void passOn(const DirectoryUpdate &Update);
+  void sendUpdate(const DirectoryUpdate &Update);
 
 private:
   /// An established link.
-  struct Linked {
-    InstanceId m_Instance;   ///< The peer.
-    AvailabilityZone m_Zone; ///< The peer's.
-    bool m_Reported = false; ///< A dropped update was logged.
+  struct PeerLink {
+    InstanceId m_Instance;     ///< The peer.
+    AvailabilityZone m_Zone;   ///< The peer's.
+    bool m_DropLogged = false; ///< A dropped update was logged.
   };
 
   void linkUp(link::LinkId Link, const link::Peer &Peer) override;
@@ -77,35 +77,35 @@
                 link::CloseReason Reason) override;
   void dialFailed(const Address &Where, link::CloseReason Reason) override;
 
-  void dialAll();
-  void tick();
-  void tellNear(const balance::LoadDigest &Own);
-  void relay(const balance::LoadDigest &Own);
-  void becomeHub(bool Hub);
-  [[nodiscard]] balance::LoadDigest crashesKnown() const;
-  void takeUpdates(Linked &From, const wire::Frame &Frame);
-  void dropUpdate(Linked &From);
-  [[nodiscard]] bool isNear(const Linked &Link) const;
+  void updateDials();
+  void sendDigests();
+  void sendToNearPeers(const balance::LoadDigest &Own);
+  void relayZoneSums(const balance::LoadDigest &Own);
+  void setHub(bool Hub);
+  [[nodiscard]] balance::LoadDigest knownCrashes() const;
+  void receiveUpdates(PeerLink &From, const wire::Frame &Frame);
+  void dropUpdate(PeerLink &From);
+  [[nodiscard]] bool isNearPeer(const PeerLink &Link) const;
   [[nodiscard]] bool shouldBeHub() const;
   [[nodiscard]] Duration interval() const;
 
   PeerInstance m_Self;                  ///< This instance.
-  OpenLinks m_Open;                     ///< Never empty.
+  LinksFactory m_OpenLinks;             ///< Never empty.
   const Clock &m_Clock;                 ///< Outlives this object.
   balance::Balancer &m_Balancer;        ///< Outlives this object.
-  TakeUpdate m_OnUpdate;                ///< Never empty.
-  Counter &m_Updates;                   ///< From readers.
-  Counter &m_DroppedUpdates;            ///< From others, or malformed.
+  UpdateHandler m_OnUpdate;             ///< Never empty.
+  Counter &m_UpdatesReceived;           ///< From readers.
+  Counter &m_UpdatesDropped;            ///< From others, or malformed.
   std::unique_ptr<link::Links> m_Links; ///< Null until the key is known.
   ExchangePlan m_Plan;                  ///< For the last list of peers.
   std::set<Address> m_Dialled;          ///< Peers that this instance dials.
-  std::map<link::LinkId, Linked> m_Up;  ///< Established links.
-  bool m_ToldNothing = true;            ///< Or none was sent yet.
-  bool m_Hub = false;                   ///< This instance is its zone's hub.
-  unsigned m_Ticks = 0;                 ///< Digest intervals so far.
-  balance::DigestSum m_OwnZone;         ///< A hub sends it to other zones.
-  balance::DigestSum m_OtherZones;      ///< A hub sends it to its zone.
-  Timer m_Tick;                         ///< Until the next digest.
+  std::map<link::LinkId, PeerLink> m_PeerLinks; ///< Established links.
+  bool m_LastDigestEmpty = true;                ///< Or none was sent yet.
+  bool m_IsHub = false;               ///< This instance is its zone's hub.
+  unsigned m_IntervalCount = 0;       ///< Digest intervals so far.
+  balance::DigestSum m_OwnZoneSum;    ///< A hub sends it to other zones.
+  balance::DigestSum m_OtherZonesSum; ///< A hub sends it to its zone.
+  Timer m_DigestTimer;                ///< Until the next digest.
 };
 
 } // namespace crowstep::gateway
--- a/src/gateway/directory.h
+++ b/src/gateway/directory.h
@@ -38,7 +38,7 @@
   std::string m_Key;          ///< Unique in its table.
   std::string m_Value;        ///< Decoded bytes; empty if removed.
   DirectoryVersion m_Version; ///< Of its last change.
-  bool m_Gone = false;        ///< That change removed it.
+  bool m_Removed = false;     ///< That change removed it.
 };
 
 /// Changes of one table, as sent by an instance that has read them.
@@ -84,7 +84,7 @@
 
   /// Changes just read, to be sent to the instances of the own zone. Called in
   /// the roles of reader and deputy only.
-  virtual void directoryRead(const DirectoryUpdate &Update) = 0;
+  virtual void updateRead(const DirectoryUpdate &Update) = 0;
 };
 
 /// Follows the store that operators and upstreams write to.
@@ -97,7 +97,7 @@
   virtual void start(DirectoryListener &Listener, const PeerInstance &Self) = 0;
 
   /// Removes this instance from the list; does not wait for the result.
-  virtual void leave() = 0;
+  virtual void deregister() = 0;
 
   /// Lists a request that crashes upstreams, for instances that start later,
   /// or removes it from the list. Only the list itself shows whether that
@@ -109,7 +109,7 @@
   virtual void setReadingRole(ReadingRole Role) = 0;
 
   /// Takes an update that another instance of the zone has read.
-  virtual void passedOn(const DirectoryUpdate &Update) = 0;
+  virtual void receiveUpdate(const DirectoryUpdate &Update) = 0;
 };
 
 } // namespace crowstep::gateway
--- a/src/gateway/directory_codec.cpp
+++ b/src/gateway/directory_codec.cpp
@@ -15,7 +15,7 @@
   DirectoryRow Result;
   Result.m_Key = From.key()->str();
   Result.m_Version = DirectoryVersion(From.version());
-  Result.m_Gone = From.gone();
+  Result.m_Removed = From.gone();
   if (From.value() != nullptr)
     Result.m_Value.assign(From.value()->begin(), From.value()->end());
   return Result;
@@ -29,7 +29,8 @@
   return Names.at(static_cast<std::size_t>(Role));
 }
 
-std::unique_ptr<wire::DirectoryUpdateT> packed(const DirectoryUpdate &Update) {
+std::unique_ptr<wire::DirectoryUpdateT>
+packUpdate(const DirectoryUpdate &Update) {
   auto Result = std::make_unique<wire::DirectoryUpdateT>();
   Result->table = Update.m_Table;
   Result->after = Update.m_After.value();
@@ -40,13 +41,13 @@
     Encoded->key = Row.m_Key;
     Encoded->value.assign(Row.m_Value.begin(), Row.m_Value.end());
     Encoded->version = Row.m_Version.value();
-    Encoded->gone = Row.m_Gone;
+    Encoded->gone = Row.m_Removed;
     Result->rows.push_back(std::move(Encoded));
   }
   return Result;
 }
 
-std::optional<DirectoryUpdate> unpacked(const wire::DirectoryUpdate &From) {
+std::optional<DirectoryUpdate> unpack(const wire::DirectoryUpdate &From) {
   if (From.table() == nullptr || From.version() < From.after())
     return std::nullopt;
   DirectoryUpdate Result;
--- a/src/gateway/directory_codec.h
+++ b/src/gateway/directory_codec.h
@@ -11,11 +11,12 @@
 namespace crowstep::gateway {
 
 /// Returns \p Update encoded for a frame.
-std::unique_ptr<wire::DirectoryUpdateT> packed(const DirectoryUpdate &Update);
+std::unique_ptr<wire::DirectoryUpdateT>
+packUpdate(const DirectoryUpdate &Update);
 
 /// Returns the update that a peer sent, or nothing if it is inconsistent: a
 /// field is missing, it ends before it begins, or a row is newer than it.
-std::optional<DirectoryUpdate> unpacked(const wire::DirectoryUpdate &From);
+std::optional<DirectoryUpdate> unpack(const wire::DirectoryUpdate &From);
 
 } // namespace crowstep::gateway
 
--- a/src/gateway/exchange_plan.cpp
+++ b/src/gateway/exchange_plan.cpp
@@ -31,7 +31,7 @@
   for (const PeerInstance &Peer : All)
     if (Peer.m_Name != Self.m_Name)
       Zones[Peer.m_Zone].push_back(Peer);
-  const bool Few = All.size() <= ExchangePlan::MostWithoutHubs;
+  const bool Few = All.size() <= ExchangePlan::MaxInstancesWithoutHubs;
   ExchangePlan Result;
   for (auto &[Zone, Members] : Zones) {
     const bool Own = Zone == Self.m_Zone;
@@ -42,15 +42,15 @@
       if (Own && !Few && I < Hubs)
         Result.m_Hubs.push_back(Id);
       if ((Own || Few) && Members[I].m_Name != Self.m_Name)
-        Result.m_Near.emplace(Id, Members[I].m_Address);
+        Result.m_NearPeers.emplace(Id, Members[I].m_Address);
       if (!Own && !Few && I < Hubs)
-        Result.m_Far.emplace(Id, Members[I].m_Address);
+        Result.m_OtherHubs.emplace(Id, Members[I].m_Address);
     }
   }
   const InstanceId SelfId = instanceIdOf(Self.m_Name);
   if (std::find(Result.m_Hubs.begin(), Result.m_Hubs.end(), SelfId) ==
       Result.m_Hubs.end())
-    Result.m_Far.clear();
+    Result.m_OtherHubs.clear();
   return Result;
 }
 
--- a/src/gateway/exchange_plan.h
+++ b/src/gateway/exchange_plan.h
@@ -17,14 +17,14 @@
   /// Up to this many instances all send to each other: 23 links cost an
   /// instance 400 frames a second, sent and received (see
   /// DigestExchange::IntervalPerLink), less than one percent of a core.
-  static constexpr std::size_t MostWithoutHubs = 24;
+  static constexpr std::size_t MaxInstancesWithoutHubs = 24;
 
   /// Instances of a zone with links to other zones; the first reachable one is
   /// the zone's hub. With two, the loss of one doesn't disconnect the zone.
   static constexpr std::size_t HubsPerZone = 2;
 
-  std::map<InstanceId, Address> m_Near; ///< Receive every digest.
-  std::map<InstanceId, Address> m_Far;  ///< Of other zones; for a hub.
+  std::map<InstanceId, Address> m_NearPeers; ///< Receive every digest.
+  std::map<InstanceId, Address> m_OtherHubs; ///< Of other zones; for a hub.
   std::vector<InstanceId> m_Hubs; ///< Of the own zone, best first; empty: few.
 };
 
--- a/src/gateway/forward_limits.h
+++ b/src/gateway/forward_limits.h
@@ -8,14 +8,14 @@
 
 /// A connection within a region is established in a few milliseconds; where it
 /// takes this long, the machine is unreachable or its accept queue is full.
-inline constexpr Duration ConnectLimit = std::chrono::milliseconds(350);
+inline constexpr Duration ConnectTimeout = std::chrono::milliseconds(350);
 
 /// Further upstreams that are tried after failed connections. Nothing was sent,
 /// so these use up neither the route's attempts nor the retry budget.
-inline constexpr unsigned MaxMisses = 3;
+inline constexpr unsigned MaxUnsentAttempts = 3;
 
 /// With less time left than this, another upstream could not answer.
-inline constexpr Duration LeastTimeToRetry = std::chrono::milliseconds(30);
+inline constexpr Duration MinTimeToRetry = std::chrono::milliseconds(30);
 
 /// Retry-After of a call that found no room: about the time in which an engine
 /// ends one of its calls.
@@ -23,16 +23,16 @@
 
 /// A call waits for room at an engine for at most two fifths of its latency
 /// target: reading takes the rest, and calls that wait longer are late.
-inline constexpr int MostWaitParts = 2;
-inline constexpr int MostWaitDivisor = 5;
+inline constexpr int MaxWaitNumerator = 2;
+inline constexpr int MaxWaitDenominator = 5;
 
 /// Retry-After of a call that found no room within that time: in about this
 /// time an engine of 16 slots has ended a third of its calls.
-inline constexpr Duration RoomRetryAfter = std::chrono::milliseconds(500);
+inline constexpr Duration QueueRetryAfter = std::chrono::milliseconds(500);
 
 /// An upstream that has sent no byte on any call for this long may be
 /// unreachable; a loaded one sends something on one of its calls.
-inline constexpr Duration SignOfLife = std::chrono::milliseconds(900);
+inline constexpr Duration UpstreamSilenceLimit = std::chrono::milliseconds(900);
 
 } // namespace crowstep::gateway
 
--- a/src/gateway/forwarded_answer.cpp
+++ b/src/gateway/forwarded_answer.cpp
@@ -35,116 +35,119 @@
 
 void ForwardedRequest::upstreamHeaders(unsigned Status,
                                        const HeaderList &Headers) {
-  const AnswerFacts Facts = m_World.m_Codec.readAnswer(Status, Headers);
-  m_World.m_Balancer.heard(m_Ticket, m_World.m_Clock.now());
+  const AnswerFacts Facts = m_Context.m_Codec.readAnswer(Status, Headers);
+  m_Context.m_Balancer.recordBytesReceived(m_Ticket, m_Context.m_Clock.now());
   // A late answer to an earlier call on a kept connection, or bytes that are
   // not an upstream's answer at all.
-  if (Facts.m_RequestId != m_What.m_Facts.m_Id && !Facts.m_NotRun) {
+  if (Facts.m_RequestId != m_Admitted.m_Facts.m_Id && !Facts.m_NotRun) {
     m_MayHaveRun = true;
-    upstreamFailed(balance::CallOutcome::Failed, RetryReason::ClosedBeforeByte);
+    handleFailure(balance::CallOutcome::Failed, RetryReason::ClosedBeforeByte);
     return;
   }
   if (Facts.m_Load)
-    m_World.m_Balancer.reported(m_Ticket, *Facts.m_Load, m_World.m_Clock.now());
-  takeLimit(Facts);
+    m_Context.m_Balancer.recordLoadReport(m_Ticket, *Facts.m_Load,
+                                          m_Context.m_Clock.now());
+  applyStatedLimit(Facts);
   if (Facts.m_NotRun) {
-    upstreamRefused(Facts.m_OtherUpstream || Facts.m_Leaving
-                        ? balance::CallOutcome::Leaving
-                        : balance::CallOutcome::Refused);
+    handleRefusal(Facts.m_WrongUpstream || Facts.m_Draining
+                      ? balance::CallOutcome::Draining
+                      : balance::CallOutcome::Refused);
     return;
   }
   m_MayHaveRun = true;
   const bool Success = isSuccess(Status);
   if ((Success && !Facts.m_Signed) || Facts.m_Encoded) {
-    upstreamFailed(balance::CallOutcome::Failed, RetryReason::ClosedBeforeByte);
+    handleFailure(balance::CallOutcome::Failed, RetryReason::ClosedBeforeByte);
     return;
   }
   m_Status = Status;
   if (!m_Streaming)
     m_AnswerHeaders = Headers;
   if (m_Streaming && !Success) {
-    upstreamFailed(balance::CallOutcome::Failed, RetryReason::ClosedMidStream);
+    handleFailure(balance::CallOutcome::Failed, RetryReason::ClosedMidStream);
     return;
   }
-  if (relaysEvents())
-    m_Silence.stop();
+  if (isEventStream())
+    m_SilenceTimer.stop();
 }
 
 /// A refusal without a limit does not clear a known one: it may come from a
 /// part of the upstream that doesn't know the limit.
-void ForwardedRequest::takeLimit(const AnswerFacts &Facts) {
-  if (Facts.m_BadLimit) {
-    m_World.m_Stats.limitUnreadable();
+void ForwardedRequest::applyStatedLimit(const AnswerFacts &Facts) {
+  if (Facts.m_LimitUnreadable) {
+    m_Context.m_Stats.countUnreadableLimit();
     return;
   }
   if (!Facts.m_Limit && (!Facts.m_Signed || Facts.m_NotRun))
     return;
-  const UpstreamId Id = m_Tried.back();
-  const balance::RateLimit Before = m_World.m_Balancer.limitOf(Id);
-  m_World.m_Balancer.stated(m_Ticket, Facts.m_Limit, m_World.m_Clock.now());
-  if (const auto Current = m_World.m_Balancer.limitOf(Id); Current != Before)
+  const UpstreamId Id = m_TriedUpstreams.back();
+  const balance::RateLimit Before = m_Context.m_Balancer.limitOf(Id);
+  m_Context.m_Balancer.recordRateLimit(m_Ticket, Facts.m_Limit,
+                                       m_Context.m_Clock.now());
+  if (const auto Current = m_Context.m_Balancer.limitOf(Id); Current != Before)
     logEvent(
         LogEvent::GatewayUpstreamLimit,
         {{"upstream", m_Upstream},
          {"limit", Current ? std::to_string(*Current) : std::string("none")}});
 }
 
-void ForwardedRequest::upstreamRefused(balance::CallOutcome Outcome) {
+void ForwardedRequest::handleRefusal(balance::CallOutcome Outcome) {
   endCall(Outcome);
-  tryAgain(Outcome == balance::CallOutcome::Leaving
-               ? RetryReason::UpstreamLeaving
-               : RetryReason::UpstreamRefused);
+  retry(Outcome == balance::CallOutcome::Draining
+            ? RetryReason::UpstreamDraining
+            : RetryReason::UpstreamRefused);
 }
 
-void ForwardedRequest::upstreamFailed(balance::CallOutcome Outcome,
-                                      RetryReason Reason) {
+void ForwardedRequest::handleFailure(balance::CallOutcome Outcome,
+                                     RetryReason Reason) {
   endCall(Outcome);
-  if (repeatable()) {
-    tryAgain(Reason);
+  if (isRetryable()) {
+    retry(Reason);
     return;
   }
-  giveUp(RefusalReason::UpstreamFailed, Duration::zero());
+  refuse(RefusalReason::UpstreamFailed, Duration::zero());
 }
 
-bool ForwardedRequest::relaysEvents() const {
-  return isSuccess(m_Status) && stream() != nullptr;
+bool ForwardedRequest::isEventStream() const {
+  return isSuccess(m_Status) && eventStream() != nullptr;
 }
 
-RetryReason ForwardedRequest::closedWhen() const {
+RetryReason ForwardedRequest::closeReason() const {
   return m_Streaming ? RetryReason::ClosedMidStream
                      : RetryReason::ClosedBeforeByte;
 }
 
 void ForwardedRequest::upstreamBytes(std::string_view Bytes) {
-  if (relaysEvents())
-    takeEvents(Bytes);
+  if (isEventStream())
+    relayEvents(Bytes);
   else
     m_Body.append(Bytes);
 }
 
-void ForwardedRequest::takeEvents(std::string_view Bytes) {
-  m_World.m_Balancer.heard(m_Ticket, m_World.m_Clock.now());
+void ForwardedRequest::relayEvents(std::string_view Bytes) {
+  m_Context.m_Balancer.recordBytesReceived(m_Ticket, m_Context.m_Clock.now());
   for (const SseEvent &Event : m_Splitter.feed(Bytes))
-    relay(Event);
+    relayEvent(Event);
   constexpr int PausesToWait = 4;
   constexpr Duration LeastPause = std::chrono::milliseconds(1000);
-  if (m_Call != nullptr && repeatable())
-    watchSilence(std::max(stream()->m_LongestPause * PausesToWait, LeastPause));
+  if (m_Call != nullptr && isRetryable())
+    startSilenceTimer(
+        std::max(eventStream()->m_MaxPause * PausesToWait, LeastPause));
 }
 
-void ForwardedRequest::relay(const SseEvent &Event) {
+void ForwardedRequest::relayEvent(const SseEvent &Event) {
   // A resumed stream may begin with events that the caller already has.
-  if (Event.m_Id && m_LastId && *Event.m_Id <= *m_LastId)
+  if (Event.m_Id && m_LastEventId && *Event.m_Id <= *m_LastEventId)
     return;
   if (!m_Streaming)
     beginStream();
-  const TimePoint Now = m_World.m_Clock.now();
-  m_LongestPause = std::max(m_LongestPause, Now - m_LastEvent);
-  m_LastEvent = Now;
+  const TimePoint Now = m_Context.m_Clock.now();
+  m_LongestPause = std::max(m_LongestPause, Now - m_LastEventAt);
+  m_LastEventAt = Now;
   m_Caller->append(Event.m_Bytes);
-  ++m_Events;
+  ++m_EventCount;
   if (Event.m_Id)
-    m_LastId = Event.m_Id;
+    m_LastEventId = Event.m_Id;
   // A caller that reads slowly must not make this process buffer its whole
   // answer; flow control of the upstream's connection slows the engine down.
   constexpr std::size_t CallerBacklog = 64 << 10;
@@ -155,19 +158,19 @@
 HeaderList ForwardedRequest::answerHeaders() const {
   HeaderList Result = endToEndHeaders(m_AnswerHeaders);
   std::erase_if(Result, [](const HeaderField &Field) {
-    return sameHeader(Field.m_Name, "Content-Type");
+    return equalsIgnoreCase(Field.m_Name, "Content-Type");
   });
-  if (m_World.m_Leaving())
+  if (m_Context.m_IsClosing())
     Result.push_back({"Connection", "close"});
   return Result;
 }
 
 void ForwardedRequest::beginStream() {
   m_Streaming = true;
-  m_World.m_Balancer.answered(m_Ticket, m_World.m_Clock.now());
-  m_FirstEvent = m_World.m_Clock.now();
-  m_LastEvent = m_FirstEvent;
-  m_Stats.m_FirstEvent->record(m_FirstEvent - m_Begin);
+  m_Context.m_Balancer.recordFirstEvent(m_Ticket, m_Context.m_Clock.now());
+  m_FirstEventAt = m_Context.m_Clock.now();
+  m_LastEventAt = m_FirstEventAt;
+  m_Stats.m_FirstEvent->record(m_FirstEventAt - m_ArrivedAt);
   CallerAnswer Head;
   Head.m_Status = m_Status;
   Head.m_ContentType = "text/event-stream";
@@ -178,64 +181,64 @@
 void ForwardedRequest::upstreamEnded(TransportEnd End) {
   switch (End) {
   case TransportEnd::NotSent:
-    --m_Sends;
-    endCall(balance::CallOutcome::NoAnswer);
-    if (++m_Misses > MaxMisses) {
-      giveUp(m_MayHaveRun ? RefusalReason::UpstreamFailed
+    --m_Attempts;
+    endCall(balance::CallOutcome::Unreachable);
+    if (++m_UnsentAttempts > MaxUnsentAttempts) {
+      refuse(m_MayHaveRun ? RefusalReason::UpstreamFailed
                           : RefusalReason::NoUpstream,
              BusyRetryAfter);
       return;
     }
-    m_World.m_Stats.retried(RetryReason::ConnectFailed);
+    m_Context.m_Stats.countRetry(RetryReason::ConnectFailed);
     attempt();
     return;
-  case TransportEnd::TooOld:
-    --m_Sends;
+  case TransportEnd::Withheld:
+    --m_Attempts;
     endCall(balance::CallOutcome::Dropped);
-    if (m_Caller->hasLeft())
-      callerGone();
+    if (m_Caller->hasDisconnected())
+      handleCallerGone();
     else if (timeLeft() <= Duration::zero())
-      timeIsOver();
+      handleDeadline();
     else
       attempt();
     return;
   case TransportEnd::Broken:
     m_MayHaveRun = true;
-    m_World.m_Crashes.callBroken(m_Tried.back(), m_Address);
-    upstreamFailed(balance::CallOutcome::Broken, closedWhen());
+    m_Context.m_CrashWatch.handleBrokenCall(m_TriedUpstreams.back(), m_Address);
+    handleFailure(balance::CallOutcome::Broken, closeReason());
     return;
   case TransportEnd::Complete:
     break;
   }
-  if (relaysEvents())
-    streamEnded();
+  if (isEventStream())
+    handleStreamEnd();
   else
-    plainEnded();
+    handlePlainEnd();
 }
 
-void ForwardedRequest::streamEnded() {
-  if (m_Splitter.midEvent() || !m_Streaming) {
-    upstreamFailed(balance::CallOutcome::Failed, closedWhen());
+void ForwardedRequest::handleStreamEnd() {
+  if (m_Splitter.isMidEvent() || !m_Streaming) {
+    handleFailure(balance::CallOutcome::Failed, closeReason());
     return;
   }
   endCall(balance::CallOutcome::Served);
   m_Caller->endStream();
   m_Stats.m_Finished->add();
-  ended("served");
+  finish("served");
 }
 
-void ForwardedRequest::plainEnded() {
+void ForwardedRequest::handlePlainEnd() {
   const bool Success = m_Status < FirstServerError;
   endCall(Success ? balance::CallOutcome::Served
                   : balance::CallOutcome::Failed);
-  if (!Success && repeatable() && mayTryAgain() &&
-      m_World.m_Budget.take(m_Service, m_World.m_Clock.now())) {
-    m_World.m_Stats.retried(RetryReason::ClosedBeforeByte);
+  if (!Success && isRetryable() && mayRetry() &&
+      m_Context.m_Budget.trySpend(m_Service, m_Context.m_Clock.now())) {
+    m_Context.m_Stats.countRetry(RetryReason::ClosedBeforeByte);
     attempt();
     return;
   }
   if (statesNotRun(m_Status)) {
-    giveUp(RefusalReason::UpstreamFailed, Duration::zero());
+    refuse(RefusalReason::UpstreamFailed, Duration::zero());
     return;
   }
   answerPlain();
@@ -251,17 +254,17 @@
   m_Caller->answer(Answer);
   if (m_Status < FirstServerError)
     m_Stats.m_Finished->add();
-  ended(m_Status < FirstServerError ? "served" : "upstream_error");
+  finish(m_Status < FirstServerError ? "served" : "upstream_error");
 }
 
 // ---- Ends -------------------------------------------------------------------
 
-void ForwardedRequest::giveUp(RefusalReason Reason, Duration RetryAfter) {
-  m_World.m_Stats.refused(Reason);
+void ForwardedRequest::refuse(RefusalReason Reason, Duration RetryAfter) {
+  m_Context.m_Stats.countRefusal(Reason);
   if (m_Streaming) {
     // The caller must see that the stream is incomplete.
-    m_Caller->drop();
-    ended(nameOf(Reason));
+    m_Caller->abortAnswer();
+    finish(nameOf(Reason));
     return;
   }
   if (m_MayHaveRun && statesNotRun(httpStatusOf(Reason)))
@@ -269,60 +272,62 @@
   CallerAnswer Answer =
       refusalAnswer(Reason, m_MayHaveRun ? RunState::Unknown : RunState::NotRun,
                     Duration::zero());
-  Answer.m_Headers = m_World.m_Codec.writeRefusal(
-      m_What.m_Facts.m_Id, m_MayHaveRun ? Duration::zero() : RetryAfter);
-  if (m_World.m_Leaving())
+  Answer.m_Headers = m_Context.m_Codec.writeRefusal(
+      m_Admitted.m_Facts.m_Id, m_MayHaveRun ? Duration::zero() : RetryAfter);
+  if (m_Context.m_IsClosing())
     Answer.m_Headers.push_back({"Connection", "close"});
   m_Caller->answer(Answer);
-  ended(nameOf(Reason));
+  finish(nameOf(Reason));
 }
 
-void ForwardedRequest::timeIsOver() {
+void ForwardedRequest::handleDeadline() {
   if (m_Call != nullptr) {
     // It may have been sent: whether it runs is not known.
     m_MayHaveRun = true;
     endCall(balance::CallOutcome::Dropped);
   }
-  giveUp(RefusalReason::TimedOut, Duration::zero());
+  refuse(RefusalReason::TimedOut, Duration::zero());
 }
 
-void ForwardedRequest::callerGone() {
+void ForwardedRequest::handleCallerGone() {
   if (m_Call != nullptr)
     endCall(balance::CallOutcome::Dropped);
-  m_World.m_Stats.refused(RefusalReason::CallerGone);
-  m_Caller->drop();
-  ended(nameOf(RefusalReason::CallerGone));
+  m_Context.m_Stats.countRefusal(RefusalReason::CallerGone);
+  m_Caller->abortAnswer();
+  finish(nameOf(RefusalReason::CallerGone));
 }
 
-void ForwardedRequest::ended(std::string_view Outcome) {
-  m_Limit.stop();
-  m_Silence.stop();
-  m_Place.reset();
-  const Duration Elapsed = m_World.m_Clock.now() - m_Begin;
+void ForwardedRequest::finish(std::string_view Outcome) {
+  m_DeadlineTimer.stop();
+  m_SilenceTimer.stop();
+  m_QueueEntry.reset();
+  const Duration Elapsed = m_Context.m_Clock.now() - m_ArrivedAt;
   m_Stats.m_Total->record(Elapsed);
   const bool Served = Outcome == "served";
   logEvent(
       Served ? LogEvent::GatewayRequestServed : LogEvent::GatewayRequestFailed,
-      {{"request", m_What.m_Facts.m_Id},
+      {{"request", m_Admitted.m_Facts.m_Id},
        {"content", toString(m_Content)},
-       {"route", m_What.m_Route->m_Name},
+       {"route", m_Admitted.m_Route->m_Name},
        {"outcome", std::string(Outcome)},
        {"status", std::to_string(m_Status)},
        {"upstream", m_Upstream},
-       {"sends", std::to_string(m_Sends)},
-       {"events", std::to_string(m_Events)},
-       {"urgency", std::to_string(m_What.m_Urgency)},
-       {"options", std::to_string(m_Why.m_Options)},
-       {"calls", std::to_string(static_cast<int>(m_Why.m_Calls))},
-       {"unread", std::to_string(m_Why.m_UnreadTokens)},
-       {"missing", std::to_string(m_Why.m_MissingTokens)},
-       {"peers", std::to_string(m_Why.m_Peers)},
-       {"waited_us", std::to_string(m_Waited.count())},
-       {"prompt", std::to_string(m_What.m_Facts.m_Prompt.m_PromptTokens)},
-       {"output", std::to_string(m_What.m_Facts.m_Prompt.m_MaxOutput)},
+       {"sends", std::to_string(m_Attempts)},
+       {"events", std::to_string(m_EventCount)},
+       {"urgency", std::to_string(m_Admitted.m_EngineRank)},
+       {"options", std::to_string(m_PlacementInputs.m_CandidateCount)},
+       {"calls", std::to_string(static_cast<int>(m_PlacementInputs.m_Calls))},
+       {"unread", std::to_string(m_PlacementInputs.m_QueuedPrefillTokens)},
+       {"missing", std::to_string(m_PlacementInputs.m_UncachedTokens)},
+       {"peers", std::to_string(m_PlacementInputs.m_PeerCount)},
+       {"waited_us", std::to_string(m_QueueTime.count())},
+       {"prompt", std::to_string(m_Admitted.m_Facts.m_Prompt.m_PromptTokens)},
+       {"output",
+        std::to_string(m_Admitted.m_Facts.m_Prompt.m_MaxOutputTokens)},
        {"pause_us", std::to_string(m_LongestPause.count())},
        {"first_us",
-        std::to_string(m_Streaming ? (m_FirstEvent - m_Begin).count() : 0)},
+        std::to_string(m_Streaming ? (m_FirstEventAt - m_ArrivedAt).count()
+                                   : 0)},
        {"took_us", std::to_string(Elapsed.count())}});
   const std::function<void()> OnEnded = std::move(m_OnEnded);
   m_OnEnded = nullptr;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -37,29 +37,29 @@
 constexpr Duration DefaultReceiveLimit = std::chrono::seconds(10);
 constexpr Duration DefaultIdleLimit = std::chrono::seconds(60);
 
-ArrivalLimits arrivalLimits(const CallerLimits &Limits) {
+ReceiveLimits arrivalLimits(const CallerLimits &Limits) {
   const auto OrDefault = [](Duration Value, Duration Default) {
     return Value > Duration::zero() ? Value : Default;
   };
-  return {Limits.m_MaxBody, Limits.m_MaxHeader,
+  return {Limits.m_MaxBodyBytes, Limits.m_MaxHeaderBytes,
           OrDefault(Limits.m_HeaderTimeout, DefaultReceiveLimit),
           OrDefault(Limits.m_IdleTimeout, DefaultIdleLimit)};
 }
 
 PeerInstance selfOf(const GatewaySettings &Config) {
-  return {Config.m_Name, Config.m_Links, Config.m_Zone, Config.m_Weight};
+  return {Config.m_Name, Config.m_LinkAddress, Config.m_Zone, Config.m_Weight};
 }
 
 } // namespace
 
-Gateway::Gateway(GatewaySettings Config, const PartsFactory &MakeParts)
+Gateway::Gateway(GatewaySettings Config, const PlatformPartsFactory &MakeParts)
     : m_Settings(std::move(Config)), m_Stats(m_Metrics),
       m_Random(std::random_device{}()),
       m_Balancer(m_Settings.m_Zone, m_Random()),
-      m_Budget(m_Settings.m_RetryBudget), m_Waiting(m_Timers),
+      m_Budget(m_Settings.m_RetryBudget), m_WaitQueue(m_Timers),
       m_Upstream(m_Clock, m_Timers),
-      m_Crashes(m_Clock, m_Timers, m_Balancer, m_Upstream, m_Metrics),
-      m_Parts(MakeParts(m_Clock, m_Timers, m_Metrics)),
+      m_CrashWatch(m_Clock, m_Timers, m_Balancer, m_Upstream, m_Metrics),
+      m_PlatformParts(MakeParts(m_Clock, m_Timers, m_Metrics)),
       m_Exchange(
           selfOf(m_Settings),
           [this](const std::string &Key, link::LinkListener &Listener) {
@@ -67,34 +67,35 @@
           },
           m_Clock, m_Timers, m_Balancer, m_Metrics,
           [this](const DirectoryUpdate &Update) {
-            m_Parts.m_Directory->passedOn(Update);
+            m_PlatformParts.m_Directory->receiveUpdate(Update);
           }),
-      m_World{m_Clock,
-              m_Timers,
-              m_Balancer,
-              m_Budget,
-              m_Upstream,
-              m_Crashes,
-              *m_Parts.m_Codec,
-              m_Stats,
-              m_Waiting,
-              [this] { return std::uniform_real_distribution<>()(m_Random); },
-              [this] { return m_Closing; }},
+      m_Context{m_Clock,
+                m_Timers,
+                m_Balancer,
+                m_Budget,
+                m_Upstream,
+                m_CrashWatch,
+                *m_PlatformParts.m_Codec,
+                m_Stats,
+                m_WaitQueue,
+                [this] { return std::uniform_real_distribution<>()(m_Random); },
+                [this] { return m_ClosingConnections; }},
       m_Front(
           arrivalLimits({}),
-          [this](RefusalReason Reason) { m_Stats.refused(Reason); }, m_Timers),
-      m_Sweep(m_Timers), m_StopCheck(m_Timers) {}
+          [this](RefusalReason Reason) { m_Stats.countRefusal(Reason); },
+          m_Timers),
+      m_CleanupTimer(m_Timers), m_StopTimer(m_Timers) {}
 
 Gateway::~Gateway() = default;
 
 void Gateway::start() {
-  m_Crashes.start(*m_Parts.m_Directory);
-  m_Parts.m_Directory->start(*this, selfOf(m_Settings));
-  m_Probes.listen(m_Settings.m_Probes,
-                  [this](SoupServerMessage *Message, const char *Path) {
-                    handleProbe(Message, Path);
-                  });
-  m_Front.listen(m_Settings.m_Listen,
+  m_CrashWatch.start(*m_PlatformParts.m_Directory);
+  m_PlatformParts.m_Directory->start(*this, selfOf(m_Settings));
+  m_ProbeServer.listen(m_Settings.m_ProbeAddress,
+                       [this](SoupServerMessage *Message, const char *Path) {
+                         handleProbe(Message, Path);
+                       });
+  m_Front.listen(m_Settings.m_ListenAddress,
                  [this](IncomingRequest Request, std::unique_ptr<Caller> From) {
                    handle(std::move(Request), std::move(From));
                  });
@@ -111,20 +112,20 @@
   m_Table = std::move(Table);
   m_Front.setLimits(arrivalLimits(m_Table->data().m_Limits));
   for (const Service &Entry : m_Table->data().m_Services)
-    m_Balancer.setCacheTokens(Entry.m_Name, Entry.m_CacheTokens);
-  m_Balancer.setTightestPauses(tightestPauses(m_Table->data()));
+    m_Balancer.setCacheCapacity(Entry.m_Name, Entry.m_CacheTokens);
+  m_Balancer.setMinPauses(minPausesByService(m_Table->data()));
   m_Metrics.gauge("crowstep_table_version")
       .set(static_cast<double>(m_Table->version().value()));
 }
 
 void Gateway::upstreamsChanged(const std::vector<Upstream> &List) {
-  m_KnowsUpstreams = true;
-  m_Crashes.upstreamsChanged(List);
+  m_UpstreamsKnown = true;
+  m_CrashWatch.upstreamsChanged(List);
   m_Balancer.setUpstreams(List);
 }
 
 void Gateway::quarantineChanged(const std::set<ContentHash> &Listed) {
-  m_Crashes.quarantineChanged(Listed);
+  m_CrashWatch.quarantineChanged(Listed);
 }
 
 std::unique_ptr<link::Links> Gateway::openLinks(const std::string &Key,
@@ -135,7 +136,7 @@
   Config.m_Incarnation =
       Incarnation(static_cast<std::uint64_t>(g_get_real_time()));
   Config.m_Zone = m_Settings.m_Zone;
-  Config.m_Listen = m_Settings.m_Links;
+  Config.m_Listen = m_Settings.m_LinkAddress;
   Config.m_Key = Key;
   auto Result =
       std::make_unique<link::TcpLinks>(Config, m_Timers, m_Metrics, Listener);
@@ -158,27 +159,27 @@
   logEvent(LogEvent::GatewayReadingRole,
            {{"role", std::string(nameOf(Role))},
             {"instances", std::to_string(List.m_Instances.size())}});
-  m_Parts.m_Directory->setReadingRole(Role);
+  m_PlatformParts.m_Directory->setReadingRole(Role);
 }
 
-void Gateway::directoryRead(const DirectoryUpdate &Update) {
-  m_Exchange.passOn(Update);
+void Gateway::updateRead(const DirectoryUpdate &Update) {
+  m_Exchange.sendUpdate(Update);
 }
 
-bool Gateway::ready() const {
-  return !m_Stopping && m_Table != nullptr && m_KnowsUpstreams;
+bool Gateway::isReady() const {
+  return !m_Stopping && m_Table != nullptr && m_UpstreamsKnown;
 }
 
 void Gateway::handleProbe(SoupServerMessage *Message, const char *Path) {
   if (Path == m_Settings.m_ReadinessPath) {
-    const bool Ready = ready();
+    const bool Ready = isReady();
     respond(Message, Ready ? HttpOk : HttpUnavailable, "text/plain",
             Ready ? "ok\n" : "unavailable\n");
     return;
   }
   if (std::string_view(Path) == "/metrics") {
     m_Metrics.gauge("crowstep_requests_waiting")
-        .set(static_cast<double>(m_Waiting.size()));
+        .set(static_cast<double>(m_WaitQueue.size()));
     m_Metrics.gauge("crowstep_requests_open")
         .set(static_cast<double>(m_Requests.size()));
     respond(Message, HttpOk, "text/plain; version=0.0.4", m_Metrics.text());
@@ -191,44 +192,45 @@
 // ---- Requests ---------------------------------------------------------------
 
 void Gateway::handle(IncomingRequest Request, std::unique_ptr<Caller> From) {
-  auto Outcome = admit(Request, m_Table, *m_Parts.m_Codec);
-  if (const auto *Refused = std::get_if<NotAdmitted>(&Outcome)) {
+  auto Outcome = admit(Request, m_Table, *m_PlatformParts.m_Codec);
+  if (const auto *Refused = std::get_if<RefusedRequest>(&Outcome)) {
     refuse(*From, *Refused);
     return;
   }
-  const std::uint64_t Number = ++m_LastRequest;
+  const std::uint64_t Number = ++m_LastRequestNumber;
   auto Forwarded = std::make_unique<ForwardedRequest>(
-      m_World, std::move(Request), std::move(std::get<Admitted>(Outcome)),
-      std::move(From), [this, Number] { ended(Number); });
+      m_Context, std::move(Request),
+      std::move(std::get<AdmittedRequest>(Outcome)), std::move(From),
+      [this, Number] { handleRequestEnd(Number); });
   ForwardedRequest &Started = *Forwarded;
   m_Requests.emplace(Number, std::move(Forwarded));
   Started.start();
 }
 
-void Gateway::refuse(Caller &From, const NotAdmitted &Refused) {
-  m_Stats.refused(Refused.m_Reason);
+void Gateway::refuse(Caller &From, const RefusedRequest &Refused) {
+  m_Stats.countRefusal(Refused.m_Reason);
   logEvent(LogEvent::GatewayNotAdmitted,
            {{"request", Refused.m_Id},
             {"reason", std::string(nameOf(Refused.m_Reason))}});
   CallerAnswer Answer =
       refusalAnswer(Refused.m_Reason, RunState::NotRun, Duration::zero());
-  Answer.m_Headers = m_Parts.m_Codec->writeRefusal(
+  Answer.m_Headers = m_PlatformParts.m_Codec->writeRefusal(
       Refused.m_Id, httpStatusOf(Refused.m_Reason) == HttpUnavailable
                         ? NoTableRetryAfter
                         : Duration::zero());
-  if (m_Closing)
+  if (m_ClosingConnections)
     Answer.m_Headers.push_back({"Connection", "close"});
   From.answer(Answer);
 }
 
-void Gateway::ended(std::uint64_t Number) {
+void Gateway::handleRequestEnd(std::uint64_t Number) {
   auto Node = m_Requests.extract(Number);
-  m_Ended.push_back(std::move(Node.mapped()));
-  if (!m_Sweep.running())
+  m_EndedRequests.push_back(std::move(Node.mapped()));
+  if (!m_CleanupTimer.isRunning())
     // The request is on the call stack here.
-    m_Sweep.start(Duration::zero(), [this] {
-      const auto Destroyed = std::move(m_Ended);
-      m_Ended.clear();
+    m_CleanupTimer.start(Duration::zero(), [this] {
+      const auto Destroyed = std::move(m_EndedRequests);
+      m_EndedRequests.clear();
     });
 }
 
@@ -236,41 +238,41 @@
 
 void Gateway::stop(std::function<void()> Done) {
   m_Stopping = true;
-  m_Closing = true;
-  m_StopBegin = m_Clock.now();
-  m_StopDone = std::move(Done);
-  m_Parts.m_Directory->leave();
+  m_ClosingConnections = true;
+  m_StopBeganAt = m_Clock.now();
+  m_OnStopped = std::move(Done);
+  m_PlatformParts.m_Directory->deregister();
   checkStopped();
 }
 
 void Gateway::checkStopped() {
-  if (m_Clock.now() - m_StopBegin >= OutOfRotation) {
+  if (m_Clock.now() - m_StopBeganAt >= OutOfRotation) {
     if (m_Listening)
       m_Front.stopListening();
     m_Listening = false;
-    m_Front.closeIdle();
-    if (m_Requests.empty() && m_Front.open() == 0) {
+    m_Front.closeIdleConnections();
+    if (m_Requests.empty() && m_Front.openRequests() == 0) {
       logEvent(LogEvent::GatewayDrained);
-      m_StopDone();
+      m_OnStopped();
       return;
     }
   }
-  if (m_Settings.m_Grace > KillMargin &&
-      m_Clock.now() - m_StopBegin >= m_Settings.m_Grace - KillMargin) {
+  if (m_Settings.m_GracePeriod > KillMargin &&
+      m_Clock.now() - m_StopBeganAt >= m_Settings.m_GracePeriod - KillMargin) {
     logEvent(LogEvent::GatewayCut,
              {{"requests", std::to_string(m_Requests.size())},
-              {"open", std::to_string(m_Front.open())}});
-    m_StopDone();
+              {"open", std::to_string(m_Front.openRequests())}});
+    m_OnStopped();
     return;
   }
-  if (m_Clock.now() - m_DrainLogged >= DrainLogInterval) {
-    m_DrainLogged = m_Clock.now();
+  if (m_Clock.now() - m_DrainLoggedAt >= DrainLogInterval) {
+    m_DrainLoggedAt = m_Clock.now();
     logEvent(LogEvent::GatewayDraining,
              {{"requests", std::to_string(m_Requests.size())},
-              {"unfinished", std::to_string(m_Front.unfinished())},
-              {"open", std::to_string(m_Front.open())}});
+              {"unfinished", std::to_string(m_Front.unansweredRequests())},
+              {"open", std::to_string(m_Front.openRequests())}});
   }
-  m_StopCheck.start(StopCheckInterval, [this] { checkStopped(); });
+  m_StopTimer.start(StopCheckInterval, [this] { checkStopped(); });
 }
 
 } // namespace crowstep::gateway
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -23,16 +23,16 @@
 public:
   /// The parts that depend on the platform: where the table and the upstreams
   /// come from, and how headers are spelled.
-  struct Parts {
+  struct PlatformParts {
     std::unique_ptr<Directory> m_Directory; ///< Never null.
     std::unique_ptr<HeaderCodec> m_Codec;   ///< Never null.
   };
 
   /// Creates the parts; the clock, timers and metrics outlive them.
-  using PartsFactory =
-      std::function<Parts(const Clock &, Scheduler &, Metrics &)>;
+  using PlatformPartsFactory =
+      std::function<PlatformParts(const Clock &, Scheduler &, Metrics &)>;
 
-  Gateway(GatewaySettings Config, const PartsFactory &MakeParts);
+  Gateway(GatewaySettings Config, const PlatformPartsFactory &MakeParts);
   ~Gateway() override;
   Gateway(const Gateway &) = delete;
   Gateway &operator=(const Gateway &) = delete;
@@ -48,14 +48,14 @@
                                          link::LinkListener &Listener);
   void peersChanged(const PeerList &List) override;
   void quarantineChanged(const std::set<ContentHash> &Listed) override;
-  void directoryRead(const DirectoryUpdate &Update) override;
+  void updateRead(const DirectoryUpdate &Update) override;
 
   void handle(IncomingRequest Request, std::unique_ptr<Caller> From);
-  void refuse(Caller &From, const NotAdmitted &Refused);
+  void refuse(Caller &From, const RefusedRequest &Refused);
   void handleProbe(SoupServerMessage *Message, const char *Path);
-  void ended(std::uint64_t Number);
+  void handleRequestEnd(std::uint64_t Number);
   void checkStopped();
-  [[nodiscard]] bool ready() const;
+  [[nodiscard]] bool isReady() const;
 
   GatewaySettings m_Settings;    ///< In force.
   LoopClock m_Clock;             ///< Of the loop.
@@ -65,29 +65,30 @@
   std::mt19937_64 m_Random;      ///< For choices among services.
   balance::Balancer m_Balancer;  ///< Chooses upstreams.
   balance::RetryBudget m_Budget; ///< Limits retries.
-  WaitingRoom m_Waiting;         ///< Calls that wait for room.
-  HttpUpstreamCaller m_Upstream; ///< Sends calls.
-  CrashWatch m_Crashes;          ///< Handles broken calls.
-  Parts m_Parts;                 ///< See PlatformParts.
+  WaitQueue m_WaitQueue;         ///< Calls that wait for room.
+  HttpUpstreamClient m_Upstream; ///< Sends calls.
+  CrashWatch m_CrashWatch;       ///< Handles broken calls.
+  PlatformParts m_PlatformParts; ///< See PlatformParts.
   DigestExchange m_Exchange;     ///< With other instances.
-  ForwardWorld m_World;          ///< Shared by requests.
-  Front m_Front;                 ///< Callers' connections.
-  HttpServer m_Probes;           ///< Readiness and metrics.
+  ForwardContext m_Context;      ///< Shared by requests.
+  Frontend m_Front;              ///< Callers' connections.
+  HttpServer m_ProbeServer;      ///< Readiness and metrics.
   RouteTablePtr m_Table;         ///< In force; null: none yet.
-  bool m_KnowsUpstreams = false; ///< A list was received.
+  bool m_UpstreamsKnown = false; ///< A list was received.
   ReadingRole m_ReadingRole = ReadingRole::Alone; ///< As set in the directory.
   std::unordered_map<std::uint64_t, std::unique_ptr<ForwardedRequest>>
-      m_Requests;                                         ///< In progress.
-  std::vector<std::unique_ptr<ForwardedRequest>> m_Ended; ///< To be destroyed.
-  std::uint64_t m_LastRequest = 0;  ///< Last key in m_Requests.
-  Timer m_Sweep;                    ///< Destroys ended requests.
-  Timer m_StopCheck;                ///< Checks the shutdown.
-  bool m_Stopping = false;          ///< After stop().
-  bool m_Listening = true;          ///< For new connections.
-  bool m_Closing = false;           ///< Answers close their connections.
-  TimePoint m_StopBegin;            ///< When stop() was called.
-  TimePoint m_DrainLogged{};        ///< Last log of open requests.
-  std::function<void()> m_StopDone; ///< Runs when stopped.
+      m_Requests; ///< In progress.
+  std::vector<std::unique_ptr<ForwardedRequest>>
+      m_EndedRequests;                   ///< To be destroyed.
+  std::uint64_t m_LastRequestNumber = 0; ///< Last key in m_Requests.
+  Timer m_CleanupTimer;                  ///< Destroys ended requests.
+  Timer m_StopTimer;                     ///< Checks the shutdown.
+  bool m_Stopping = false;               ///< After stop().
+  bool m_Listening = true;               ///< For new connections.
+  bool m_ClosingConnections = false;     ///< Answers close their connections.
+  TimePoint m_StopBeganAt;               ///< When stop() was called.
+  TimePoint m_DrainLoggedAt{};           ///< Last log of open requests.
+  std::function<void()> m_OnStopped;     ///< Runs when stopped.
 };
 
 } // namespace crowstep::gateway
--- a/src/gateway/gateway_settings.cpp
+++ b/src/gateway/gateway_settings.cpp
@@ -23,11 +23,11 @@
   Result.m_Name = File.text("instance", "name");
   Result.m_Zone.m_Name = File.text("instance", "zone");
   Result.m_Weight = File.number("instance", "weight", 0, MaxWeight);
-  Result.m_Listen = File.address("gateway", "listen");
-  Result.m_Links = File.address("gateway", "links");
-  Result.m_Probes = File.address("gateway", "probes");
+  Result.m_ListenAddress = File.address("gateway", "listen");
+  Result.m_LinkAddress = File.address("gateway", "links");
+  Result.m_ProbeAddress = File.address("gateway", "probes");
   Result.m_ReadinessPath = File.text("gateway", "readiness_path", "/readyz");
-  Result.m_Grace = seconds(File, "gateway", "grace_s");
+  Result.m_GracePeriod = seconds(File, "gateway", "grace_s");
   Result.m_RetryBudget.m_Ratio =
       File.number("retry_budget", "ratio", 0, MaxRatio);
   Result.m_RetryBudget.m_Slack =
--- a/src/gateway/gateway_stats.cpp
+++ b/src/gateway/gateway_stats.cpp
@@ -14,27 +14,27 @@
     m_Retries.at(I) = &Stats.counter(
         "crowstep_retries_total",
         {{"reason", std::string(nameOf(static_cast<RetryReason>(I)))}});
-  m_Other = make("other");
+  m_OtherRoutes = makeRouteStats("other");
 }
 
-void GatewayStats::refused(RefusalReason Reason) {
+void GatewayStats::countRefusal(RefusalReason Reason) {
   m_Refusals.at(static_cast<std::size_t>(Reason))->add();
 }
 
-void GatewayStats::retried(RetryReason Reason) {
+void GatewayStats::countRetry(RetryReason Reason) {
   m_Retries.at(static_cast<std::size_t>(Reason))->add();
 }
 
-RouteStats &GatewayStats::route(const std::string &Name) {
+RouteStats &GatewayStats::statsOfRoute(const std::string &Name) {
   const auto Found = m_Routes.find(Name);
   if (Found != m_Routes.end())
     return Found->second;
   if (m_Routes.size() >= MaxRoutes)
-    return m_Other;
-  return m_Routes.emplace(Name, make(Name)).first->second;
+    return m_OtherRoutes;
+  return m_Routes.emplace(Name, makeRouteStats(Name)).first->second;
 }
 
-RouteStats GatewayStats::make(const std::string &Label) {
+RouteStats GatewayStats::makeRouteStats(const std::string &Label) {
   const Labels RouteLabels = {{"route", Label}};
   return {&m_Metrics.counter("crowstep_requests_total", RouteLabels),
           &m_Metrics.counter("crowstep_finished_total", RouteLabels),
--- a/src/gateway/gateway_stats.h
+++ b/src/gateway/gateway_stats.h
@@ -27,17 +27,17 @@
 
   explicit GatewayStats(Metrics &Stats);
 
-  void refused(RefusalReason Reason);
-  void retried(RetryReason Reason);
+  void countRefusal(RefusalReason Reason);
+  void countRetry(RetryReason Reason);
 
   /// Counts a stated limit of an upstream that is not a number.
-  void limitUnreadable() { m_UnreadableLimits.add(); }
+  void countUnreadableLimit() { m_UnreadableLimits.add(); }
 
   /// Returns the metrics of a route.
-  RouteStats &route(const std::string &Name);
+  RouteStats &statsOfRoute(const std::string &Name);
 
 private:
-  RouteStats make(const std::string &Label);
+  RouteStats makeRouteStats(const std::string &Label);
 
   Metrics &m_Metrics;          ///< Outlives this object.
   Counter &m_UnreadableLimits; ///< See countUnreadableLimit().
@@ -46,7 +46,7 @@
   std::array<Counter *, static_cast<std::size_t>(RetryReason::Count)>
       m_Retries;                              ///< By reason.
   std::map<std::string, RouteStats> m_Routes; ///< By name.
-  RouteStats m_Other;                         ///< Of all further routes.
+  RouteStats m_OtherRoutes;                   ///< Of all further routes.
 };
 
 } // namespace crowstep::gateway
--- a/src/gateway/header_codec.h
+++ b/src/gateway/header_codec.h
@@ -18,11 +18,11 @@
 
 /// Facts from a caller's headers.
 struct RequestFacts {
-  std::string m_Id;                         ///< Of this attempt of the caller.
-  std::string m_Key;                        ///< API key; empty: none.
-  std::optional<Duration> m_Deadline;       ///< How long the caller waits.
-  std::optional<std::uint64_t> m_LastEvent; ///< The stream resumes after it.
-  PromptSize m_Prompt;                      ///< Empty for plain calls.
+  std::string m_Id;                   ///< Of this attempt of the caller.
+  std::string m_Key;                  ///< API key; empty: none.
+  std::optional<Duration> m_Deadline; ///< How long the caller waits.
+  std::optional<std::uint64_t> m_LastEventId; ///< The stream resumes after it.
+  PromptInfo m_Prompt;                        ///< Empty for plain calls.
 };
 
 /// A header that the gateway needs is missing or malformed.
@@ -31,12 +31,12 @@
 };
 
 /// Facts that the gateway adds to the caller's headers for an upstream.
-struct SendFacts {
+struct AttemptFacts {
   Duration m_TimeLeft{};   ///< The upstream stops after it.
   std::string m_Upstream;  ///< Only this one may run it.
   std::string m_Workspace; ///< Of the checked key; empty: none.
   unsigned m_Priority = 0; ///< 0 is the most urgent.
-  std::optional<std::uint64_t> m_LastEvent; ///< The stream resumes after it.
+  std::optional<std::uint64_t> m_LastEventId; ///< The stream resumes after it.
 };
 
 /// Facts from an upstream's headers.
@@ -44,12 +44,12 @@
   std::string m_RequestId;          ///< Of the call that it answers.
   bool m_Signed = false;            ///< Carries the upstream's signature.
   bool m_NotRun = false;            ///< The upstream did not run the call.
-  bool m_OtherUpstream = false;     ///< The call was for another upstream.
+  bool m_WrongUpstream = false;     ///< The call was for another upstream.
   bool m_Encoded = false;           ///< The body was altered by an encoding.
-  bool m_Leaving = false;           ///< It closes its connections.
+  bool m_Draining = false;          ///< It closes its connections.
   std::optional<LoadReport> m_Load; ///< At the time of this answer.
   std::optional<double> m_Limit;    ///< Requests a second, from all instances.
-  bool m_BadLimit = false;          ///< A limit is stated but malformed.
+  bool m_LimitUnreadable = false;   ///< A limit is stated but malformed.
 };
 
 /// Reads and writes headers; one implementation for each platform.
@@ -62,8 +62,8 @@
 
   /// Returns the headers for an upstream: the caller's, without those that only
   /// the gateway may set, and the gateway's own.
-  [[nodiscard]] virtual HeaderList writeRequest(const HeaderList &FromCaller,
-                                                const SendFacts &Own) const = 0;
+  [[nodiscard]] virtual HeaderList
+  writeRequest(const HeaderList &FromCaller, const AttemptFacts &Own) const = 0;
 
   [[nodiscard]] virtual AnswerFacts
   readAnswer(unsigned Status, const HeaderList &Headers) const = 0;
--- a/src/gateway/reading_duty.cpp
+++ b/src/gateway/reading_duty.cpp
@@ -26,15 +26,15 @@
 
 } // namespace
 
-bool ReadingDuty::readsForOthers() const {
+bool DirectoryReadPolicy::readsForOthers() const {
   return m_Role == ReadingRole::Reader || m_Role == ReadingRole::Deputy;
 }
 
-void ReadingDuty::updated(TimePoint ReadAt) {
+void DirectoryReadPolicy::recordUpdate(TimePoint ReadAt) {
   m_UpdatedAt = std::max(m_UpdatedAt, ReadAt);
 }
 
-Duration ReadingDuty::freshFor(TimePoint Now) const {
+Duration DirectoryReadPolicy::freshnessLeft(TimePoint Now) const {
   Duration Limit{};
   if (m_Role == ReadingRole::Follower)
     Limit = m_Freshness;
@@ -43,21 +43,20 @@
   return std::max(Limit - age(Now), Duration::zero());
 }
 
-Duration ReadingDuty::waitOfCall() const {
-  return readsForOthers()
-             ? std::min(LongestWait, m_Freshness / CallsInFreshness)
-             : LongestWait;
+Duration DirectoryReadPolicy::callWait() const {
+  return readsForOthers() ? std::min(MaxWait, m_Freshness / CallsInFreshness)
+                          : MaxWait;
 }
 
-Duration ReadingDuty::firstBackoff() const {
+Duration DirectoryReadPolicy::firstBackoff() const {
   return m_Role == ReadingRole::Follower
-             ? std::max(FirstBackoff, m_FollowerBackoff / FirstInLongest)
+             ? std::max(FirstBackoff, m_MaxFollowerBackoff / FirstInLongest)
              : FirstBackoff;
 }
 
-Duration ReadingDuty::longestBackoff() const {
+Duration DirectoryReadPolicy::maxBackoff() const {
   return m_Role == ReadingRole::Follower
-             ? std::max(LongestBackoff, m_FollowerBackoff)
+             ? std::max(LongestBackoff, m_MaxFollowerBackoff)
              : LongestBackoff;
 }
 
--- a/src/gateway/reading_duty.h
+++ b/src/gateway/reading_duty.h
@@ -10,35 +10,35 @@
 
 namespace crowstep::gateway {
 
-class ReadingDuty {
+class DirectoryReadPolicy {
 public:
   /// Maximum wait for changes of a call on whose answer no other instance
   /// relies.
-  static constexpr Duration LongestWait = std::chrono::seconds(30);
+  static constexpr Duration MaxWait = std::chrono::seconds(30);
 
   /// Sets how old updates of others may be before this instance calls the
   /// directory itself, and the maximum backoff of a follower.
   void setFreshness(Duration Limit, Duration LongestBackoff) {
     m_Freshness = Limit;
-    m_FollowerBackoff = LongestBackoff;
+    m_MaxFollowerBackoff = LongestBackoff;
   }
 
   void setRole(ReadingRole Role) { m_Role = Role; }
   [[nodiscard]] ReadingRole role() const { return m_Role; }
 
   /// Records an update whose changes were complete at \p ReadAt.
-  void updated(TimePoint ReadAt);
+  void recordUpdate(TimePoint ReadAt);
 
   /// Returns how long the updates of others stay fresh enough; for a deputy
   /// less time, so that it calls the directory before the followers do.
-  [[nodiscard]] Duration freshFor(TimePoint Now) const;
+  [[nodiscard]] Duration freshnessLeft(TimePoint Now) const;
 
   /// Returns the age of the newest update.
   [[nodiscard]] Duration age(TimePoint Now) const { return Now - m_UpdatedAt; }
 
   /// Returns how long a call may wait for changes. Other instances rely on a
   /// reader's answers, also on those without changes.
-  [[nodiscard]] Duration waitOfCall() const;
+  [[nodiscard]] Duration callWait() const;
 
   /// Returns the backoff after the first of a series of failures, and the
   /// maximum. With the maximum, and the timeout of a call that is not answered,
@@ -46,14 +46,14 @@
   /// isn't a follower: if a call fails and the next one is answered, the outage
   /// was over at most that long after the failed call began.
   [[nodiscard]] Duration firstBackoff() const;
-  [[nodiscard]] Duration longestBackoff() const;
+  [[nodiscard]] Duration maxBackoff() const;
 
 private:
   [[nodiscard]] bool readsForOthers() const;
 
   ReadingRole m_Role = ReadingRole::Alone; ///< In the zone.
   Duration m_Freshness{};                  ///< See setFreshness().
-  Duration m_FollowerBackoff{};            ///< See setFreshness().
+  Duration m_MaxFollowerBackoff{};         ///< See setFreshness().
   TimePoint m_UpdatedAt{};                 ///< When the newest was complete.
 };
 
--- a/src/gateway/route_table.h
+++ b/src/gateway/route_table.h
@@ -17,14 +17,14 @@
 public:
   using Priorities = std::pair<unsigned, unsigned>;
 
-  void add(Priorities Pair) { m_Known.insert(Pair); }
+  void add(Priorities Pair) { m_Pairs.insert(Pair); }
 
   /// Returns the rank of a pair that was added; 0 is the most urgent. Engines
   /// know ten ranks; with more pairs, adjacent ones share a rank.
   [[nodiscard]] unsigned rankOf(Priorities Pair) const;
 
 private:
-  std::set<Priorities> m_Known; ///< Never shrinks.
+  std::set<Priorities> m_Pairs; ///< Never shrinks.
 };
 
 /// An immutable table; requests keep the one that they began with.
@@ -43,19 +43,20 @@
                                   std::string_view Path) const;
 
   /// Returns the workspace that owns \p Key, or null.
-  [[nodiscard]] const KeyHolder *holderOf(const std::string &Key) const;
+  [[nodiscard]] const WorkspaceEntry *
+  workspaceOfKey(const std::string &Key) const;
 
   /// Returns the rank of a call in the wait queue: by the workspace's priority,
   /// or the route's if it has none, and among equals by the route's.
-  [[nodiscard]] unsigned urgency(const Route &CallRoute,
-                                 const KeyHolder *KeyOwner) const;
+  [[nodiscard]] unsigned queueRank(const Route &CallRoute,
+                                   const WorkspaceEntry *KeyOwner) const;
 
   /// Returns the rank of a call at an engine: by the route's priority, and
   /// among equals by the workspace's. An engine preempts its least urgent rank
   /// for a more urgent call; by the workspace first, a call of an urgent route
   /// would be preempted while one of a less urgent route runs on.
   [[nodiscard]] unsigned engineRank(const Route &CallRoute,
-                                    const KeyHolder *KeyOwner) const;
+                                    const WorkspaceEntry *KeyOwner) const;
 
   /// Returns whether the table has any keys to check.
   [[nodiscard]] bool hasKeys() const { return !m_Data.m_Workspaces.empty(); }
@@ -63,9 +64,10 @@
 private:
   RouteTableData m_Data; ///< The pointers below point into it.
   std::unordered_map<std::string, const Route *>
-      m_ByPlace; ///< Host + path prefix.
-  std::unordered_map<std::string, const KeyHolder *> m_ByKey; ///< By API key.
-  PriorityRanks m_Turns;       ///< See queueRank().
+      m_ByHostAndPrefix; ///< Host + path prefix.
+  std::unordered_map<std::string, const WorkspaceEntry *>
+      m_ByKey;                 ///< By API key.
+  PriorityRanks m_QueueRanks;  ///< See queueRank().
   PriorityRanks m_EngineRanks; ///< See engineRank().
 };
 
--- a/src/gateway/route_type.h
+++ b/src/gateway/route_type.h
@@ -24,8 +24,8 @@
 
 /// An answer that is a stream of events.
 struct EventStream {
-  bool m_Resumable = false;  ///< May resume at another upstream.
-  Duration m_LongestPause{}; ///< Target between events; 0: none.
+  bool m_Resumable = false; ///< May resume at another upstream.
+  Duration m_MaxPause{};    ///< Target between events; 0: none.
 };
 
 /// How a route's calls are answered, and thus which may be retried.
@@ -61,7 +61,7 @@
 };
 
 /// A workspace in the table.
-struct KeyHolder {
+struct WorkspaceEntry {
   std::string m_Name;                 ///< Passed on to upstreams.
   std::vector<std::string> m_Keys;    ///< Any of them is accepted.
   std::optional<unsigned> m_Priority; ///< Overrides the route's in the queue.
@@ -69,24 +69,24 @@
 
 /// Limits for callers.
 struct CallerLimits {
-  std::size_t m_MaxHeader = 16384; ///< Bytes of one header.
-  std::size_t m_MaxBody = 4194304; ///< Bytes.
-  Duration m_HeaderTimeout{};      ///< For headers and body to arrive.
-  Duration m_IdleTimeout{};        ///< Of a connection without a request.
+  std::size_t m_MaxHeaderBytes = 16384; ///< Bytes of one header.
+  std::size_t m_MaxBodyBytes = 4194304; ///< Bytes.
+  Duration m_HeaderTimeout{};           ///< For headers and body to arrive.
+  Duration m_IdleTimeout{};             ///< Of a connection without a request.
 };
 
 /// A whole table.
 struct RouteTableData {
-  RouteTableVersion m_Version;         ///< Higher replaces lower.
-  std::vector<Route> m_Routes;         ///< In any order.
-  std::vector<Service> m_Services;     ///< Those that routes name.
-  std::vector<KeyHolder> m_Workspaces; ///< Empty: keys are not checked.
-  CallerLimits m_Limits;               ///< For all routes.
+  RouteTableVersion m_Version;              ///< Higher replaces lower.
+  std::vector<Route> m_Routes;              ///< In any order.
+  std::vector<Service> m_Services;          ///< Those that routes name.
+  std::vector<WorkspaceEntry> m_Workspaces; ///< Empty: keys are not checked.
+  CallerLimits m_Limits;                    ///< For all routes.
 };
 
 /// Returns the shortest target of a pause between events among a service's
 /// routes, by service; services without such a route are left out.
-std::map<std::string, Duration> tightestPauses(const RouteTableData &Table);
+std::map<std::string, Duration> minPausesByService(const RouteTableData &Table);
 
 } // namespace crowstep::gateway
 
--- a/src/gateway/upstream_list.cpp
+++ b/src/gateway/upstream_list.cpp
@@ -12,37 +12,37 @@
 
 } // namespace
 
-void UpstreamList::listed(const Upstream &Entry) {
-  m_Missing.erase(Entry.m_Name);
+void UpstreamList::setListed(const Upstream &Entry) {
+  m_Unlisted.erase(Entry.m_Name);
   m_ByName[Entry.m_Name] = Entry;
 }
 
-void UpstreamList::unreadable(const std::string &Name) {
-  m_Missing.erase(Name);
+void UpstreamList::remove(const std::string &Name) {
+  m_Unlisted.erase(Name);
   m_ByName.erase(Name);
 }
 
-bool UpstreamList::gone(const std::string &Name, TimePoint OutOfReach,
-                        TimePoint Now) {
+bool UpstreamList::setUnlisted(const std::string &Name, TimePoint OutOfReach,
+                               TimePoint Now) {
   const auto Found = m_ByName.find(Name);
   if (Found == m_ByName.end())
     return false;
   // A draining upstream's entry was removed and has not expired.
-  if (Found->second.m_Leaving || Now >= keptUntil(OutOfReach)) {
-    unreadable(Name);
+  if (Found->second.m_Draining || Now >= keptUntil(OutOfReach)) {
+    remove(Name);
     return false;
   }
-  m_Missing.insert(Name);
+  m_Unlisted.insert(Name);
   return true;
 }
 
-std::vector<std::string> UpstreamList::dropMissing(TimePoint OutOfReach,
-                                                   TimePoint Now) {
+std::vector<std::string> UpstreamList::dropUnlisted(TimePoint OutOfReach,
+                                                    TimePoint Now) {
   // During another outage upstreams can't renew their entries either.
   if (Now < keptUntil(OutOfReach))
     return {};
-  std::vector<std::string> Result(m_Missing.begin(), m_Missing.end());
-  m_Missing.clear();
+  std::vector<std::string> Result(m_Unlisted.begin(), m_Unlisted.end());
+  m_Unlisted.clear();
   for (const std::string &Name : Result)
     m_ByName.erase(Name);
   return Result;
@@ -51,7 +51,7 @@
 TimePoint UpstreamList::keptUntil(TimePoint OutOfReach) const {
   if (OutOfReach == TimePoint())
     return {};
-  return OutOfReach + std::max(m_Settle - SendMargin, Duration::zero());
+  return OutOfReach + std::max(m_SettleTime - SendMargin, Duration::zero());
 }
 
 std::vector<Upstream> UpstreamList::all() const {
--- a/src/gateway/upstream_list.h
+++ b/src/gateway/upstream_list.h
@@ -28,36 +28,37 @@
 public:
   /// An instance that can reach the directory again must be up to date within
   /// \p Settle.
-  explicit UpstreamList(Duration Settle) : m_Settle(Settle) {}
+  explicit UpstreamList(Duration Settle) : m_SettleTime(Settle) {}
 
   /// Records that the upstream has an entry.
-  void listed(const Upstream &Entry);
+  void setListed(const Upstream &Entry);
 
   /// Removes \p Name, whose entry can't be parsed.
-  void unreadable(const std::string &Name);
+  void remove(const std::string &Name);
 
   /// Records that \p Name has no entry any more. The directory was last
   /// unreachable at \p OutOfReach. Returns whether the upstream stays in use
   /// for now.
-  bool gone(const std::string &Name, TimePoint OutOfReach, TimePoint Now);
+  bool setUnlisted(const std::string &Name, TimePoint OutOfReach,
+                   TimePoint Now);
 
   /// Removes the upstreams without an entry if their time is over, and returns
   /// their names.
-  std::vector<std::string> dropMissing(TimePoint OutOfReach, TimePoint Now);
+  std::vector<std::string> dropUnlisted(TimePoint OutOfReach, TimePoint Now);
 
   /// Returns until when upstreams without an entry are used.
   [[nodiscard]] TimePoint keptUntil(TimePoint OutOfReach) const;
 
   /// Returns how many upstreams are used without an entry.
-  [[nodiscard]] std::size_t missing() const { return m_Missing.size(); }
+  [[nodiscard]] std::size_t unlistedCount() const { return m_Unlisted.size(); }
 
   /// Returns all upstreams that may be used, and those that are draining.
   [[nodiscard]] std::vector<Upstream> all() const;
 
 private:
-  Duration m_Settle;                        ///< See the constructor.
+  Duration m_SettleTime;                    ///< See the constructor.
   std::map<std::string, Upstream> m_ByName; ///< With or without an entry.
-  std::set<std::string> m_Missing;          ///< Without an entry.
+  std::set<std::string> m_Unlisted;         ///< Without an entry.
 };
 
 } // namespace crowstep::gateway
--- a/src/gateway/waiting_room.cpp
+++ b/src/gateway/waiting_room.cpp
@@ -6,20 +6,21 @@
 
 namespace crowstep::gateway {
 
-std::unique_ptr<WaitingRoom::Place>
-WaitingRoom::enter(WaitingCall Call, std::function<void()> RetryPlacement) {
+std::unique_ptr<WaitQueue::Entry>
+WaitQueue::enqueue(WaitingCall Call, std::function<void()> RetryPlacement) {
   const std::uint64_t Number = ++m_LastNumber;
-  m_Calls.emplace(Number, Waiting{std::move(Call), std::move(RetryPlacement)});
-  if (!m_Tick.running())
-    m_Tick.start(AskInterval, [this] { ask(); });
-  return std::unique_ptr<Place>(new Place(*this, Number));
+  m_Calls.emplace(Number,
+                  QueuedCall{std::move(Call), std::move(RetryPlacement)});
+  if (!m_RetryTimer.isRunning())
+    m_RetryTimer.start(RetryInterval, [this] { retryPlacements(); });
+  return std::unique_ptr<Entry>(new Entry(*this, Number));
 }
 
-void WaitingRoom::leave(std::uint64_t Number) { m_Calls.erase(Number); }
+void WaitQueue::remove(std::uint64_t Number) { m_Calls.erase(Number); }
 
 /// The most urgent first; among equals the first call of each workspace, then
 /// the second of each, so that a workspace with many calls delays no other.
-std::vector<std::uint64_t> WaitingRoom::order() const {
+std::vector<std::uint64_t> WaitQueue::placementOrder() const {
   using Rank = std::tuple<balance::Urgency, std::size_t, std::uint64_t>;
   std::map<std::pair<balance::Urgency, std::string>, std::size_t> CallsSeen;
   std::vector<Rank> Ranks;
@@ -37,18 +38,18 @@
   return Result;
 }
 
-void WaitingRoom::ask() {
-  for (const std::uint64_t Number : order()) {
+void WaitQueue::retryPlacements() {
+  for (const std::uint64_t Number : placementOrder()) {
     // A callback that ran before may have removed this call.
     const auto Found = m_Calls.find(Number);
     if (Found == m_Calls.end())
       continue;
     // A copy, since the callback may remove its call while it runs.
-    const std::function<void()> RetryPlacement = Found->second.m_AskAgain;
+    const std::function<void()> RetryPlacement = Found->second.m_RetryPlacement;
     RetryPlacement();
   }
   if (!m_Calls.empty())
-    m_Tick.start(AskInterval, [this] { ask(); });
+    m_RetryTimer.start(RetryInterval, [this] { retryPlacements(); });
 }
 
 } // namespace crowstep::gateway
--- a/src/gateway/waiting_room.h
+++ b/src/gateway/waiting_room.h
@@ -29,7 +29,7 @@
   std::string m_Workspace;        ///< Of the call; may be empty.
 };
 
-class WaitingRoom {
+class WaitQueue {
 public:
   /// Maximum of waiting calls. With bodies of up to 110 KB they take 14 MB, a
   /// seventh of the smallest instance's memory.
@@ -38,48 +38,48 @@
   /// Interval at which placement of all calls is retried: half of
   /// DigestExchange::Interval, and well under the part of a target that a call
   /// may wait.
-  static constexpr Duration AskInterval = std::chrono::milliseconds(50);
+  static constexpr Duration RetryInterval = std::chrono::milliseconds(50);
 
   /// A place in the queue; destroying it removes the call.
-  class Place {
+  class Entry {
   public:
-    ~Place() { m_Room.leave(m_Number); }
-    Place(const Place &) = delete;
-    Place &operator=(const Place &) = delete;
+    ~Entry() { m_Queue.remove(m_Number); }
+    Entry(const Entry &) = delete;
+    Entry &operator=(const Entry &) = delete;
 
   private:
-    friend class WaitingRoom;
-    Place(WaitingRoom &Queue, std::uint64_t Number)
-        : m_Room(Queue), m_Number(Number) {}
+    friend class WaitQueue;
+    Entry(WaitQueue &Queue, std::uint64_t Number)
+        : m_Queue(Queue), m_Number(Number) {}
 
-    WaitingRoom &m_Room;    ///< Outlives the entry.
+    WaitQueue &m_Queue;     ///< Outlives the entry.
     std::uint64_t m_Number; ///< Key of the call there.
   };
 
-  explicit WaitingRoom(Scheduler &Timers) : m_Tick(Timers) {}
+  explicit WaitQueue(Scheduler &Timers) : m_RetryTimer(Timers) {}
 
-  [[nodiscard]] bool full() const { return m_Calls.size() >= MaxCalls; }
+  [[nodiscard]] bool isFull() const { return m_Calls.size() >= MaxCalls; }
   [[nodiscard]] std::size_t size() const { return m_Calls.size(); }
 
   /// Adds a call; \p RetryPlacement runs each RetryInterval until the returned
   /// entry is destroyed, which it may do itself.
-  std::unique_ptr<Place> enter(WaitingCall Call,
-                               std::function<void()> RetryPlacement);
+  std::unique_ptr<Entry> enqueue(WaitingCall Call,
+                                 std::function<void()> RetryPlacement);
 
 private:
   /// A call and the callback that retries its placement.
-  struct Waiting {
+  struct QueuedCall {
     WaitingCall m_Call;
-    std::function<void()> m_AskAgain;
+    std::function<void()> m_RetryPlacement;
   };
 
-  void leave(std::uint64_t Number);
-  void ask();
-  [[nodiscard]] std::vector<std::uint64_t> order() const;
+  void remove(std::uint64_t Number);
+  void retryPlacements();
+  [[nodiscard]] std::vector<std::uint64_t> placementOrder() const;
 
-  std::map<std::uint64_t, Waiting> m_Calls; ///< By arrival.
-  std::uint64_t m_LastNumber = 0;           ///< Numbers start at 1.
-  Timer m_Tick;                             ///< Runs while calls wait.
+  std::map<std::uint64_t, QueuedCall> m_Calls; ///< By arrival.
+  std::uint64_t m_LastNumber = 0;              ///< Numbers start at 1.
+  Timer m_RetryTimer;                          ///< Runs while calls wait.
 };
 
 } // namespace crowstep::gateway
--- a/src/http/answer_parser.cpp
+++ b/src/http/answer_parser.cpp
@@ -52,7 +52,7 @@
     m_State = AnswerState::Invalid;
 }
 
-void AnswerParser::closed() {
+void AnswerParser::peerClosed() {
   m_CanReuse = false;
   if (m_State != AnswerState::Reading)
     return;
--- a/src/http/answer_parser.h
+++ b/src/http/answer_parser.h
@@ -32,12 +32,12 @@
   void feed(std::string_view Bytes);
 
   /// Reports that the peer closed the connection in order, not by a reset.
-  void closed();
+  void peerClosed();
 
   [[nodiscard]] AnswerState state() const { return m_State; }
 
   /// Returns whether the final head, not a 1xx one, has been received.
-  [[nodiscard]] bool headKnown() const { return m_HasHead; }
+  [[nodiscard]] bool hasHead() const { return m_HasHead; }
   [[nodiscard]] unsigned status() const { return m_Parser.status_code; }
   [[nodiscard]] const HeaderList &headers() const { return m_Headers; }
 
@@ -46,7 +46,7 @@
 
   /// Returns whether the connection can serve a further call. False unless the
   /// answer is complete and no bytes followed it.
-  [[nodiscard]] bool mayKeepConnection() const { return m_CanReuse; }
+  [[nodiscard]] bool canReuseConnection() const { return m_CanReuse; }
 
 private:
   static int onMessageBegin(http_parser *Parser);
--- a/src/http/caller.cpp
+++ b/src/http/caller.cpp
@@ -9,14 +9,15 @@
                            Duration RetryAfter) {
   CallerAnswer Result;
   Result.m_Status = httpStatusOf(Reason);
-  Result.m_State = State;
+  Result.m_RunState = State;
   Result.m_Body = errorBody(Reason);
   Result.m_RetryAfter = RetryAfter;
   return Result;
 }
 
 HeaderList headersOf(const CallerAnswer &Answer) {
-  HeaderList Result = {{"Crowstep-Run", std::string(nameOf(Answer.m_State))}};
+  HeaderList Result = {
+      {"Crowstep-Run", std::string(nameOf(Answer.m_RunState))}};
   if (!Answer.m_ContentType.empty())
     Result.push_back({"Content-Type", Answer.m_ContentType});
   if (Answer.m_RetryAfter > Duration::zero())
--- a/src/http/caller.h
+++ b/src/http/caller.h
@@ -16,7 +16,7 @@
 /// Status, headers and, unless it is streamed, the body of an answer.
 struct CallerAnswer {
   unsigned m_Status = 200;                        ///< HTTP status.
-  RunState m_State = RunState::Ran;               ///< Header Crowstep-Run.
+  RunState m_RunState = RunState::Ran;            ///< Header Crowstep-Run.
   std::string m_ContentType = "application/json"; ///< Header.
   std::string m_Body;      ///< Complete; empty for a stream.
   Duration m_RetryAfter{}; ///< 0: no Retry-After header.
@@ -41,20 +41,20 @@
 
   /// Closes the connection without an answer, or within a stream in such a way
   /// that the caller sees that it is truncated.
-  virtual void drop() = 0;
+  virtual void abortAnswer() = 0;
 
   /// Checks the socket and returns whether the caller has closed its
   /// connection. After the process was suspended the event loop reports the
   /// close late; a request sent to an upstream before that would be wasted.
-  [[nodiscard]] virtual bool hasLeft() const = 0;
+  [[nodiscard]] virtual bool hasDisconnected() const = 0;
 
   /// Returns the number of bytes that the socket has not yet accepted.
   [[nodiscard]] virtual std::size_t backlog() const = 0;
 
   /// Sets the callbacks that run when the caller disconnects before its answer
   /// was given in full, and when the socket has accepted more of the backlog.
-  virtual void onGone(std::function<void()> Callback) = 0;
-  virtual void onDrained(std::function<void()> Callback) = 0;
+  virtual void onDisconnect(std::function<void()> Callback) = 0;
+  virtual void onBacklogReduced(std::function<void()> Callback) = 0;
 };
 
 /// Copies status, headers and body into \p Message.
--- a/src/http/caller_connection.cpp
+++ b/src/http/caller_connection.cpp
@@ -47,7 +47,7 @@
   const std::string *Length = findHeader(Headers, "Content-Length");
   const std::string *Coding = findHeader(Headers, "Transfer-Encoding");
   if (Coding != nullptr)
-    return Length != nullptr || !sameHeader(*Coding, "chunked") ||
+    return Length != nullptr || !equalsIgnoreCase(*Coding, "chunked") ||
            countHeaders(Headers, "Transfer-Encoding") > 1;
   if (Length == nullptr)
     return false;
@@ -57,7 +57,7 @@
 
 bool closesConnection(const HeaderList &Headers) {
   const std::string *Value = findHeader(Headers, "Connection");
-  return Value != nullptr && sameHeader(*Value, "close");
+  return Value != nullptr && equalsIgnoreCase(*Value, "close");
 }
 
 std::string hex(std::size_t Number) {
@@ -73,7 +73,7 @@
 class CallerConnection::Handle final : public Caller {
 public:
   explicit Handle(CallerConnection &Connection) : m_Connection(&Connection) {}
-  ~Handle() override { drop(); }
+  ~Handle() override { abortAnswer(); }
   Handle(const Handle &) = delete;
   Handle &operator=(const Handle &) = delete;
 
@@ -93,20 +93,20 @@
     if (m_Connection != nullptr)
       m_Connection->endStream();
   }
-  void drop() override {
+  void abortAnswer() override {
     if (m_Connection != nullptr)
       m_Connection->abortAnswer();
   }
-  [[nodiscard]] bool hasLeft() const override {
-    return m_Connection == nullptr || m_Connection->hasLeft();
+  [[nodiscard]] bool hasDisconnected() const override {
+    return m_Connection == nullptr || m_Connection->hasDisconnected();
   }
   [[nodiscard]] std::size_t backlog() const override {
     return m_Connection == nullptr ? 0 : m_Connection->backlog();
   }
-  void onGone(std::function<void()> Callback) override {
+  void onDisconnect(std::function<void()> Callback) override {
     m_OnDisconnect = std::move(Callback);
   }
-  void onDrained(std::function<void()> Callback) override {
+  void onBacklogReduced(std::function<void()> Callback) override {
     m_OnBacklogReduced = std::move(Callback);
   }
 
@@ -147,9 +147,9 @@
   g_socket_close(m_Socket.get(), nullptr);
 }
 
-bool CallerConnection::busy() const {
-  return answering() || (m_Phase == Phase::Receiving &&
-                         m_Parser->state() != ArrivalState::Nothing);
+bool CallerConnection::isBusy() const {
+  return isAnswering() || (m_Phase == Phase::Receiving &&
+                           m_Parser->state() != RequestParseState::NotStarted);
 }
 
 CallerConnection::Handle *CallerConnection::releaseHandle() {
@@ -176,7 +176,7 @@
     return;
   const bool AnswerPending =
       m_Phase == Phase::AwaitingAnswer || m_Phase == Phase::Streaming;
-  m_Watch->watchFor(
+  m_Watch->setEvents(
       {.m_Read = m_Phase != Phase::Flushing && !m_NextRequestPending,
        .m_Write = !m_WriteFailed && m_SentBytes < m_Output.size(),
        .m_HungUp = AnswerPending});
@@ -234,27 +234,28 @@
 }
 
 void CallerConnection::startIdleTimer() {
-  m_Timer.start(m_Owner.limits().m_IdleLimit, [this] { handleIdleTimeout(); });
+  m_Timer.start(m_Owner.limits().m_IdleTimeout,
+                [this] { handleIdleTimeout(); });
 }
 
 /// If the event loop was delayed, a request that arrived in time may still be
 /// unread, so the socket is read once more before the close.
 void CallerConnection::handleIdleTimeout() {
-  if (m_Parser->state() != ArrivalState::Nothing) {
+  if (m_Parser->state() != RequestParseState::NotStarted) {
     close();
     return;
   }
-  m_Timer.start(m_Owner.limits().m_ReceiveLimit, [this] { close(); });
+  m_Timer.start(m_Owner.limits().m_ReceiveTimeout, [this] { close(); });
   readSocket();
-  if (m_Phase == Phase::Receiving && !busy())
+  if (m_Phase == Phase::Receiving && !isBusy())
     close();
 }
 
 void CallerConnection::closeIfIdle() {
-  if (!m_HasServed || m_Phase != Phase::Receiving || busy())
+  if (!m_HasServed || m_Phase != Phase::Receiving || isBusy())
     return;
   readSocket();
-  if (m_Phase == Phase::Receiving && !busy())
+  if (m_Phase == Phase::Receiving && !isBusy())
     close();
 }
 
@@ -278,36 +279,37 @@
 void CallerConnection::processInput() {
   m_IsParsing = true;
   while (m_Phase == Phase::Receiving && !m_Input.empty()) {
-    const ArrivalState Before = m_Parser->state();
+    const RequestParseState Before = m_Parser->state();
     m_Input.erase(0, m_Parser->feed(m_Input));
-    const ArrivalState Now = m_Parser->state();
-    if (Before < ArrivalState::Body && Now == ArrivalState::Body)
+    const RequestParseState Now = m_Parser->state();
+    if (Before < RequestParseState::Body && Now == RequestParseState::Body)
       handleHead();
-    else if (Now == ArrivalState::Invalid)
-      refuse(m_Parser->headTooLarge()     ? RefusalReason::HeaderTooLarge
-             : m_Parser->framingUnclear() ? RefusalReason::AmbiguousFraming
-                                          : RefusalReason::MalformedHeader);
-    else if (Now == ArrivalState::Body)
+    else if (Now == RequestParseState::Invalid)
+      refuse(m_Parser->isHeadTooLarge()      ? RefusalReason::HeaderTooLarge
+             : m_Parser->hasInvalidFraming() ? RefusalReason::AmbiguousFraming
+                                             : RefusalReason::MalformedHeader);
+    else if (Now == RequestParseState::Body)
       checkBodySize();
-    else if (Now == ArrivalState::Complete)
+    else if (Now == RequestParseState::Complete)
       handleRequest();
   }
   m_IsParsing = false;
 }
 
 void CallerConnection::handleHead() {
-  const ArrivalLimits &Limits = m_Owner.limits();
+  const ReceiveLimits &Limits = m_Owner.limits();
   const HeaderList &Headers = m_Parser->request().m_Headers;
-  m_Timer.start(Limits.m_ReceiveLimit,
+  m_Timer.start(Limits.m_ReceiveTimeout,
                 [this] { refuse(RefusalReason::SlowCaller); });
   if (isFramingAmbiguous(Headers)) {
     refuse(RefusalReason::AmbiguousFraming);
-  } else if (longestHeader(Headers) > Limits.m_MaxHeader) {
+  } else if (longestHeader(Headers) > Limits.m_MaxHeaderBytes) {
     refuse(RefusalReason::HeaderTooLarge);
-  } else if (m_Parser->statedLength() > Limits.m_MaxBody) {
+  } else if (m_Parser->contentLength() > Limits.m_MaxBodyBytes) {
     refuse(RefusalReason::BodyTooLarge);
   } else if (const std::string *Expected = findHeader(Headers, "Expect");
-             Expected != nullptr && sameHeader(*Expected, "100-continue")) {
+             Expected != nullptr &&
+             equalsIgnoreCase(*Expected, "100-continue")) {
     m_Output += "HTTP/1.1 100 Continue\r\n\r\n";
     write();
   }
@@ -315,7 +317,7 @@
 
 /// A chunked body states no length, so its size is checked as it arrives.
 void CallerConnection::checkBodySize() {
-  if (m_Parser->request().m_Body.size() > m_Owner.limits().m_MaxBody)
+  if (m_Parser->request().m_Body.size() > m_Owner.limits().m_MaxBodyBytes)
     refuse(RefusalReason::BodyTooLarge);
 }
 
@@ -326,12 +328,12 @@
   m_Timer.stop();
   m_Phase = Phase::AwaitingAnswer;
   m_CloseAfterAnswer =
-      !m_Parser->takesChunks() || !m_Parser->wantsToKeepConnection();
+      !m_Parser->acceptsChunked() || !m_Parser->wantsKeepAlive();
   m_IsHeadRequest = m_Parser->request().m_Method == "HEAD";
   auto From = std::make_unique<Handle>(*this);
   m_Handle = From.get();
   updateWatch();
-  m_Owner.requestArrived(m_Parser->takeRequest(), std::move(From));
+  m_Owner.requestReceived(m_Parser->takeRequest(), std::move(From));
 }
 
 /// The rest of the request is read and discarded: closing at once would reset
@@ -345,7 +347,7 @@
              {{"Content-Length", std::to_string(Answer.m_Body.size())}});
   m_Output += Answer.m_Body;
   m_CloseAfterAnswer = true;
-  m_LingerTime = m_Owner.limits().m_ReceiveLimit;
+  m_LingerTime = m_Owner.limits().m_ReceiveTimeout;
   m_Phase = Phase::Flushing;
   write();
 }
@@ -388,10 +390,10 @@
   if (m_Phase != Phase::AwaitingAnswer)
     return;
   m_Phase = Phase::Streaming;
-  m_IsChunked = m_Parser->takesChunks();
+  m_IsChunked = m_Parser->acceptsChunked();
   CallerAnswer Streamed = Head;
   std::erase_if(Streamed.m_Headers, [](const HeaderField &Field) {
-    return sameHeader(Field.m_Name, "Cache-Control");
+    return equalsIgnoreCase(Field.m_Name, "Cache-Control");
   });
   HeaderList Framing = {{"Cache-Control", "no-cache"}};
   if (m_IsChunked)
@@ -444,7 +446,9 @@
   close();
 }
 
-bool CallerConnection::hasLeft() const { return closedByPeer(m_Socket.get()); }
+bool CallerConnection::hasDisconnected() const {
+  return isClosedByPeer(m_Socket.get());
+}
 
 /// Never closes the connection, as it may run within a call of the owner.
 void CallerConnection::write() {
--- a/src/http/caller_connection.h
+++ b/src/http/caller_connection.h
@@ -14,11 +14,11 @@
 namespace crowstep {
 
 /// Limits on receiving requests.
-struct ArrivalLimits {
-  std::size_t m_MaxBody = 0;   ///< For the whole body.
-  std::size_t m_MaxHeader = 0; ///< For the value of one header.
-  Duration m_ReceiveLimit{};   ///< From the end of the head to the body's end.
-  Duration m_IdleLimit{}; ///< From accept or answer to the next head's end.
+struct ReceiveLimits {
+  std::size_t m_MaxBodyBytes = 0;   ///< For the whole body.
+  std::size_t m_MaxHeaderBytes = 0; ///< For the value of one header.
+  Duration m_ReceiveTimeout{}; ///< From the end of the head to the body's end.
+  Duration m_IdleTimeout{}; ///< From accept or answer to the next head's end.
 };
 
 class CallerConnection;
@@ -29,11 +29,11 @@
   virtual ~CallerConnectionOwner() = default;
 
   /// Returns the limits in force.
-  [[nodiscard]] virtual const ArrivalLimits &limits() const = 0;
+  [[nodiscard]] virtual const ReceiveLimits &limits() const = 0;
 
   /// A request was received in full and within the limits.
-  virtual void requestArrived(IncomingRequest Request,
-                              std::unique_ptr<Caller> From) = 0;
+  virtual void requestReceived(IncomingRequest Request,
+                               std::unique_ptr<Caller> From) = 0;
 
   /// A request was refused while it was being received.
   virtual void requestRefused(RefusalReason Reason) = 0;
@@ -52,13 +52,13 @@
   CallerConnection &operator=(const CallerConnection &) = delete;
 
   /// Returns whether an answer is pending or not yet written in full.
-  [[nodiscard]] bool answering() const {
+  [[nodiscard]] bool isAnswering() const {
     return m_Phase == Phase::AwaitingAnswer || m_Phase == Phase::Streaming ||
            m_Phase == Phase::Flushing;
   }
 
   /// Returns whether a request is partly received, or isAnswering().
-  [[nodiscard]] bool busy() const;
+  [[nodiscard]] bool isBusy() const;
 
   /// Closes the connection if no request has arrived on it; the socket is read
   /// first. A connection that has not served a request yet stays open.
@@ -97,7 +97,7 @@
   void append(const std::string &Bytes);
   void endStream();
   void abortAnswer();
-  [[nodiscard]] bool hasLeft() const;
+  [[nodiscard]] bool hasDisconnected() const;
   [[nodiscard]] std::size_t backlog() const {
     return m_Output.size() - m_SentBytes;
   }
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -18,22 +18,22 @@
 
 } // namespace
 
-Front::Front(const ArrivalLimits &Limits, RefusedHandler OnRefused,
-             Scheduler &Timers)
+Frontend::Frontend(const ReceiveLimits &Limits, RefusedHandler OnRefused,
+                   Scheduler &Timers)
     : m_Limits(Limits), m_OnRefused(std::move(OnRefused)), m_Timers(Timers),
       m_AcceptTimer(Timers), m_CleanupTimer(Timers) {}
 
-Front::~Front() = default;
+Frontend::~Frontend() = default;
 
-void Front::listen(const Address &ListenAddress, Handler OnRequest) {
+void Frontend::listen(const Address &ListenAddress, Handler OnRequest) {
   m_Handler = std::move(OnRequest);
-  m_Socket.reset(listeningSocket(ListenAddress));
+  m_Socket.reset(openListeningSocket(ListenAddress));
   g_socket_set_blocking(m_Socket.get(), 0);
   m_Watch.emplace(g_socket_get_fd(m_Socket.get()), *this);
-  m_Watch->watchFor({.m_Read = true});
+  m_Watch->setEvents({.m_Read = true});
 }
 
-void Front::stopListening() {
+void Frontend::stopListening() {
   m_AcceptTimer.stop();
   m_Watch.reset();
   if (m_Socket != nullptr)
@@ -41,7 +41,7 @@
   m_Socket.reset();
 }
 
-void Front::socketReady(SocketEvents) {
+void Frontend::socketReady(SocketEvents) {
   for (int Count = 0; Count < MaxAcceptsPerEvent; ++Count) {
     GError *Failure = nullptr;
     SocketPtr Accepted(g_socket_accept(m_Socket.get(), nullptr, &Failure));
@@ -58,28 +58,28 @@
   }
 }
 
-void Front::pauseAccepting() {
-  m_Watch->watchFor({});
+void Frontend::pauseAccepting() {
+  m_Watch->setEvents({});
   m_AcceptTimer.start(AcceptPause,
-                      [this] { m_Watch->watchFor({.m_Read = true}); });
+                      [this] { m_Watch->setEvents({.m_Read = true}); });
 }
 
-void Front::requestArrived(IncomingRequest Request,
-                           std::unique_ptr<Caller> From) {
+void Frontend::requestReceived(IncomingRequest Request,
+                               std::unique_ptr<Caller> From) {
   m_Handler(std::move(Request), std::move(From));
 }
 
-void Front::requestRefused(RefusalReason Reason) { m_OnRefused(Reason); }
+void Frontend::requestRefused(RefusalReason Reason) { m_OnRefused(Reason); }
 
-void Front::connectionClosed(CallerConnection &Connection) {
+void Frontend::connectionClosed(CallerConnection &Connection) {
   auto Node = m_Connections.extract(&Connection);
   m_ClosedConnections.push_back(std::move(Node.mapped()));
-  if (!m_CleanupTimer.running())
+  if (!m_CleanupTimer.isRunning())
     m_CleanupTimer.start(Duration::zero(),
                          [this] { m_ClosedConnections.clear(); });
 }
 
-void Front::closeIdle() {
+void Frontend::closeIdleConnections() {
   std::vector<CallerConnection *> All;
   All.reserve(m_Connections.size());
   for (const auto &[Key, Owned] : m_Connections)
@@ -89,16 +89,16 @@
     Connection->closeIfIdle();
 }
 
-std::size_t Front::unfinished() const {
+std::size_t Frontend::unansweredRequests() const {
   return static_cast<std::size_t>(
       std::ranges::count_if(m_Connections, [](const auto &Entry) {
-        return Entry.second->answering();
+        return Entry.second->isAnswering();
       }));
 }
 
-std::size_t Front::open() const {
+std::size_t Frontend::openRequests() const {
   return static_cast<std::size_t>(std::ranges::count_if(
-      m_Connections, [](const auto &Entry) { return Entry.second->busy(); }));
+      m_Connections, [](const auto &Entry) { return Entry.second->isBusy(); }));
 }
 
 } // namespace crowstep
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -12,7 +12,7 @@
 
 namespace crowstep {
 
-class Front final : public SocketListener, public CallerConnectionOwner {
+class Frontend final : public SocketListener, public CallerConnectionOwner {
 public:
   /// Handles requests that were received in full and within the limits.
   using Handler = std::function<void(IncomingRequest Request,
@@ -21,46 +21,46 @@
   /// Called for each request that was refused while it was being received.
   using RefusedHandler = std::function<void(RefusalReason)>;
 
-  Front(const ArrivalLimits &Limits, RefusedHandler OnRefused,
-        Scheduler &Timers);
-  ~Front() override;
-  Front(const Front &) = delete;
-  Front &operator=(const Front &) = delete;
+  Frontend(const ReceiveLimits &Limits, RefusedHandler OnRefused,
+           Scheduler &Timers);
+  ~Frontend() override;
+  Frontend(const Frontend &) = delete;
+  Frontend &operator=(const Frontend &) = delete;
 
   /// Starts to serve. \throws ListenError.
   void listen(const Address &ListenAddress, Handler OnRequest);
 
   /// Replaces the limits; they apply to later checks and timeouts.
-  void setLimits(const ArrivalLimits &Limits) { m_Limits = Limits; }
+  void setLimits(const ReceiveLimits &Limits) { m_Limits = Limits; }
 
   /// Accepts no further connections; open ones continue.
   void stopListening();
 
   /// Closes the connections that wait for their next request. A request that
   /// arrives during the close is not read, and its caller sees a reset.
-  void closeIdle();
+  void closeIdleConnections();
 
   /// Returns on how many connections an answer, which may be a refusal, is
   /// pending or not yet written in full.
-  [[nodiscard]] std::size_t unfinished() const;
+  [[nodiscard]] std::size_t unansweredRequests() const;
 
   /// Like unansweredRequests(), with requests that are partly received.
-  [[nodiscard]] std::size_t open() const;
+  [[nodiscard]] std::size_t openRequests() const;
 
 private:
   void socketReady(SocketEvents Events) override;
 
-  [[nodiscard]] const ArrivalLimits &limits() const override {
+  [[nodiscard]] const ReceiveLimits &limits() const override {
     return m_Limits;
   }
-  void requestArrived(IncomingRequest Request,
-                      std::unique_ptr<Caller> From) override;
+  void requestReceived(IncomingRequest Request,
+                       std::unique_ptr<Caller> From) override;
   void requestRefused(RefusalReason Reason) override;
   void connectionClosed(CallerConnection &Connection) override;
 
   void pauseAccepting();
 
-  ArrivalLimits m_Limits;     ///< See setLimits().
+  ReceiveLimits m_Limits;     ///< See setLimits().
   RefusedHandler m_OnRefused; ///< Never empty.
   Scheduler &m_Timers;        ///< Outlives this object.
   Handler m_Handler;          ///< See listen().
--- a/src/http/header_list.cpp
+++ b/src/http/header_list.cpp
@@ -28,7 +28,7 @@
       Item.remove_prefix(1);
     while (!Item.empty() && Item.back() == ' ')
       Item.remove_suffix(1);
-    if (sameHeader(Item, Name))
+    if (equalsIgnoreCase(Item, Name))
       return true;
     List.remove_prefix(std::min(Comma + 1, List.size()));
   }
@@ -36,20 +36,20 @@
 }
 
 bool isEndToEnd(const HeaderList &All, const HeaderField &Field) {
-  if (sameHeader(Field.m_Name, "Content-Length"))
+  if (equalsIgnoreCase(Field.m_Name, "Content-Length"))
     return false;
   for (const std::string_view Name : HopByHopHeaders)
-    if (sameHeader(Field.m_Name, Name))
+    if (equalsIgnoreCase(Field.m_Name, Name))
       return false;
   return std::none_of(All.begin(), All.end(), [&](const HeaderField &Other) {
-    return sameHeader(Other.m_Name, "Connection") &&
+    return equalsIgnoreCase(Other.m_Name, "Connection") &&
            listContains(Other.m_Value, Field.m_Name);
   });
 }
 
 } // namespace
 
-bool sameHeader(std::string_view Left, std::string_view Right) {
+bool equalsIgnoreCase(std::string_view Left, std::string_view Right) {
   return std::equal(Left.begin(), Left.end(), Right.begin(), Right.end(),
                     [](char A, char B) { return toLower(A) == toLower(B); });
 }
@@ -57,7 +57,7 @@
 const std::string *findHeader(const HeaderList &Headers,
                               std::string_view Name) {
   for (const HeaderField &Field : Headers)
-    if (sameHeader(Field.m_Name, Name))
+    if (equalsIgnoreCase(Field.m_Name, Name))
       return &Field.m_Value;
   return nullptr;
 }
@@ -65,7 +65,7 @@
 std::size_t countHeaders(const HeaderList &Headers, std::string_view Name) {
   return static_cast<std::size_t>(std::count_if(
       Headers.begin(), Headers.end(), [&](const HeaderField &Field) {
-        return sameHeader(Field.m_Name, Name);
+        return equalsIgnoreCase(Field.m_Name, Name);
       }));
 }
 
--- a/src/http/header_list.h
+++ b/src/http/header_list.h
@@ -21,7 +21,7 @@
 using HeaderList = std::vector<HeaderField>;
 
 /// Compares header names, or values that are tokens.
-bool sameHeader(std::string_view Left, std::string_view Right);
+bool equalsIgnoreCase(std::string_view Left, std::string_view Right);
 
 /// Returns the first header called \p Name, or null.
 const std::string *findHeader(const HeaderList &Headers, std::string_view Name);
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -11,9 +11,9 @@
 public:
   Exchange(HttpClient &Client, Duration Timeout, Done OnDone)
       : m_Client(Client), m_OnDone(std::move(OnDone)),
-        m_Deadline(Client.m_Clock.fresh() + Timeout) {}
+        m_Deadline(Client.m_Clock.readNow() + Timeout) {}
 
-  void send(const UpstreamSend &Request) {
+  void send(const UpstreamRequest &Request) {
     m_Call = m_Client.m_UpstreamClient.send(Request, *this);
   }
 
@@ -41,8 +41,8 @@
   [[nodiscard]] HttpFailure failureOf(TransportEnd End) const {
     if (End == TransportEnd::NotSent)
       return HttpFailure::NotSent;
-    return m_Client.m_Clock.fresh() >= m_Deadline ? HttpFailure::TimedOut
-                                                  : HttpFailure::NoAnswer;
+    return m_Client.m_Clock.readNow() >= m_Deadline ? HttpFailure::TimedOut
+                                                    : HttpFailure::NoAnswer;
   }
 
   HttpClient &m_Client;                 ///< Outlives the call.
@@ -56,8 +56,8 @@
 HttpClient::~HttpClient() = default;
 
 void HttpClient::call(const HttpCall &Call, Done OnDone) {
-  UpstreamSend Request;
-  Request.m_Where = Call.m_Where;
+  UpstreamRequest Request;
+  Request.m_Address = Call.m_Address;
   Request.m_Method = Call.m_Method;
   Request.m_Path = Call.m_Path;
   Request.m_Body = Call.m_Body;
@@ -65,10 +65,10 @@
     Request.m_Headers.push_back({"Content-Type", "application/json"});
   // These calls are reads or conditional writes, so they can be sent twice.
   Request.m_Repeatable = true;
-  Request.m_SendAgain = true;
-  Request.m_SendBefore = TimePoint::max();
-  Request.m_ConnectLimit = Call.m_ConnectLimit;
-  Request.m_AnswerLimit = Call.m_Timeout;
+  Request.m_RetryStaleConnection = true;
+  Request.m_SendDeadline = TimePoint::max();
+  Request.m_ConnectTimeout = Call.m_ConnectTimeout;
+  Request.m_AnswerTimeout = Call.m_Timeout;
   auto NewExchange =
       std::make_unique<Exchange>(*this, Call.m_Timeout, std::move(OnDone));
   Exchange &Started = *NewExchange;
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -35,18 +35,19 @@
 /// One call.
 struct HttpCall {
   std::string m_Method = "GET";                 ///< HTTP method.
-  Address m_Where;                              ///< Of the server.
+  Address m_Address;                            ///< Of the server.
   std::string m_Path;                           ///< Path and query, escaped.
   std::string m_Body;                           ///< JSON, or empty.
   Duration m_Timeout = std::chrono::seconds(1); ///< For the whole call.
-  Duration m_ConnectLimit{}; ///< For the connection; 0: only m_Timeout applies.
+  Duration
+      m_ConnectTimeout{}; ///< For the connection; 0: only m_Timeout applies.
 };
 
 /// Interface for HTTP calls; mocked in tests.
-class HttpCaller {
+class HttpClientInterface {
 public:
   using Done = std::function<void(HttpResult)>;
-  virtual ~HttpCaller() = default;
+  virtual ~HttpClientInterface() = default;
 
   /// Starts a call; \p OnDone runs exactly once, never from within call().
   virtual void call(const HttpCall &Call, Done OnDone) = 0;
@@ -54,7 +55,7 @@
 
 /// HttpClientInterface over upstream calls. Its destructor cancels open calls,
 /// whose callbacks then don't run.
-class HttpClient final : public HttpCaller {
+class HttpClient final : public HttpClientInterface {
 public:
   HttpClient();
   ~HttpClient() override;
@@ -68,7 +69,7 @@
 
   LoopClock m_Clock;                   ///< Of the loop.
   LoopScheduler m_Timers;              ///< Of the loop.
-  HttpUpstreamCaller m_UpstreamClient; ///< Sends the calls.
+  HttpUpstreamClient m_UpstreamClient; ///< Sends the calls.
   std::unordered_map<Exchange *, std::unique_ptr<Exchange>>
       m_Exchanges; ///< Open calls.
 };
--- a/src/http/keep_alive.cpp
+++ b/src/http/keep_alive.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void probeConnection(GSocket *Socket) {
+void enableKeepAlive(GSocket *Socket) {
   g_socket_set_keepalive(Socket, 1);
   // If an option is rejected, the kernel's default applies: slower detection.
   g_socket_set_option(Socket, IPPROTO_TCP, TCP_KEEPIDLE, ProbeAfterSeconds,
--- a/src/http/keep_alive.h
+++ b/src/http/keep_alive.h
@@ -14,7 +14,7 @@
 /// Probes start after one second of silence; two of them, one second apart,
 /// detect the failure within three seconds, less than any bound on the delay of
 /// updates.
-void probeConnection(GSocket *Socket);
+void enableKeepAlive(GSocket *Socket);
 
 } // namespace crowstep
 
--- a/src/http/request_parser.cpp
+++ b/src/http/request_parser.cpp
@@ -52,7 +52,8 @@
 }
 
 std::size_t RequestParser::feed(std::string_view Bytes) {
-  if (m_State == ArrivalState::Complete || m_State == ArrivalState::Invalid)
+  if (m_State == RequestParseState::Complete ||
+      m_State == RequestParseState::Invalid)
     return 0;
   const std::size_t Consumed =
       http_parser_execute(&m_Parser, &callbacks(), Bytes.data(), Bytes.size());
@@ -61,15 +62,15 @@
     http_parser_pause(&m_Parser, 0);
   else if (Error != HPE_OK || Consumed < Bytes.size())
     // http_parser stops early without an error at a protocol upgrade.
-    m_State = ArrivalState::Invalid;
+    m_State = RequestParseState::Invalid;
   return Consumed;
 }
 
-bool RequestParser::headTooLarge() const {
+bool RequestParser::isHeadTooLarge() const {
   return HTTP_PARSER_ERRNO(&m_Parser) == HPE_HEADER_OVERFLOW;
 }
 
-bool RequestParser::framingUnclear() const {
+bool RequestParser::hasInvalidFraming() const {
   switch (HTTP_PARSER_ERRNO(&m_Parser)) {
   case HPE_UNEXPECTED_CONTENT_LENGTH:
   case HPE_INVALID_CONTENT_LENGTH:
@@ -82,12 +83,12 @@
   }
 }
 
-bool RequestParser::takesChunks() const {
+bool RequestParser::acceptsChunked() const {
   return m_Parser.http_major == 1 && m_Parser.http_minor >= 1;
 }
 
 int RequestParser::onMessageBegin(http_parser *Parser) {
-  ownerOf(Parser).m_State = ArrivalState::Head;
+  ownerOf(Parser).m_State = RequestParseState::Head;
   return 0;
 }
 
@@ -99,7 +100,7 @@
 int RequestParser::onHeaderField(http_parser *Parser, const char *At,
                                  size_t Size) {
   RequestParser &Self = ownerOf(Parser);
-  if (Self.m_State == ArrivalState::Head) // Trailers are not forwarded.
+  if (Self.m_State == RequestParseState::Head) // Trailers are not forwarded.
     Self.m_HeaderCollector.appendName({At, Size});
   return 0;
 }
@@ -107,7 +108,7 @@
 int RequestParser::onHeaderValue(http_parser *Parser, const char *At,
                                  size_t Size) {
   RequestParser &Self = ownerOf(Parser);
-  if (Self.m_State == ArrivalState::Head)
+  if (Self.m_State == RequestParseState::Head)
     Self.m_HeaderCollector.appendValue({At, Size});
   return 0;
 }
@@ -122,7 +123,7 @@
   if (m_Parser.content_length != std::numeric_limits<std::uint64_t>::max())
     m_ContentLength = m_Parser.content_length;
   m_KeepAlive = http_should_keep_alive(&m_Parser) != 0;
-  m_State = ArrivalState::Body;
+  m_State = RequestParseState::Body;
   return true;
 }
 
@@ -141,7 +142,7 @@
 }
 
 int RequestParser::onMessageComplete(http_parser *Parser) {
-  ownerOf(Parser).m_State = ArrivalState::Complete;
+  ownerOf(Parser).m_State = RequestParseState::Complete;
   http_parser_pause(Parser, 1);
   return 0;
 }
--- a/src/http/request_parser.h
+++ b/src/http/request_parser.h
@@ -20,12 +20,12 @@
 };
 
 /// Progress of a request.
-enum class ArrivalState : std::uint8_t {
-  Nothing,  ///< No byte received.
-  Head,     ///< Part of the head received.
-  Body,     ///< Head received; the body is incomplete.
-  Complete, ///< Received in full.
-  Invalid,  ///< Not valid HTTP; later bytes can't be parsed.
+enum class RequestParseState : std::uint8_t {
+  NotStarted, ///< No byte received.
+  Head,       ///< Part of the head received.
+  Body,       ///< Head received; the body is incomplete.
+  Complete,   ///< Received in full.
+  Invalid,    ///< Not valid HTTP; later bytes can't be parsed.
 };
 
 class RequestParser {
@@ -38,28 +38,28 @@
   /// of bytes consumed; the caller passes the rest to the next feed().
   std::size_t feed(std::string_view Bytes);
 
-  [[nodiscard]] ArrivalState state() const { return m_State; }
+  [[nodiscard]] RequestParseState state() const { return m_State; }
 
   /// Returns the request, whose body may be incomplete.
   [[nodiscard]] const IncomingRequest &request() const { return m_Request; }
   [[nodiscard]] IncomingRequest takeRequest() { return std::move(m_Request); }
 
   /// Returns the Content-Length, or 0 if the head states none.
-  [[nodiscard]] std::uint64_t statedLength() const { return m_ContentLength; }
+  [[nodiscard]] std::uint64_t contentLength() const { return m_ContentLength; }
 
   /// Returns whether the head was rejected as too long.
-  [[nodiscard]] bool headTooLarge() const;
+  [[nodiscard]] bool isHeadTooLarge() const;
 
   /// Returns whether the request was rejected because its headers, or the
   /// length of its body, could be read in different ways.
-  [[nodiscard]] bool framingUnclear() const;
+  [[nodiscard]] bool hasInvalidFraming() const;
 
   /// Returns whether the caller accepts chunked encoding (HTTP/1.1 or
   /// later 1.x).
-  [[nodiscard]] bool takesChunks() const;
+  [[nodiscard]] bool acceptsChunked() const;
 
   /// Returns whether the caller asks to keep the connection open.
-  [[nodiscard]] bool wantsToKeepConnection() const { return m_KeepAlive; }
+  [[nodiscard]] bool wantsKeepAlive() const { return m_KeepAlive; }
 
 private:
   static int onMessageBegin(http_parser *Parser);
@@ -72,12 +72,13 @@
   static const http_parser_settings &callbacks();
   bool processHead();
 
-  http_parser m_Parser{};                       ///< Points back to this object.
-  IncomingRequest m_Request;                    ///< Received so far.
-  HeaderCollector m_HeaderCollector;            ///< Of the head.
-  bool m_KeepAlive = false;                     ///< See wantsKeepAlive().
-  std::uint64_t m_ContentLength = 0;            ///< See contentLength().
-  ArrivalState m_State = ArrivalState::Nothing; ///< Never goes back.
+  http_parser m_Parser{};            ///< Points back to this object.
+  IncomingRequest m_Request;         ///< Received so far.
+  HeaderCollector m_HeaderCollector; ///< Of the head.
+  bool m_KeepAlive = false;          ///< See wantsKeepAlive().
+  std::uint64_t m_ContentLength = 0; ///< See contentLength().
+  RequestParseState m_State =
+      RequestParseState::NotStarted; ///< Never goes back.
 };
 
 } // namespace crowstep
--- a/src/http/socket_state.cpp
+++ b/src/http/socket_state.cpp
@@ -10,7 +10,7 @@
   return Error == EAGAIN || Error == EWOULDBLOCK || Error == EINTR;
 }
 
-bool closedByPeer(GSocket *Socket) {
+bool isClosedByPeer(GSocket *Socket) {
   pollfd Descriptor = {g_socket_get_fd(Socket), POLLRDHUP, 0};
   return poll(&Descriptor, 1, 0) > 0;
 }
--- a/src/http/socket_state.h
+++ b/src/http/socket_state.h
@@ -8,10 +8,10 @@
 namespace crowstep {
 
 /// Deleter that drops the reference to a socket.
-struct SocketRelease {
+struct SocketDeleter {
   void operator()(GSocket *Socket) const { g_object_unref(Socket); }
 };
-using SocketPtr = std::unique_ptr<GSocket, SocketRelease>;
+using SocketPtr = std::unique_ptr<GSocket, SocketDeleter>;
 
 /// Returns whether a call that failed with \p Error can be tried again later:
 /// it would have blocked, or was interrupted.
@@ -19,7 +19,7 @@
 
 /// Returns whether the peer has closed its sending side, or the connection has
 /// failed.
-bool closedByPeer(GSocket *Socket);
+bool isClosedByPeer(GSocket *Socket);
 
 } // namespace crowstep
 
--- a/src/http/sse_splitter.h
+++ b/src/http/sse_splitter.h
@@ -25,7 +25,7 @@
   std::vector<SseEvent> feed(std::string_view Bytes);
 
   /// Returns whether part of an event has been received.
-  [[nodiscard]] bool midEvent() const { return !m_Partial.empty(); }
+  [[nodiscard]] bool isMidEvent() const { return !m_Partial.empty(); }
 
 private:
   std::string m_Partial; ///< Start of an incomplete event.
--- a/src/http/upstream_call.cpp
+++ b/src/http/upstream_call.cpp
@@ -25,7 +25,7 @@
          Field.m_Value.find_first_of(LineBreaks) == std::string::npos;
 }
 
-std::string requestText(const UpstreamSend &Request) {
+std::string requestText(const UpstreamRequest &Request) {
   if (!isPath(Request.m_Path))
     throw UpstreamUriError(Request.m_Path);
   std::string Result =
@@ -34,7 +34,7 @@
     Result += Name + ": " + Value + "\r\n";
   };
   if (findHeader(Request.m_Headers, "Host") == nullptr)
-    Append("Host", toString(Request.m_Where));
+    Append("Host", toString(Request.m_Address));
   for (const HeaderField &Field : Request.m_Headers)
     if (isOneLine(Field))
       Append(Field.m_Name, Field.m_Value);
@@ -48,7 +48,7 @@
 class HttpUpstreamCall final : public UpstreamCall, public SocketListener {
 public:
   HttpUpstreamCall(const Clock &Time, Scheduler &Timers, IdleConnections &Idle,
-                   const UpstreamSend &Request, UpstreamListener &Listener);
+                   const UpstreamRequest &Request, UpstreamListener &Listener);
   ~HttpUpstreamCall() override {
     if (m_Destroyed != nullptr)
       *m_Destroyed = true;
@@ -57,7 +57,7 @@
   HttpUpstreamCall &operator=(const HttpUpstreamCall &) = delete;
 
   void pauseReading() override;
-  void continueReading() override;
+  void resumeReading() override;
 
 private:
   void socketReady(SocketEvents Events) override;
@@ -108,20 +108,20 @@
 
 HttpUpstreamCall::HttpUpstreamCall(const Clock &Time, Scheduler &Timers,
                                    IdleConnections &Idle,
-                                   const UpstreamSend &Request,
+                                   const UpstreamRequest &Request,
                                    UpstreamListener &Listener)
     : m_Clock(Time), m_IdleConnections(Idle), m_Listener(Listener),
-      m_Address(Request.m_Where), m_SendDeadline(Request.m_SendBefore),
-      m_SendCheck(Request.m_Wanted),
+      m_Address(Request.m_Address), m_SendDeadline(Request.m_SendDeadline),
+      m_SendCheck(Request.m_SendCheck),
       m_CloseAfter(Request.m_CloseAfter && !Request.m_Repeatable),
       m_Output(requestText(Request)), m_Parser(Request.m_Method == "HEAD"),
-      m_RetryStaleConnection(Request.m_SendAgain), m_LastByte(Time.now()),
-      m_SilenceTimer(Timers), m_ConnectTimer(Timers),
-      m_SilenceTimeout(Request.m_SilenceLimit),
-      m_ConnectTimeout(Request.m_ConnectLimit), m_AnswerTimer(Timers) {
+      m_RetryStaleConnection(Request.m_RetryStaleConnection),
+      m_LastByte(Time.now()), m_SilenceTimer(Timers), m_ConnectTimer(Timers),
+      m_SilenceTimeout(Request.m_SilenceTimeout),
+      m_ConnectTimeout(Request.m_ConnectTimeout), m_AnswerTimer(Timers) {
   startSilenceTimer(m_SilenceTimeout);
-  if (Request.m_AnswerLimit > Duration::zero())
-    m_AnswerTimer.start(Request.m_AnswerLimit, [this] { fail(); });
+  if (Request.m_AnswerTimeout > Duration::zero())
+    m_AnswerTimer.start(Request.m_AnswerTimeout, [this] { fail(); });
   // If the upstream closes an idle connection just as a request is sent on it,
   // the outcome of the call is unknown. A new connection that fails to open
   // proves that nothing was sent.
@@ -133,7 +133,7 @@
   else if (maySend())
     startSending();
   else
-    scheduleEnd(TransportEnd::TooOld);
+    scheduleEnd(TransportEnd::Withheld);
 }
 
 void HttpUpstreamCall::open() {
@@ -159,7 +159,7 @@
   updateWatch();
 }
 
-void HttpUpstreamCall::continueReading() {
+void HttpUpstreamCall::resumeReading() {
   m_IsPaused = false;
   m_LastByte = m_Clock.now();
   updateWatch();
@@ -168,7 +168,7 @@
 void HttpUpstreamCall::updateWatch() {
   if (m_Connection == nullptr)
     return;
-  m_Connection->watch().watchFor(
+  m_Connection->watch().setEvents(
       {.m_Read = m_SendStarted && !m_IsConnecting && !m_IsPaused,
        .m_Write = m_IsConnecting ||
                   (m_SendStarted && m_WrittenBytes < m_Output.size())});
@@ -186,7 +186,7 @@
 }
 
 void HttpUpstreamCall::finishConnect() {
-  if (m_Connection->connected() != ConnectOutcome::Stands) {
+  if (m_Connection->connectOutcome() != ConnectOutcome::Connected) {
     fail();
     return;
   }
@@ -195,7 +195,7 @@
   if (maySend())
     startSending();
   else
-    end(TransportEnd::TooOld);
+    end(TransportEnd::Withheld);
 }
 
 /// The last point at which a call can be withheld: the connection is
@@ -203,7 +203,7 @@
 /// suspended between this check and the write; the claim, which no other
 /// instance takes over, ensures that such a call runs at most once.
 bool HttpUpstreamCall::maySend() const {
-  return m_Clock.fresh() < m_SendDeadline && (!m_SendCheck || m_SendCheck());
+  return m_Clock.readNow() < m_SendDeadline && (!m_SendCheck || m_SendCheck());
 }
 
 void HttpUpstreamCall::startSending() {
@@ -226,7 +226,7 @@
 void HttpUpstreamCall::read() {
   std::string_view Bytes;
   const ReadOutcome Outcome = m_Connection->read(Bytes);
-  if (Outcome == ReadOutcome::Nothing)
+  if (Outcome == ReadOutcome::WouldBlock)
     return;
   if (Outcome != ReadOutcome::Bytes && mayRetry()) {
     m_RetryStaleConnection = false;
@@ -239,7 +239,7 @@
   if (Outcome == ReadOutcome::Bytes)
     m_Parser.feed(Bytes);
   else if (Outcome == ReadOutcome::Closed)
-    m_Parser.closed();
+    m_Parser.peerClosed();
   deliver(Outcome == ReadOutcome::Failed);
 }
 
@@ -247,7 +247,7 @@
 void HttpUpstreamCall::deliver(bool Failed) {
   bool Destroyed = false;
   m_Destroyed = &Destroyed;
-  if (m_Parser.headKnown() && !m_HeadDelivered) {
+  if (m_Parser.hasHead() && !m_HeadDelivered) {
     m_HeadDelivered = true;
     m_Listener.upstreamHeaders(m_Parser.status(), m_Parser.headers());
     if (Destroyed)
@@ -271,8 +271,8 @@
 /// next request for the rest of that body.
 void HttpUpstreamCall::keepConnection() {
   const bool SentWhole = m_WrittenBytes == m_Output.size() && !m_WriteFailed;
-  if (SentWhole && m_Parser.mayKeepConnection() && !m_CloseAfter)
-    m_IdleConnections.keep(m_Address, std::move(m_Connection));
+  if (SentWhole && m_Parser.canReuseConnection() && !m_CloseAfter)
+    m_IdleConnections.add(m_Address, std::move(m_Connection));
 }
 
 /// A machine that is down does not answer the SYN. The kernel's own timeout is
@@ -321,7 +321,8 @@
 class HttpUpstreamProbe final : public UpstreamProbe, public SocketListener {
 public:
   HttpUpstreamProbe(Scheduler &Timers, IdleConnections &Idle,
-                    const Address &Upstream, Duration Timeout, ProbeDone OnDone)
+                    const Address &Upstream, Duration Timeout,
+                    ProbeCallback OnDone)
       : m_IdleConnections(Idle), m_Address(Upstream),
         m_OnDone(std::move(OnDone)), m_Timer(Timers) {
     auto Opened = UpstreamConnection::open(Upstream, *this);
@@ -332,7 +333,7 @@
     }
     m_Connection =
         std::get<std::unique_ptr<UpstreamConnection>>(std::move(Opened));
-    m_Connection->watch().watchFor({.m_Write = true});
+    m_Connection->watch().setEvents({.m_Write = true});
     m_Timer.start(Timeout, [this] { m_OnDone(ConnectOutcome::Failed); });
   }
 
@@ -340,9 +341,9 @@
   /// The callback may destroy the probe, so it must come last.
   void socketReady(SocketEvents) override {
     m_Timer.stop();
-    const ConnectOutcome Result = m_Connection->connected();
-    if (Result == ConnectOutcome::Stands)
-      m_IdleConnections.keep(m_Address, std::move(m_Connection));
+    const ConnectOutcome Result = m_Connection->connectOutcome();
+    if (Result == ConnectOutcome::Connected)
+      m_IdleConnections.add(m_Address, std::move(m_Connection));
     else
       m_Connection.reset();
     m_OnDone(Result);
@@ -350,7 +351,7 @@
 
   IdleConnections &m_IdleConnections; ///< Outlives the probe.
   Address m_Address;                  ///< Of the upstream.
-  ProbeDone m_OnDone;                 ///< Never empty.
+  ProbeCallback m_OnDone;             ///< Never empty.
   Timer m_Timer; ///< For the timeout, or an immediate failure.
   std::unique_ptr<UpstreamConnection> m_Connection; ///< Null when done.
 };
@@ -358,14 +359,14 @@
 } // namespace
 
 std::unique_ptr<UpstreamProbe>
-HttpUpstreamCaller::probe(const Address &Upstream, Duration Timeout,
-                          ProbeDone OnDone) {
+HttpUpstreamClient::probe(const Address &Upstream, Duration Timeout,
+                          ProbeCallback OnDone) {
   return std::make_unique<HttpUpstreamProbe>(
       m_Timers, m_IdleConnections, Upstream, Timeout, std::move(OnDone));
 }
 
 std::unique_ptr<UpstreamCall>
-HttpUpstreamCaller::send(const UpstreamSend &Request,
+HttpUpstreamClient::send(const UpstreamRequest &Request,
                          UpstreamListener &Listener) {
   return std::make_unique<HttpUpstreamCall>(
       m_Clock, m_Timers, m_IdleConnections, Request, Listener);
--- a/src/http/upstream_call.h
+++ b/src/http/upstream_call.h
@@ -19,26 +19,26 @@
 enum class TransportEnd : std::uint8_t {
   Complete, ///< The answer was received in full.
   NotSent,  ///< No connection; no byte was sent.
-  TooOld,   ///< Stopped by the last check; no byte was sent.
+  Withheld, ///< Stopped by the last check; no byte was sent.
   Broken,   ///< Closed, reset or timed out; maybe sent.
 };
 
 /// A request to an upstream.
-struct UpstreamSend {
-  Address m_Where;                ///< Of the upstream's server.
-  std::string m_Method = "POST";  ///< HTTP method.
-  std::string m_Path;             ///< Path and query, percent-encoded.
-  HeaderList m_Headers;           ///< Without those that frame the body.
-  std::string m_Body;             ///< Complete.
-  bool m_Repeatable = false;      ///< False: always on a new connection.
-  bool m_CloseAfter = false;      ///< Ask the upstream to close the connection.
-  TimePoint m_SendBefore;         ///< Last check, against Clock::fresh().
-  std::function<bool()> m_Wanted; ///< Part of the last check; may be empty.
-  Duration m_SilenceLimit{};      ///< Between two received bytes; 0: none.
-  Duration m_ConnectLimit{};      ///< For the connection; 0: none.
-  Duration m_AnswerLimit{};       ///< For the whole call; 0: none.
-  bool m_SendAgain = false;       ///< Once, if a reused connection fails
-                                  ///< before a byte of the answer.
+struct UpstreamRequest {
+  Address m_Address;             ///< Of the upstream's server.
+  std::string m_Method = "POST"; ///< HTTP method.
+  std::string m_Path;            ///< Path and query, percent-encoded.
+  HeaderList m_Headers;          ///< Without those that frame the body.
+  std::string m_Body;            ///< Complete.
+  bool m_Repeatable = false;     ///< False: always on a new connection.
+  bool m_CloseAfter = false;     ///< Ask the upstream to close the connection.
+  TimePoint m_SendDeadline;      ///< Last check, against Clock::fresh().
+  std::function<bool()> m_SendCheck; ///< Part of the last check; may be empty.
+  Duration m_SilenceTimeout{};       ///< Between two received bytes; 0: none.
+  Duration m_ConnectTimeout{};       ///< For the connection; 0: none.
+  Duration m_AnswerTimeout{};        ///< For the whole call; 0: none.
+  bool m_RetryStaleConnection = false; ///< Once, if a reused connection fails
+                                       ///< before a byte of the answer.
 };
 
 /// Receives the events of one call; none follow upstreamEnded() or the
@@ -57,15 +57,15 @@
   virtual ~UpstreamCall() = default;
   /// Pause and resume reading, for a caller that reads slowly.
   virtual void pauseReading() = 0;
-  virtual void continueReading() = 0;
+  virtual void resumeReading() = 0;
 };
 
 /// Interface that starts calls; mocked in tests.
-class UpstreamCaller {
+class UpstreamClient {
 public:
-  virtual ~UpstreamCaller() = default;
+  virtual ~UpstreamClient() = default;
   /// \p Listener outlives the call and is not called from within send().
-  virtual std::unique_ptr<UpstreamCall> send(const UpstreamSend &Request,
+  virtual std::unique_ptr<UpstreamCall> send(const UpstreamRequest &Request,
                                              UpstreamListener &Listener) = 0;
 };
 
@@ -75,7 +75,7 @@
   virtual ~UpstreamProbe() = default;
 };
 
-using ProbeDone = std::function<void(ConnectOutcome)>;
+using ProbeCallback = std::function<void(ConnectOutcome)>;
 
 /// Checks whether an upstream accepts connections; mocked in tests.
 class UpstreamProber {
@@ -83,24 +83,25 @@
   virtual ~UpstreamProber() = default;
   /// \p OnDone runs once, not within probe(), and may destroy the probe.
   virtual std::unique_ptr<UpstreamProbe>
-  probe(const Address &Upstream, Duration Timeout, ProbeDone OnDone) = 0;
+  probe(const Address &Upstream, Duration Timeout, ProbeCallback OnDone) = 0;
 };
 
 /// Calls and probes over HTTP/1.1; outlives them.
-class HttpUpstreamCaller final : public UpstreamCaller, public UpstreamProber {
+class HttpUpstreamClient final : public UpstreamClient, public UpstreamProber {
 public:
-  HttpUpstreamCaller(const Clock &Time, Scheduler &Timers)
+  HttpUpstreamClient(const Clock &Time, Scheduler &Timers)
       : m_Clock(Time), m_Timers(Timers), m_IdleConnections(Time, Timers) {}
-  HttpUpstreamCaller(const HttpUpstreamCaller &) = delete;
-  HttpUpstreamCaller &operator=(const HttpUpstreamCaller &) = delete;
+  HttpUpstreamClient(const HttpUpstreamClient &) = delete;
+  HttpUpstreamClient &operator=(const HttpUpstreamClient &) = delete;
 
   /// \throws UpstreamUriError for a path that can't be sent.
-  std::unique_ptr<UpstreamCall> send(const UpstreamSend &Request,
+  std::unique_ptr<UpstreamCall> send(const UpstreamRequest &Request,
                                      UpstreamListener &Listener) override;
 
   /// An established connection is kept for the next call.
-  std::unique_ptr<UpstreamProbe>
-  probe(const Address &Upstream, Duration Timeout, ProbeDone OnDone) override;
+  std::unique_ptr<UpstreamProbe> probe(const Address &Upstream,
+                                       Duration Timeout,
+                                       ProbeCallback OnDone) override;
 
 private:
   const Clock &m_Clock;              ///< Outlives this object.
--- a/src/http/upstream_connection.cpp
+++ b/src/http/upstream_connection.cpp
@@ -31,7 +31,7 @@
 /// Returns the outcome for \p Failure, which may be null, and frees it.
 ConnectOutcome outcomeOf(GError *Failure) {
   if (Failure == nullptr)
-    return ConnectOutcome::Stands;
+    return ConnectOutcome::Connected;
   const bool Refused =
       g_error_matches(Failure, G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED) != 0;
   g_error_free(Failure);
@@ -59,9 +59,9 @@
     return ConnectOutcome::Failed;
   g_socket_set_blocking(Socket.get(), 0);
   g_socket_set_option(Socket.get(), IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
-  probeConnection(Socket.get());
+  enableKeepAlive(Socket.get());
   if (const ConnectOutcome Outcome = beginConnecting(Socket.get(), Upstream);
-      Outcome != ConnectOutcome::Stands)
+      Outcome != ConnectOutcome::Connected)
     return Outcome;
   return std::unique_ptr<UpstreamConnection>(
       new UpstreamConnection(std::move(Socket), Listener));
@@ -72,7 +72,7 @@
     : m_Socket(std::move(Socket)), m_Watch(descriptor(), Listener) {}
 
 UpstreamConnection::~UpstreamConnection() {
-  m_Watch.watchFor({});
+  m_Watch.setEvents({});
   g_socket_close(m_Socket.get(), nullptr);
 }
 
@@ -80,7 +80,7 @@
   return g_socket_get_fd(m_Socket.get());
 }
 
-ConnectOutcome UpstreamConnection::connected() {
+ConnectOutcome UpstreamConnection::connectOutcome() {
   GError *Failure = nullptr;
   g_socket_check_connect_result(m_Socket.get(), &Failure);
   return outcomeOf(Failure);
@@ -99,30 +99,30 @@
   const ssize_t Size =
       recv(descriptor(), Buffer.data(), Buffer.size(), MSG_DONTWAIT);
   if (Size < 0)
-    return wouldBlock(errno) ? ReadOutcome::Nothing : ReadOutcome::Failed;
+    return wouldBlock(errno) ? ReadOutcome::WouldBlock : ReadOutcome::Failed;
   if (Size == 0)
     return ReadOutcome::Closed;
   Bytes = {Buffer.data(), static_cast<std::size_t>(Size)};
   return ReadOutcome::Bytes;
 }
 
-bool UpstreamConnection::quiet() {
+bool UpstreamConnection::isIdle() {
   char Byte = 0;
   return recv(descriptor(), &Byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
          wouldBlock(errno);
 }
 
-void IdleConnections::keep(const Address &Upstream,
-                           std::unique_ptr<UpstreamConnection> Connection) {
+void IdleConnections::add(const Address &Upstream,
+                          std::unique_ptr<UpstreamConnection> Connection) {
   auto Entry = std::make_unique<IdleConnection>();
   Entry->m_Pool = this;
   Entry->m_Address = Upstream;
   Entry->m_ExpiresAt = m_Clock.now() + IdleTimeout;
   Entry->m_Connection = std::move(Connection);
   Entry->m_Connection->watch().setListener(*Entry);
-  Entry->m_Connection->watch().watchFor({.m_Read = true});
+  Entry->m_Connection->watch().setEvents({.m_Read = true});
   m_ByUpstream[Upstream].push_back(std::move(Entry));
-  if (!m_ExpiryTimer.running())
+  if (!m_ExpiryTimer.isRunning())
     m_ExpiryTimer.start(IdleTimeout, [this] { closeExpired(); });
 }
 
@@ -137,7 +137,7 @@
     Result = std::move(Entries.back()->m_Connection);
     Entries.pop_back();
     // The event loop may not have reported yet that the peer has closed it.
-    if (!Result->quiet())
+    if (!Result->isIdle())
       Result.reset();
   }
   if (Entries.empty())
--- a/src/http/upstream_connection.h
+++ b/src/http/upstream_connection.h
@@ -18,17 +18,17 @@
 
 /// Result of a read.
 enum class ReadOutcome : std::uint8_t {
-  Bytes,   ///< Bytes were read.
-  Nothing, ///< No bytes yet.
-  Closed,  ///< The peer has closed the connection, without a reset.
-  Failed,  ///< The connection has failed.
+  Bytes,      ///< Bytes were read.
+  WouldBlock, ///< No bytes yet.
+  Closed,     ///< The peer has closed the connection, without a reset.
+  Failed,     ///< The connection has failed.
 };
 
 /// Result of a connection attempt.
 enum class ConnectOutcome : std::uint8_t {
-  Stands,  ///< Established, or still in progress.
-  Refused, ///< The machine is up, but nothing listens on the port.
-  Failed,  ///< Any other failure.
+  Connected, ///< Established, or still in progress.
+  Refused,   ///< The machine is up, but nothing listens on the port.
+  Failed,    ///< Any other failure.
 };
 
 /// One TCP connection; destroying it closes it.
@@ -44,7 +44,7 @@
   UpstreamConnection &operator=(const UpstreamConnection &) = delete;
 
   /// Returns the result of the attempt; called once the socket is writable.
-  [[nodiscard]] ConnectOutcome connected();
+  [[nodiscard]] ConnectOutcome connectOutcome();
 
   /// Writes what the socket accepts without blocking; returns the number of
   /// bytes, or nullopt if the connection has failed.
@@ -55,7 +55,7 @@
   ReadOutcome read(std::string_view &Bytes);
 
   /// Returns whether the connection is open and has no unread bytes.
-  [[nodiscard]] bool quiet();
+  [[nodiscard]] bool isIdle();
 
   [[nodiscard]] SocketWatch &watch() { return m_Watch; }
 
@@ -77,8 +77,8 @@
 
   /// Keeps a connection until a call takes it, its peer closes it or sends
   /// bytes, or its idle timeout ends.
-  void keep(const Address &Upstream,
-            std::unique_ptr<UpstreamConnection> Connection);
+  void add(const Address &Upstream,
+           std::unique_ptr<UpstreamConnection> Connection);
 
   /// Returns the most recently used connection to \p Upstream, or null.
   std::unique_ptr<UpstreamConnection> take(const Address &Upstream,
--- a/src/knowledge_wire.cpp
+++ b/src/knowledge_wire.cpp
@@ -14,7 +14,7 @@
   Row->ip = Value.m_Address.m_Ip;
   Row->port = Value.m_Address.m_Port;
   Row->zone = Value.m_Zone.m_Name;
-  Row->leaving = Value.m_Leaving;
+  Row->leaving = Value.m_Draining;
   if (const auto *AsEngine = std::get_if<Engine>(&Value.m_Kind)) {
     Row->engine = true;
     Row->slots = AsEngine->m_Slots;
@@ -43,7 +43,7 @@
   Result.m_Service = textOf(Value.service());
   Result.m_Address = {Value.ip(), Value.port()};
   Result.m_Zone.m_Name = textOf(Value.zone());
-  Result.m_Leaving = Value.leaving();
+  Result.m_Draining = Value.leaving();
   if (!Value.engine()) {
     Result.m_Kind = PlainService{Value.slots()};
     return Result;
--- a/src/lease/engine_orders.cpp
+++ b/src/lease/engine_orders.cpp
@@ -52,7 +52,7 @@
 class EngineOrders::Impl {
 public:
   Impl(OrderConfig Config, const Clock &Time, Scheduler &Timers,
-       platform::TableService &Store, HttpCaller &Http, Metrics &Stats)
+       platform::TableService &Store, HttpClientInterface &Http, Metrics &Stats)
       : m_Config(std::move(Config)), m_Clock(Time), m_Store(Store),
         m_HttpClient(Http), m_Core(m_Config.m_Lease),
         m_LoadBucket(m_Config.m_LoadInterval, m_Config.m_LoadBurst, Time.now()),
@@ -86,7 +86,7 @@
   }
 
   void handle(const LeaseEvent &Event) {
-    const LeaseActions Actions = m_Core.handle(m_Clock.fresh(), Event);
+    const LeaseActions Actions = m_Core.handle(m_Clock.readNow(), Event);
     for (const LeaseAction &Action : Actions)
       std::visit([this](const auto &Alternative) { carryOut(Alternative); },
                  Action);
@@ -116,7 +116,7 @@
   }
 
   void carryOut(const WriteLease &Action) {
-    const TimePoint SentAt = m_Clock.fresh();
+    const TimePoint SentAt = m_Clock.readNow();
     m_Store.write(platform::LeaseTableName, {Action.m_Write},
                   guarded<platform::WriteResult>(
                       [this, SentAt](const platform::WriteResult &Result) {
@@ -141,18 +141,18 @@
 
   /// Sends the first order if the lease and the rate limit of loads allow it.
   bool trySendFirst() {
-    const TimePoint Now = m_Clock.fresh();
-    if (!m_Core.mayOrder(Now, m_Config.m_OrderLimit))
+    const TimePoint Now = m_Clock.readNow();
+    if (!m_Core.fencingForOrder(Now, m_Config.m_OrderTimeout))
       return false;
     const bool Load = readsWeights(m_Waiting.front().m_Order.m_Kind);
-    if (Load && !m_LoadBucket.take(Now))
+    if (Load && !m_LoadBucket.tryTake(Now))
       return false;
     PendingOrder Next = std::move(m_Waiting.front());
     m_Waiting.pop_front();
     // Check again with a fresh clock reading as the last step: the process may
     // have been frozen since the check above, and the lease have expired.
     const auto Fencing =
-        m_Core.mayOrder(m_Clock.fresh(), m_Config.m_OrderLimit);
+        m_Core.fencingForOrder(m_Clock.readNow(), m_Config.m_OrderTimeout);
     if (!Fencing) {
       m_Waiting.push_front(std::move(Next));
       return false;
@@ -164,13 +164,13 @@
   void send(PendingOrder Next, FencingNumber Fencing) {
     HttpCall Call;
     Call.m_Method = "POST";
-    Call.m_Where = Next.m_Order.m_Engine;
+    Call.m_Address = Next.m_Order.m_Engine;
     Call.m_Path = "/v1/orders";
     Call.m_Body = json{{"order", nameOf(Next.m_Order.m_Kind)},
                        {"name", Next.m_Order.m_Name},
                        {"fencing", Fencing.value()}}
                       .dump();
-    Call.m_Timeout = m_Config.m_OrderLimit;
+    Call.m_Timeout = m_Config.m_OrderTimeout;
     m_Sent.add();
     ++m_InFlight;
     handle(OrderStarted());
@@ -202,8 +202,9 @@
     } else if (Answer->m_Status == StatusTooManyRequests) {
       m_RateLimited.add();
       const bool HasRetryAfter = Answer->m_RetryAfter > Duration::zero();
-      m_LoadBucket.pause(m_Clock.now() + (HasRetryAfter ? Answer->m_RetryAfter
-                                                        : DefaultRetryAfter));
+      m_LoadBucket.pauseUntil(m_Clock.now() + (HasRetryAfter
+                                                   ? Answer->m_RetryAfter
+                                                   : DefaultRetryAfter));
       m_Waiting.push_front(Sent);
     } else if (Answer->m_Status == StatusOk) {
       Sent.m_OnDone(OrderOutcome::Done);
@@ -213,16 +214,16 @@
     }
   }
 
-  OrderConfig m_Config;            ///< As given.
-  const Clock &m_Clock;            ///< Read anew before each order.
-  platform::TableService &m_Store; ///< Holds the lease.
-  HttpCaller &m_HttpClient;        ///< Sends orders.
-  LeaseCore m_Core;                ///< State machine of the lease.
-  TokenBucket m_LoadBucket;        ///< Limits loads from the weight store.
-  Timer m_Timer;                   ///< Of ticks.
-  Counter &m_Sent;                 ///< Orders sent.
-  Counter &m_Fenced;               ///< Orders rejected for an outdated number.
-  Counter &m_RateLimited;          ///< Orders that got 429 from an engine.
+  OrderConfig m_Config;              ///< As given.
+  const Clock &m_Clock;              ///< Read anew before each order.
+  platform::TableService &m_Store;   ///< Holds the lease.
+  HttpClientInterface &m_HttpClient; ///< Sends orders.
+  LeaseCore m_Core;                  ///< State machine of the lease.
+  TokenBucket m_LoadBucket;          ///< Limits loads from the weight store.
+  Timer m_Timer;                     ///< Of ticks.
+  Counter &m_Sent;                   ///< Orders sent.
+  Counter &m_Fenced;      ///< Orders rejected for an outdated number.
+  Counter &m_RateLimited; ///< Orders that got 429 from an engine.
   std::deque<PendingOrder> m_Waiting; ///< In the order of sending.
   std::size_t m_InFlight = 0;         ///< Sent and not answered.
   bool m_Wanted = false;              ///< As last passed to m_Core.
@@ -232,7 +233,7 @@
 
 EngineOrders::EngineOrders(OrderConfig Config, const Clock &Time,
                            Scheduler &Timers, platform::TableService &Store,
-                           HttpCaller &Http, Metrics &Stats)
+                           HttpClientInterface &Http, Metrics &Stats)
     : m_Impl(std::make_unique<Impl>(std::move(Config), Time, Timers, Store,
                                     Http, Stats)) {}
 
@@ -242,6 +243,8 @@
   m_Impl->order(Order, std::move(OnDone));
 }
 
-std::size_t EngineOrders::pending() const { return m_Impl->pendingCount(); }
+std::size_t EngineOrders::pendingCount() const {
+  return m_Impl->pendingCount();
+}
 
 } // namespace crowstep::lease
--- a/src/lease/engine_orders.h
+++ b/src/lease/engine_orders.h
@@ -40,8 +40,8 @@
 };
 
 struct OrderConfig {
-  LeaseConfig m_Lease;                             ///< Lease on the engines.
-  Duration m_OrderLimit = std::chrono::seconds(2); ///< Of one call.
+  LeaseConfig m_Lease;                               ///< Lease on the engines.
+  Duration m_OrderTimeout = std::chrono::seconds(2); ///< Of one call.
   Duration m_LoadInterval = std::chrono::milliseconds(200); ///< Between loads.
   unsigned m_LoadBurst = 2;                                 ///< Loads at once.
 };
@@ -53,7 +53,8 @@
   using Done = std::function<void(OrderOutcome)>;
 
   EngineOrders(OrderConfig Config, const Clock &Time, Scheduler &Timers,
-               platform::TableService &Store, HttpCaller &Http, Metrics &Stats);
+               platform::TableService &Store, HttpClientInterface &Http,
+               Metrics &Stats);
   ~EngineOrders();
   EngineOrders(const EngineOrders &) = delete;
   EngineOrders &operator=(const EngineOrders &) = delete;
@@ -62,7 +63,7 @@
   void order(const EngineOrder &Order, Done OnDone);
 
   /// Returns how many orders wait or are in flight.
-  [[nodiscard]] std::size_t pending() const;
+  [[nodiscard]] std::size_t pendingCount() const;
 
 private:
   class Impl;
