--- a/src/lease/lease_core.cpp
+++ b/src/lease/lease_core.cpp
@@ -19,7 +19,7 @@
 } // namespace
 
 std::string encodeLease(const LeaseRow &Row) {
-  const auto Length = std::chrono::ceil<milliseconds>(Row.m_Length).count();
+  const auto Length = std::chrono::ceil<milliseconds>(Row.m_Duration).count();
   return json{{"format", LeaseFormat},
               {"holder", Row.m_Holder},
               {"fencing", Row.m_Fencing.value()},
@@ -50,8 +50,8 @@
   return std::move(m_Actions);
 }
 
-std::optional<FencingNumber> LeaseCore::mayOrder(TimePoint Now,
-                                                 Duration Timeout) const {
+std::optional<FencingNumber>
+LeaseCore::fencingForOrder(TimePoint Now, Duration Timeout) const {
   if (!m_Wanted || !isHolder() || Now + Timeout > m_ValidUntil)
     return std::nullopt;
   return m_Row->m_Fencing;
@@ -78,11 +78,11 @@
 /// ends first.
 void LeaseCore::on(const LeaseWritten &Event) {
   m_CallInFlight = false;
-  applyRow(Event.m_Outcome.m_Present);
+  applyRow(Event.m_Outcome.m_CurrentRow);
   if (!Event.m_Outcome.m_Written || !isHolder())
     return;
-  m_ValidUntil = Event.m_SentAt + m_Config.m_Length;
-  m_NextCallAt = Event.m_SentAt + m_Config.m_Length / RenewalsPerDuration;
+  m_ValidUntil = Event.m_SentAt + m_Config.m_Duration;
+  m_NextCallAt = Event.m_SentAt + m_Config.m_Duration / RenewalsPerDuration;
 }
 
 /// The answer to a write may be lost after the write took effect. The retry
@@ -97,7 +97,7 @@
 /// from an older state and fencing numbers repeat. The row tells which; in the
 /// second case the next number must exceed the highest one seen.
 void LeaseCore::on(const LeaseFenced &Event) {
-  m_HighestSeen = std::max(m_HighestSeen, Event.m_Highest);
+  m_HighestSeen = std::max(m_HighestSeen, Event.m_HighestSeen);
   m_ValidUntil = m_Now;
   m_NextCallAt = m_Now;
 }
@@ -138,7 +138,7 @@
   const bool IsFree = m_RowKnown && (!m_Row || m_Row->m_Holder.empty());
   const bool Expired =
       m_RowKnown && m_Row && !isHolder() &&
-      m_Now >= m_RowSeenAt + m_Row->m_Length + m_Config.m_Margin;
+      m_Now >= m_RowSeenAt + m_Row->m_Duration + m_Config.m_Margin;
   if (isHolder() && m_HighestSeen <= m_Row->m_Fencing) {
     write(m_Config.m_Holder, m_Row->m_Fencing);
   } else if (isHolder() || IsFree || Expired) {
@@ -155,7 +155,7 @@
 }
 
 void LeaseCore::write(const HolderId &Holder, FencingNumber Fencing) {
-  const LeaseRow NewRow{{}, Holder, Fencing, m_Config.m_Length};
+  const LeaseRow NewRow{{}, Holder, Fencing, m_Config.m_Duration};
   const platform::RowVersion Expected =
       m_Row ? m_Row->m_Version : platform::RowVersion();
   m_CallInFlight = true;
--- a/src/lease/lease_core.h
+++ b/src/lease/lease_core.h
@@ -23,8 +23,8 @@
   /// Returns the fencing number for an order that ends within \p Timeout, or
   /// none if the lease is not held for that long. \p Now must be a fresh clock
   /// reading, taken as the last step before the order is sent.
-  [[nodiscard]] std::optional<FencingNumber> mayOrder(TimePoint Now,
-                                                      Duration Timeout) const;
+  [[nodiscard]] std::optional<FencingNumber>
+  fencingForOrder(TimePoint Now, Duration Timeout) const;
 
 private:
   void on(const LeaseWanted &Event);
--- a/src/lease/lease_type.h
+++ b/src/lease/lease_type.h
@@ -25,7 +25,8 @@
 struct LeaseConfig {
   std::string m_Key; ///< Of the row in the lease table.
   HolderId m_Holder; ///< This process; never used again by another.
-  Duration m_Length = std::chrono::seconds(6); ///< Validity of a renewal, > 0.
+  Duration m_Duration =
+      std::chrono::seconds(6); ///< Validity of a renewal, > 0.
   /// Allows for clocks that run at different rates.
   Duration m_Margin = std::chrono::milliseconds(500);
   /// Between reads while another process holds the lease.
@@ -37,7 +38,7 @@
   platform::RowVersion m_Version; ///< For conditional writes.
   HolderId m_Holder;              ///< Empty: released.
   FencingNumber m_Fencing;        ///< Of the last holder.
-  Duration m_Length{};            ///< Validity that the holder assumes.
+  Duration m_Duration{};          ///< Validity that the holder assumes.
 
   bool operator==(const LeaseRow &) const = default;
 };
@@ -62,7 +63,7 @@
 /// An upstream rejected the fencing number as outdated: another process holds
 /// the lease, or the table service was restored from an older state.
 struct LeaseFenced {
-  FencingNumber m_Highest; ///< That the upstream has seen; 0: not stated.
+  FencingNumber m_HighestSeen; ///< That the upstream has seen; 0: not stated.
 };
 struct OrderStarted {};
 struct OrderEnded {};
--- a/src/lease/token_bucket.h
+++ b/src/lease/token_bucket.h
@@ -15,7 +15,7 @@
       : m_Interval(Interval), m_Burst(Burst), m_FullAt(Now) {}
 
   /// Takes a token if there is one; returns whether it did.
-  bool take(TimePoint Now) {
+  bool tryTake(TimePoint Now) {
     const TimePoint Start = std::max(m_FullAt, Now);
     if (Now < m_PausedUntil || Start + m_Interval > Now + m_Interval * m_Burst)
       return false;
@@ -24,7 +24,7 @@
   }
 
   /// Hands out no token before \p Until, as the service asked.
-  void pause(TimePoint Until) {
+  void pauseUntil(TimePoint Until) {
     m_PausedUntil = std::max(m_PausedUntil, Until);
   }
 
--- a/src/link/connection.cpp
+++ b/src/link/connection.cpp
@@ -36,9 +36,10 @@
 
 } // namespace
 
-Connection::Connection(ConnectionShared &Shared, LinkId Id,
+Connection::Connection(ConnectionContext &Shared, LinkId Id,
                        const Address &Dialled)
-    : m_Shared(Shared), m_Id(Id), m_Where(Dialled), m_Limit(Shared.m_Timers),
+    : m_Context(Shared), m_Id(Id), m_DialledAddress(Dialled),
+      m_HandshakeTimer(Shared.m_Timers),
       m_Handshake(Shared.m_Config,
                   Dialled == Address() ? Side::Acceptor : Side::Dialer),
       m_Reader(MaxHandshakeFrame) {}
@@ -47,12 +48,12 @@
 
 void Connection::configure(GSocket *Socket) {
   m_Socket = Socket;
-  m_Watch.emplace(g_socket_get_fd(m_Socket), *this);
+  m_SocketWatch.emplace(g_socket_get_fd(m_Socket), *this);
   g_socket_set_blocking(m_Socket, 0);
   // Messages are joined into frames already; Nagle's algorithm would only add
   // delay.
   g_socket_set_option(m_Socket, IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
-  m_Limit.start(m_Shared.m_Config.m_HandshakeLimit, [this] {
+  m_HandshakeTimer.start(m_Context.m_Config.m_HandshakeTimeout, [this] {
     fail(m_Connected ? CloseReason::HandshakeSlow : CloseReason::ConnectFailed);
   });
 }
@@ -62,18 +63,18 @@
   GSocket *Socket = g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM,
                                  G_SOCKET_PROTOCOL_TCP, nullptr);
   if (Socket == nullptr) { // Out of file descriptors.
-    m_Limit.start(Duration::zero(),
-                  [this] { fail(CloseReason::ConnectFailed); });
+    m_HandshakeTimer.start(Duration::zero(),
+                           [this] { fail(CloseReason::ConnectFailed); });
     return;
   }
   configure(Socket);
-  GSocketAddress *Target = socketAddress(m_Where);
+  GSocketAddress *Target = socketAddress(m_DialledAddress);
   g_socket_connect(m_Socket, Target, nullptr, &Failure);
   g_object_unref(Target);
   if (Failure != nullptr &&
       g_error_matches(Failure, G_IO_ERROR, G_IO_ERROR_PENDING) == 0) {
     const CloseReason Reason = connectFailureReason(Failure);
-    m_Limit.start(Duration::zero(), [this, Reason] { fail(Reason); });
+    m_HandshakeTimer.start(Duration::zero(), [this, Reason] { fail(Reason); });
     return;
   }
   g_clear_error(&Failure);
@@ -86,7 +87,7 @@
   startHandshake();
 }
 
-void Connection::connected() {
+void Connection::finishConnect() {
   GError *Failure = nullptr;
   if (g_socket_check_connect_result(m_Socket, &Failure) == 0) {
     fail(connectFailureReason(Failure));
@@ -99,8 +100,8 @@
 
 void Connection::startHandshake() {
   const auto Opening = preamble();
-  m_Queue.insert(m_Queue.end(), Opening.begin(), Opening.end());
-  watchForWriting(m_Blocked);
+  m_SendQueue.insert(m_SendQueue.end(), Opening.begin(), Opening.end());
+  watchForWriting(m_WriteBlocked);
   wire::FrameT First;
   First.hello = std::make_unique<wire::HelloT>(m_Handshake.hello());
   send(First);
@@ -110,10 +111,10 @@
   // The owner may release the connection while it handles one of its frames.
   const auto KeepAlive = shared_from_this();
   if (!m_Connected) {
-    connected();
+    finishConnect();
     return;
   }
-  if (Ready.m_Write && m_Blocked)
+  if (Ready.m_Write && m_WriteBlocked)
     writeQueued();
   if (Ready.m_Read && m_Socket != nullptr)
     readSome();
@@ -126,39 +127,40 @@
       g_socket_receive(m_Socket, reinterpret_cast<gchar *>(Buffer.data()),
                        Buffer.size(), nullptr, &Failure);
   if (Count > 0)
-    takeInput(Bytes(Buffer).first(static_cast<std::size_t>(Count)));
+    processInput(Bytes(Buffer).first(static_cast<std::size_t>(Count)));
   else if (Count == 0 || !wouldBlock(Failure))
     fail(CloseReason::PeerClosed);
 }
 
-void Connection::takeInput(Bytes Input) {
+void Connection::processInput(Bytes Input) {
   while (m_Socket != nullptr) {
     const ReadResult Result = m_Reader.read(Input);
     if (const auto *Rejection = std::get_if<Rejected>(&Result))
-      fail(Rejection->m_Why);
+      fail(Rejection->m_Reason);
     const auto *Received = std::get_if<FrameArrived>(&Result);
     if (Received == nullptr)
       return;
-    takeFrame(*Received);
+    processFrame(*Received);
   }
 }
 
-void Connection::takeFrame(const FrameArrived &Received) {
-  m_Shared.m_In.count(*Received.m_Frame, Received.m_Bytes);
+void Connection::processFrame(const FrameArrived &Received) {
+  m_Context.m_In.count(*Received.m_Frame, Received.m_Bytes);
   if (m_Up)
-    m_Shared.m_Owner.connectionFrame(*this, *Received.m_Frame);
+    m_Context.m_Owner.connectionFrame(*this, *Received.m_Frame);
   else
-    takeStep(m_Handshake.take(*Received.m_Frame));
+    processHandshakeStep(m_Handshake.handleFrame(*Received.m_Frame));
 }
 
-void Connection::takeStep(const HandshakeStep &Step) {
+void Connection::processHandshakeStep(const HandshakeStep &Step) {
   if (const auto *Rejection = std::get_if<Rejected>(&Step)) {
-    fail(Rejection->m_Why);
+    fail(Rejection->m_Reason);
     return;
   }
   const auto *Done = std::get_if<HandshakeDone>(&Step);
-  const auto &Reply =
-      Done != nullptr ? Done->m_Reply : std::get<HandshakeGoesOn>(Step).m_Reply;
+  const auto &Reply = Done != nullptr
+                          ? Done->m_Reply
+                          : std::get<HandshakePending>(Step).m_Reply;
   if (Reply) {
     wire::FrameT Frame;
     Frame.proof = std::make_unique<wire::ProofT>(*Reply);
@@ -167,16 +169,16 @@
   if (Done == nullptr || m_Socket == nullptr)
     return;
   m_Up = true;
-  m_Limit.stop();
-  m_Reader.setMaxFrame(m_Shared.m_Config.m_MaxFrame);
+  m_HandshakeTimer.stop();
+  m_Reader.setMaxFrame(m_Context.m_Config.m_MaxFrameBytes);
   m_Peer = Done->m_Peer;
-  learnPeerAddress();
-  m_Shared.m_Owner.connectionUp(*this);
+  fillPeerAddress();
+  m_Context.m_Owner.connectionUp(*this);
 }
 
 /// A peer that listens on all interfaces can't state its address in its Hello;
 /// the remote address of the connection is used instead.
-void Connection::learnPeerAddress() {
+void Connection::fillPeerAddress() {
   if (m_Peer.m_Address.m_Port == 0 || m_Peer.m_Address.m_Ip != 0)
     return;
   GSocketAddress *Remote = g_socket_get_remote_address(m_Socket, nullptr);
@@ -196,23 +198,24 @@
 }
 
 void Connection::send(const wire::FrameT &Frame) {
-  const Bytes Encoded = appendFrame(Frame, m_Queue);
-  m_Shared.m_Out.count(*wire::GetFrame(Encoded.data()), Encoded);
-  const std::size_t Unwritten = m_Queue.size() - m_Written;
-  if (m_Up && Encoded.size() > m_Shared.m_Config.m_MaxFrame)
+  const Bytes Encoded = appendFrame(Frame, m_SendQueue);
+  m_Context.m_Out.count(*wire::GetFrame(Encoded.data()), Encoded);
+  const std::size_t Unwritten = m_SendQueue.size() - m_Written;
+  if (m_Up && Encoded.size() > m_Context.m_Config.m_MaxFrameBytes)
     fail(CloseReason::FrameTooLarge); // The peer would reject it.
-  else if (Unwritten > m_Shared.m_Config.m_MaxQueued)
+  else if (Unwritten > m_Context.m_Config.m_MaxQueuedBytes)
     fail(CloseReason::Backlog);
-  else if (!m_Blocked)
+  else if (!m_WriteBlocked)
     writeQueued();
 }
 
 void Connection::writeQueued() {
-  while (m_Written < m_Queue.size()) {
+  while (m_Written < m_SendQueue.size()) {
     GError *Failure = nullptr;
     const gssize Count = g_socket_send(
-        m_Socket, reinterpret_cast<const gchar *>(m_Queue.data() + m_Written),
-        m_Queue.size() - m_Written, nullptr, &Failure);
+        m_Socket,
+        reinterpret_cast<const gchar *>(m_SendQueue.data() + m_Written),
+        m_SendQueue.size() - m_Written, nullptr, &Failure);
     if (Count < 0 && wouldBlock(Failure)) {
       watchForWriting(true);
       return;
@@ -223,19 +226,19 @@
     }
     m_Written += static_cast<std::size_t>(Count);
   }
-  m_Queue.clear();
+  m_SendQueue.clear();
   m_Written = 0;
   watchForWriting(false);
 }
 
 void Connection::watchForWriting(bool Blocked) {
-  m_Blocked = Blocked;
-  m_Watch->watchFor({.m_Read = m_Connected, .m_Write = m_Blocked});
+  m_WriteBlocked = Blocked;
+  m_SocketWatch->setEvents({.m_Read = m_Connected, .m_Write = m_WriteBlocked});
 }
 
 void Connection::close() {
-  m_Limit.stop();
-  m_Watch.reset();
+  m_HandshakeTimer.stop();
+  m_SocketWatch.reset();
   if (m_Socket == nullptr)
     return;
   g_socket_close(m_Socket, nullptr);
@@ -246,7 +249,7 @@
 void Connection::fail(CloseReason Reason) {
   const auto KeepAlive = shared_from_this();
   close();
-  m_Shared.m_Owner.connectionFailed(*this, Reason);
+  m_Context.m_Owner.connectionFailed(*this, Reason);
 }
 
 } // namespace crowstep::link
--- a/src/link/connection.h
+++ b/src/link/connection.h
@@ -26,12 +26,12 @@
 };
 
 /// Shared by the connections of one process.
-struct ConnectionShared {
+struct ConnectionContext {
   const LinkConfig &m_Config; ///< Outlives the connections.
   Scheduler &m_Timers;        ///< Outlives the connections.
   ConnectionOwner &m_Owner;   ///< Outlives the connections.
-  FrameAccount m_In;          ///< Counts what is read.
-  FrameAccount m_Out;         ///< Counts what is written.
+  FrameCounters m_In;         ///< Counts what is read.
+  FrameCounters m_Out;        ///< Counts what is written.
 };
 
 /// One connection; it stays closed after its first failure.
@@ -39,7 +39,7 @@
                          public SocketListener {
 public:
   /// \p Dialled is the address to dial, or none for an accepted connection.
-  Connection(ConnectionShared &Shared, LinkId Id, const Address &Dialled);
+  Connection(ConnectionContext &Shared, LinkId Id, const Address &Dialled);
   ~Connection() override;
   Connection(const Connection &) = delete;
   Connection &operator=(const Connection &) = delete;
@@ -61,7 +61,9 @@
   void close();
 
   [[nodiscard]] LinkId id() const { return m_Id; }
-  [[nodiscard]] const Address &dialled() const { return m_Where; }
+  [[nodiscard]] const Address &dialledAddress() const {
+    return m_DialledAddress;
+  }
   [[nodiscard]] bool isUp() const { return m_Up; }
   [[nodiscard]] const Peer &peer() const { return m_Peer; }
 
@@ -69,33 +71,33 @@
   void socketReady(SocketEvents Ready) override;
 
   void configure(GSocket *Socket);
-  void connected();
+  void finishConnect();
   void startHandshake();
   void readSome();
-  void takeInput(Bytes Input);
-  void takeFrame(const FrameArrived &Received);
-  void takeStep(const HandshakeStep &Step);
+  void processInput(Bytes Input);
+  void processFrame(const FrameArrived &Received);
+  void processHandshakeStep(const HandshakeStep &Step);
   void send(const wire::FrameT &Frame);
   void writeQueued();
   void watchForWriting(bool Blocked);
-  void learnPeerAddress();
+  void fillPeerAddress();
   void fail(CloseReason Reason);
 
-  ConnectionShared &m_Shared;  ///< Outlives this.
-  LinkId m_Id;                 ///< Also the id of the link once it is up.
-  Address m_Where;             ///< None if accepted.
-  GSocket *m_Socket = nullptr; ///< Owned; null once closed.
-  std::optional<SocketWatch> m_Watch; ///< Set with m_Socket.
-  bool m_Blocked = false;             ///< Waits until the socket is writable.
-  bool m_Connected = false;           ///< TCP is established.
-  bool m_Up = false;                  ///< The peer is authenticated.
-  Timer m_Limit;                      ///< Runs until m_Up.
-  Handshake m_Handshake;              ///< In use until m_Up.
-  FrameReader m_Reader;               ///< Splits the input into frames.
-  Peer m_Peer;                        ///< Valid once m_Up.
-  wire::FrameT m_Outbox;              ///< Under assembly.
-  std::vector<std::uint8_t> m_Queue;  ///< Encoded frames.
-  std::size_t m_Written = 0;          ///< Bytes of m_SendQueue written.
+  ConnectionContext &m_Context; ///< Outlives this.
+  LinkId m_Id;                  ///< Also the id of the link once it is up.
+  Address m_DialledAddress;     ///< None if accepted.
+  GSocket *m_Socket = nullptr;  ///< Owned; null once closed.
+  std::optional<SocketWatch> m_SocketWatch; ///< Set with m_Socket.
+  bool m_WriteBlocked = false; ///< Waits until the socket is writable.
+  bool m_Connected = false;    ///< TCP is established.
+  bool m_Up = false;           ///< The peer is authenticated.
+  Timer m_HandshakeTimer;      ///< Runs until m_Up.
+  Handshake m_Handshake;       ///< In use until m_Up.
+  FrameReader m_Reader;        ///< Splits the input into frames.
+  Peer m_Peer;                 ///< Valid once m_Up.
+  wire::FrameT m_Outbox;       ///< Under assembly.
+  std::vector<std::uint8_t> m_SendQueue; ///< Encoded frames.
+  std::size_t m_Written = 0;             ///< Bytes of m_SendQueue written.
 };
 
 } // namespace crowstep::link
--- a/src/link/frame_account.cpp
+++ b/src/link/frame_account.cpp
@@ -83,7 +83,7 @@
   return false;
 }
 
-FrameAccount::FrameAccount(Metrics &Stats, const std::string &Direction)
+FrameCounters::FrameCounters(Metrics &Stats, const std::string &Direction)
     : m_Bytes(&Stats.counter("crowstep_link_bytes_total",
                              {{"direction", Direction}})),
       m_Frames(&Stats.counter("crowstep_link_frames_total",
@@ -98,7 +98,7 @@
   }
 }
 
-void FrameAccount::count(const wire::Frame &Frame, Bytes Encoded) {
+void FrameCounters::count(const wire::Frame &Frame, Bytes Encoded) {
   m_Bytes->add(Encoded.size() + LengthSize);
   m_Frames->add();
   // The encoder writes one field after the other from the highest address
--- a/src/link/frame_account.h
+++ b/src/link/frame_account.h
@@ -27,10 +27,10 @@
 bool hasMessages(const wire::Frame &Frame);
 
 /// Counters of one direction.
-class FrameAccount {
+class FrameCounters {
 public:
   /// \p Direction is "in" or "out".
-  FrameAccount(Metrics &Stats, const std::string &Direction);
+  FrameCounters(Metrics &Stats, const std::string &Direction);
 
   /// Counts a verified frame; \p Encoded is its encoding without the length.
   void count(const wire::Frame &Frame, Bytes Encoded);
--- a/src/link/frame_codec.cpp
+++ b/src/link/frame_codec.cpp
@@ -58,15 +58,15 @@
                                                       : m_Length;
     if (!fill(Input, Size))
       return NeedMore{};
-    ReadResult Result = m_Part == Part::Preamble ? takePreamble()
-                        : m_Part == Part::Length ? takeLength()
-                                                 : takeBody();
+    ReadResult Result = m_Part == Part::Preamble ? parsePreamble()
+                        : m_Part == Part::Length ? parseLength()
+                                                 : parseBody();
     if (!std::holds_alternative<NeedMore>(Result))
       return Result;
   }
 }
 
-ReadResult FrameReader::takePreamble() {
+ReadResult FrameReader::parsePreamble() {
   if (!std::equal(Magic.begin(), Magic.end(), m_Buffer.begin()))
     return Rejected{CloseReason::Foreign};
   if (readLittleEndian(m_Buffer.data() + Magic.size(), 2) != SchemaVersion)
@@ -76,7 +76,7 @@
   return NeedMore{};
 }
 
-ReadResult FrameReader::takeLength() {
+ReadResult FrameReader::parseLength() {
   m_Length = readLittleEndian(m_Buffer.data(), LengthSize);
   if (m_Length > m_MaxFrame)
     return Rejected{CloseReason::FrameTooLarge};
@@ -85,7 +85,7 @@
   return NeedMore{};
 }
 
-ReadResult FrameReader::takeBody() {
+ReadResult FrameReader::parseBody() {
   // The body is at the start of its own vector and thus aligned as FlatBuffers'
   // accessors require, wherever it started in a read from the socket.
   m_Frame.swap(m_Buffer);
--- a/src/link/frame_codec.h
+++ b/src/link/frame_codec.h
@@ -43,7 +43,7 @@
 
 /// The bytes violate the protocol; the link must be closed.
 struct Rejected {
-  CloseReason m_Why = CloseReason::BadFrame;
+  CloseReason m_Reason = CloseReason::BadFrame;
 };
 
 using ReadResult = std::variant<NeedMore, FrameArrived, Rejected>;
@@ -65,9 +65,9 @@
   enum class Part : std::uint8_t { Preamble, Length, Body };
 
   bool fill(Bytes &Input, std::size_t Size);
-  ReadResult takePreamble();
-  ReadResult takeLength();
-  ReadResult takeBody();
+  ReadResult parsePreamble();
+  ReadResult parseLength();
+  ReadResult parseBody();
 
   std::uint32_t m_MaxFrame;           ///< Bytes; longer frames are rejected.
   Part m_Part = Part::Preamble;       ///< The part that m_Buffer holds.
--- a/src/link/handshake.cpp
+++ b/src/link/handshake.cpp
@@ -110,17 +110,17 @@
 Handshake::Handshake(const LinkConfig &Config, Side OwnSide)
     : m_Key(Config.m_Key), m_Side(OwnSide), m_Own(helloOf(Config)) {}
 
-HandshakeStep Handshake::take(const wire::Frame &Frame) {
+HandshakeStep Handshake::handleFrame(const wire::Frame &Frame) {
   if (hasMessages(Frame))
     return Rejected{CloseReason::BadProof};
   if (Frame.hello() != nullptr && Frame.proof() == nullptr && !m_Peer)
-    return takeHello(*Frame.hello());
+    return handleHello(*Frame.hello());
   if (Frame.proof() != nullptr && Frame.hello() == nullptr && m_Peer)
-    return takeProof(*Frame.proof());
+    return handleProof(*Frame.proof());
   return Rejected{CloseReason::BadFrame};
 }
 
-HandshakeStep Handshake::takeHello(const wire::Hello &Received) {
+HandshakeStep Handshake::handleHello(const wire::Hello &Received) {
   if (Received.schema() != SchemaVersion)
     return Rejected{CloseReason::WrongSchema};
   wire::HelloT Hello;
@@ -135,13 +135,13 @@
     return Rejected{CloseReason::BadProof};
   m_Peer = std::move(Hello);
   if (m_Side == Side::Acceptor)
-    return HandshakeGoesOn{};
-  return HandshakeGoesOn{proofOf(m_Side)};
+    return HandshakePending{};
+  return HandshakePending{proofOf(m_Side)};
 }
 
-HandshakeStep Handshake::takeProof(const wire::Proof &Received) {
+HandshakeStep Handshake::handleProof(const wire::Proof &Received) {
   if (Received.mac() == nullptr ||
-      !equalInConstantTime(proofOf(other()).mac, *Received.mac()))
+      !equalInConstantTime(proofOf(otherSide()).mac, *Received.mac()))
     return Rejected{CloseReason::BadProof};
   HandshakeDone Done;
   Done.m_Peer = peerOf(*m_Peer);
@@ -162,7 +162,7 @@
   return Result;
 }
 
-Side Handshake::other() const {
+Side Handshake::otherSide() const {
   return m_Side == Side::Dialer ? Side::Acceptor : Side::Dialer;
 }
 
--- a/src/link/handshake.h
+++ b/src/link/handshake.h
@@ -23,7 +23,7 @@
 inline constexpr std::uint32_t MaxHandshakeFrame = 1024;
 
 /// The handshake waits for the next frame.
-struct HandshakeGoesOn {
+struct HandshakePending {
   std::optional<wire::ProofT> m_Reply; ///< To be sent first, if any.
 };
 
@@ -33,7 +33,7 @@
   Peer m_Peer;
 };
 
-using HandshakeStep = std::variant<HandshakeGoesOn, HandshakeDone, Rejected>;
+using HandshakeStep = std::variant<HandshakePending, HandshakeDone, Rejected>;
 
 /// One handshake, without I/O.
 class Handshake {
@@ -44,13 +44,13 @@
   [[nodiscard]] const wire::HelloT &hello() const { return m_Own; }
 
   /// Handles the peer's next frame.
-  HandshakeStep take(const wire::Frame &Frame);
+  HandshakeStep handleFrame(const wire::Frame &Frame);
 
 private:
-  HandshakeStep takeHello(const wire::Hello &Received);
-  HandshakeStep takeProof(const wire::Proof &Received);
+  HandshakeStep handleHello(const wire::Hello &Received);
+  HandshakeStep handleProof(const wire::Proof &Received);
   [[nodiscard]] wire::ProofT proofOf(Side Prover) const;
-  [[nodiscard]] Side other() const;
+  [[nodiscard]] Side otherSide() const;
 
   std::string m_Key;                  ///< Shared secret.
   Side m_Side;                        ///< Of this process.
--- a/src/link/link_tcp.cpp
+++ b/src/link/link_tcp.cpp
@@ -65,7 +65,7 @@
   LinkConfig m_Config;
   Scheduler &m_Timers;            ///< Outlives this.
   LinkListener &m_Listener;       ///< Outlives this.
-  ConnectionShared m_Context;     ///< Used by the connections.
+  ConnectionContext m_Context;    ///< Used by the connections.
   GSocket *m_Socket = nullptr;    ///< Listens; null if nothing is accepted.
   GSource *m_Accepting = nullptr; ///< Set with m_Socket.
   std::uint64_t m_LastId = 0;     ///< Ids start at 1.
@@ -85,8 +85,8 @@
                      LinkListener &Listener)
     : m_Config(std::move(Config)), m_Timers(Timers),
       m_Listener(Listener), m_Context{m_Config, Timers, *this,
-                                      FrameAccount(Stats, "in"),
-                                      FrameAccount(Stats, "out")},
+                                      FrameCounters(Stats, "in"),
+                                      FrameCounters(Stats, "out")},
       m_Flush(Timers), m_Random(std::random_device()()),
       m_DialCount(Stats.counter("crowstep_link_dials_total")),
       m_OpenGauge(Stats.gauge("crowstep_link_open")) {
@@ -108,7 +108,7 @@
 void TcpLinks::Impl::start() {
   if (m_Config.m_Listen.m_Port == 0)
     return;
-  m_Socket = listeningSocket(m_Config.m_Listen);
+  m_Socket = openListeningSocket(m_Config.m_Listen);
   g_socket_set_blocking(m_Socket, 0);
   m_Accepting = g_socket_create_source(m_Socket, G_IO_IN, nullptr);
   g_source_set_callback(m_Accepting, G_SOURCE_FUNC(acceptReady), this, nullptr);
@@ -185,8 +185,8 @@
   // iterating over links that the listener changes.
   if (Closing->isUp())
     m_ClosedLinks.push_back({Link, Closing->peer()});
-  if (m_Dials.contains(Closing->dialled()))
-    scheduleRetry(Closing->dialled());
+  if (m_Dials.contains(Closing->dialledAddress()))
+    scheduleRetry(Closing->dialledAddress());
   scheduleFlush();
 }
 
@@ -205,7 +205,7 @@
 /// A timer without delay runs after the sources that are ready now, so that all
 /// messages that these send are joined into one frame per link.
 void TcpLinks::Impl::scheduleFlush() {
-  if (!m_Flush.running())
+  if (!m_Flush.isRunning())
     m_Flush.start(Duration::zero(), [this] { flush(); });
 }
 
@@ -224,7 +224,8 @@
 }
 
 void TcpLinks::Impl::connectionUp(Connection &Source) {
-  if (const auto Found = m_Dials.find(Source.dialled()); Found != m_Dials.end())
+  if (const auto Found = m_Dials.find(Source.dialledAddress());
+      Found != m_Dials.end())
     Found->second.m_Backoff = Duration::zero();
   updateOpenGauge();
   logEvent(LogEvent::LinkUp, {{"peer", Source.peer().m_Name},
@@ -240,7 +241,7 @@
 void TcpLinks::Impl::connectionFailed(Connection &Source, CloseReason Reason) {
   countClose(Reason);
   m_Connections.erase(Source.id());
-  const Address Remote = Source.dialled();
+  const Address Remote = Source.dialledAddress();
   if (m_Dials.contains(Remote))
     scheduleRetry(Remote);
   const std::string ReasonName = closeReasonName(Reason);
@@ -274,7 +275,7 @@
 TcpLinks::~TcpLinks() = default;
 void TcpLinks::start() { m_Impl->start(); }
 void TcpLinks::dial(const Address &Remote) { m_Impl->dial(Remote); }
-void TcpLinks::hangUp(const Address &Remote) { m_Impl->disconnect(Remote); }
+void TcpLinks::disconnect(const Address &Remote) { m_Impl->disconnect(Remote); }
 wire::FrameT &TcpLinks::outbox(LinkId Link) { return m_Impl->outbox(Link); }
 void TcpLinks::close(LinkId Link) { m_Impl->close(Link); }
 
--- a/src/link/link_tcp.h
+++ b/src/link/link_tcp.h
@@ -12,15 +12,15 @@
 
 /// Identity of this process and parameters of its links.
 struct LinkConfig {
-  wire::Role m_Role = wire::Role::Entry; ///< Kind of this process.
-  std::string m_Name;                    ///< Of this instance.
-  Incarnation m_Incarnation;             ///< Of this process.
-  AvailabilityZone m_Zone;               ///< Of this instance.
-  Address m_Listen;                      ///< None: accepts no links.
-  std::string m_Key;                     ///< Shared secret of all processes.
-  std::uint32_t m_MaxFrame = 4U << 20;   ///< Bytes, in both directions.
-  std::size_t m_MaxQueued = 16U << 20;   ///< Bytes waiting for a slow peer.
-  Duration m_HandshakeLimit = std::chrono::seconds(2);    ///< > 0.
+  wire::Role m_Role = wire::Role::Entry;    ///< Kind of this process.
+  std::string m_Name;                       ///< Of this instance.
+  Incarnation m_Incarnation;                ///< Of this process.
+  AvailabilityZone m_Zone;                  ///< Of this instance.
+  Address m_Listen;                         ///< None: accepts no links.
+  std::string m_Key;                        ///< Shared secret of all processes.
+  std::uint32_t m_MaxFrameBytes = 4U << 20; ///< Bytes, in both directions.
+  std::size_t m_MaxQueuedBytes = 16U << 20; ///< Bytes waiting for a slow peer.
+  Duration m_HandshakeTimeout = std::chrono::seconds(2);  ///< > 0.
   Duration m_MinBackoff = std::chrono::milliseconds(100); ///< First delay.
   Duration m_MaxBackoff = std::chrono::seconds(2);        ///< Longest delay.
 };
@@ -38,7 +38,7 @@
   void start();
 
   void dial(const Address &Remote) override;
-  void hangUp(const Address &Remote) override;
+  void disconnect(const Address &Remote) override;
   wire::FrameT &outbox(LinkId Link) override;
   void close(LinkId Link) override;
 
--- a/src/link/link_type.h
+++ b/src/link/link_type.h
@@ -67,7 +67,7 @@
   virtual void dial(const Address &Remote) = 0;
 
   /// Closes the link to \p Remote and stops dialling it.
-  virtual void hangUp(const Address &Remote) = 0;
+  virtual void disconnect(const Address &Remote) = 0;
 
   /// Returns the frame under assembly for \p Link. Its messages are sent as one
   /// frame at the end of the loop iteration. For a link that is not up the
--- a/src/load/active_call.h
+++ b/src/load/active_call.h
@@ -17,37 +17,37 @@
   ActiveCall &operator=(const ActiveCall &) = delete;
 
   /// Ends the call as timed out; may destroy this object.
-  void giveUp();
+  void timeOut();
 
 private:
   void prepare(const PlannedCall &Call, const Address &Target);
   static void onHeaders(GObject *Session, GAsyncResult *Result, void *Self);
   static int onReadable(GObject *Stream, void *Self);
-  void headersCame(GInputStream *Body);
+  void handleHeaders(GInputStream *Body);
   void watchBody();
   /// Reads the available bytes without blocking; returns false, and has
   /// destroyed this object, once the call has ended.
   bool readBody();
-  void take(std::string_view Bytes);
-  void bodyEnded();
-  [[nodiscard]] CallEnd endOfBody();
-  void readRefusal();
-  void end(CallEnd End);
-
-  CallerPool &m_Owner;    ///< Receives the outcome.
-  std::uint64_t m_Id;     ///< Unique within the pool.
-  const Source &m_Source; ///< Part of the plan.
-  AnswerCheck m_Check;    ///< Checks a completion's answer.
-  std::string m_Body;     ///< Of a refusal or a plain service's answer.
-  CallOutcome m_Outcome;  ///< Filled while the call runs.
-  TimePoint m_Sent;       ///< When the request was sent.
-  TimePoint m_LastToken;  ///< When the last token was received.
-  SoupMessage *m_Message = nullptr; ///< Owned.
-  GCancellable *m_Cancel = nullptr; ///< Owned.
-  GInputStream *m_Stream = nullptr; ///< Owned; null until headers arrive.
+  void handleBytes(std::string_view Bytes);
+  void handleBodyEnd();
+  [[nodiscard]] CallEnd classifyBodyEnd();
+  void parseRefusal();
+  void finish(CallEnd End);
+
+  CallerPool &m_Pool;        ///< Receives the outcome.
+  std::uint64_t m_Id;        ///< Unique within the pool.
+  const Source &m_Source;    ///< Part of the plan.
+  AnswerCheck m_AnswerCheck; ///< Checks a completion's answer.
+  std::string m_Body;        ///< Of a refusal or a plain service's answer.
+  CallOutcome m_Outcome;     ///< Filled while the call runs.
+  TimePoint m_SentAt;        ///< When the request was sent.
+  TimePoint m_LastTokenAt;   ///< When the last token was received.
+  SoupMessage *m_Message = nullptr;      ///< Owned.
+  GCancellable *m_Cancellable = nullptr; ///< Owned.
+  GInputStream *m_Stream = nullptr;      ///< Owned; null until headers arrive.
   GSource *m_Watch = nullptr; ///< Owned; signals that m_Stream is readable.
-  Timer m_Limit;              ///< The caller's timeout.
-  bool m_GaveUp = false;      ///< Set by timeOut().
+  Timer m_TimeoutTimer;       ///< The caller's timeout.
+  bool m_TimedOut = false;    ///< Set by timeOut().
 };
 
 } // namespace crowstep::load
--- a/src/load/answer_check.cpp
+++ b/src/load/answer_check.cpp
@@ -24,41 +24,41 @@
 } // namespace
 
 AnswerCheck::AnswerCheck(const std::string &Prompt, bool Stream)
-    : m_Hash(promptHashOf(Prompt)), m_Stream(Stream) {}
+    : m_PromptHash(promptHashOf(Prompt)), m_Stream(Stream) {}
 
 std::uint64_t AnswerCheck::feed(std::string_view Bytes) {
-  const std::uint64_t FirstNew = m_Next;
-  m_Rest += Bytes;
+  const std::uint64_t FirstNew = m_NextToken;
+  m_Buffer += Bytes;
   if (!m_Stream)
     return 0;
   std::size_t Start = 0;
-  for (std::size_t End = m_Rest.find('\n'); End != std::string::npos;
-       End = m_Rest.find('\n', Start)) {
-    takeLine(std::string_view(m_Rest).substr(Start, End - Start));
+  for (std::size_t End = m_Buffer.find('\n'); End != std::string::npos;
+       End = m_Buffer.find('\n', Start)) {
+    parseLine(std::string_view(m_Buffer).substr(Start, End - Start));
     Start = End + 1;
   }
-  m_Rest.erase(0, Start);
-  return m_Next - FirstNew;
+  m_Buffer.erase(0, Start);
+  return m_NextToken - FirstNew;
 }
 
 void AnswerCheck::finish() {
   if (m_Stream)
     return;
-  takeJson(m_Rest);
-  m_Done = m_Said > 0;
+  parseDocument(m_Buffer);
+  m_EndReceived = m_ReportedTokens > 0;
 }
 
-void AnswerCheck::takeLine(std::string_view Line) {
+void AnswerCheck::parseLine(std::string_view Line) {
   if (!Line.starts_with(DataPrefix))
     return;
   const std::string_view Data = Line.substr(DataPrefix.size());
   if (Data == "[DONE]")
-    m_Done = true;
+    m_EndReceived = true;
   else
-    takeJson(Data);
+    parseDocument(Data);
 }
 
-void AnswerCheck::takeJson(std::string_view Text) {
+void AnswerCheck::parseDocument(std::string_view Text) {
   const json Event = json::parse(Text, nullptr, false);
   if (!Event.is_object()) {
     m_Wrong = true;
@@ -67,20 +67,21 @@
   if (Event.contains("error"))
     m_ErrorCode = Event["error"].value("code", "unnamed");
   if (Event.contains("choices") && !Event["choices"].empty())
-    takeTokens(textOf(Event["choices"][0]));
+    checkTokens(textOf(Event["choices"][0]));
   if (Event.contains("usage") && Event["usage"].is_object())
-    m_Said = Event["usage"].value("completion_tokens", std::uint64_t{0});
+    m_ReportedTokens =
+        Event["usage"].value("completion_tokens", std::uint64_t{0});
 }
 
-void AnswerCheck::takeTokens(std::string_view Text) {
+void AnswerCheck::checkTokens(std::string_view Text) {
   while (!Text.empty()) {
     const std::size_t End = Text.find(' ');
     const std::string_view Token = Text.substr(0, End + 1);
-    if (Token != tokenText(m_Next, m_Hash)) {
+    if (Token != tokenText(m_NextToken, m_PromptHash)) {
       m_Wrong = true;
       return;
     }
-    ++m_Next;
+    ++m_NextToken;
     Text.remove_prefix(Token.size());
   }
 }
--- a/src/load/answer_check.h
+++ b/src/load/answer_check.h
@@ -24,31 +24,33 @@
   void finish();
 
   /// Tokens received in order and without a gap.
-  [[nodiscard]] std::uint64_t tokens() const { return m_Next; }
+  [[nodiscard]] std::uint64_t tokenCount() const { return m_NextToken; }
 
   /// The end was received, after as many tokens as the engine's usage reports.
-  [[nodiscard]] bool whole() const { return m_Done && m_Said == m_Next; }
+  [[nodiscard]] bool isComplete() const {
+    return m_EndReceived && m_ReportedTokens == m_NextToken;
+  }
 
   /// A token belonged to another prompt, was duplicated or out of order, or an
   /// event was not a JSON object.
-  [[nodiscard]] bool wrong() const { return m_Wrong; }
+  [[nodiscard]] bool isWrong() const { return m_Wrong; }
 
   /// Code of an error inside the answer, or empty.
   [[nodiscard]] const std::string &errorCode() const { return m_ErrorCode; }
 
 private:
-  void takeLine(std::string_view Line);
-  void takeJson(std::string_view Text);
-  void takeTokens(std::string_view Text);
-
-  std::uint32_t m_Hash;     ///< Of the caller's prompt.
-  bool m_Stream;            ///< Server-sent events; false: one JSON document.
-  std::string m_Rest;       ///< An incomplete line, or the document so far.
-  std::uint64_t m_Next = 0; ///< Index of the next token to be received.
-  std::uint64_t m_Said = 0; ///< From the answer's usage field.
-  bool m_Done = false;      ///< By [DONE], or by a usage in a document.
-  bool m_Wrong = false;     ///< Never reset.
-  std::string m_ErrorCode;  ///< Code of the last error.
+  void parseLine(std::string_view Line);
+  void parseDocument(std::string_view Text);
+  void checkTokens(std::string_view Text);
+
+  std::uint32_t m_PromptHash; ///< Of the caller's prompt.
+  bool m_Stream;              ///< Server-sent events; false: one JSON document.
+  std::string m_Buffer;       ///< An incomplete line, or the document so far.
+  std::uint64_t m_NextToken = 0; ///< Index of the next token to be received.
+  std::uint64_t m_ReportedTokens = 0; ///< From the answer's usage field.
+  bool m_EndReceived = false; ///< By [DONE], or by a usage in a document.
+  bool m_Wrong = false;       ///< Never reset.
+  std::string m_ErrorCode;    ///< Code of the last error.
 };
 
 } // namespace crowstep::load
--- a/src/load/arrivals.cpp
+++ b/src/load/arrivals.cpp
@@ -38,7 +38,7 @@
   // distributed with mean 1.
   double Remaining = std::exponential_distribution<double>(1)(Stream.m_Random);
   while (Stream.m_Next < m_End) {
-    const Duration NextChange = m_Plan.nextChange(Index, Stream.m_Next);
+    const Duration NextChange = m_Plan.nextRateChange(Index, Stream.m_Next);
     const double Rate = m_Plan.rateAt(Index, Stream.m_Next);
     const double Span =
         std::chrono::duration<double>(NextChange - Stream.m_Next).count();
@@ -75,18 +75,18 @@
 
 void Arrivals::writeCompletion(PlannedCall &Call, ArrivalStream &Stream) const {
   const Source &CallSource = m_Plan.m_Sources[Call.m_Source];
-  const std::uint64_t Size = CallSource.m_Prompt.draw(Stream.m_Random);
-  const std::uint64_t Tokens = CallSource.m_Tokens.draw(Stream.m_Random);
+  const std::uint64_t Size = CallSource.m_PromptSize.draw(Stream.m_Random);
+  const std::uint64_t Tokens = CallSource.m_AnswerTokens.draw(Stream.m_Random);
   std::mt19937_64 SharedRandom(m_Plan.m_Seed + Call.m_Workspace);
   std::string Prompt = m_Plan.m_Workspaces[Call.m_Workspace].m_Name + ' ';
-  appendWords(Prompt, std::min(CallSource.m_Shared, Size), SharedRandom);
+  appendWords(Prompt, std::min(CallSource.m_SharedPrefix, Size), SharedRandom);
   Prompt +=
       ' ' + CallSource.m_Name + ' ' + std::to_string(Stream.m_Count) + ' ';
   appendWords(Prompt, Size, Stream.m_Random);
   Prompt += " [len=" + std::to_string(Tokens) + "]";
   nlohmann::json Body = {{"model", CallSource.m_Model},
                          {"stream", CallSource.m_Stream},
-                         {"max_tokens", CallSource.m_Tokens.m_Max}};
+                         {"max_tokens", CallSource.m_AnswerTokens.m_Max}};
   if (CallSource.m_Path == "/v1/completions")
     Body["prompt"] = Prompt;
   else
@@ -95,14 +95,14 @@
   Call.m_Body = Body.dump();
 }
 
-PlannedCall Arrivals::take() {
+PlannedCall Arrivals::takeNext() {
   const auto First =
       std::min_element(m_Streams.begin(), m_Streams.end(),
                        [](const ArrivalStream &A, const ArrivalStream &B) {
                          return A.m_Next < B.m_Next;
                        });
   PlannedCall Call;
-  Call.m_At = First->m_Next;
+  Call.m_DueTime = First->m_Next;
   Call.m_Source = static_cast<std::size_t>(First - m_Streams.begin());
   Call.m_Workspace = pickWorkspace(Call.m_Source);
   const Source &CallSource = m_Plan.m_Sources[Call.m_Source];
@@ -111,9 +111,10 @@
     writeCompletion(Call, *First);
   else
     Call.m_Body = nlohmann::json{{"number", First->m_Count}}.dump();
-  if (CallSource.m_Keyed)
-    Call.m_Key = CallSource.m_Name + '-' + std::to_string(m_Plan.m_Seed) + '-' +
-                 std::to_string(First->m_Count);
+  if (CallSource.m_UsesIdempotencyKey)
+    Call.m_IdempotencyKey = CallSource.m_Name + '-' +
+                            std::to_string(m_Plan.m_Seed) + '-' +
+                            std::to_string(First->m_Count);
   advance(Call.m_Source);
   return Call;
 }
--- a/src/load/arrivals.h
+++ b/src/load/arrivals.h
@@ -12,12 +12,12 @@
 
 /// A request to be sent at a given time.
 struct PlannedCall {
-  Duration m_At{};             ///< From the start of the warm-up.
-  std::size_t m_Source = 0;    ///< Index in the plan.
-  std::size_t m_Workspace = 0; ///< Index in the plan.
-  std::string m_Prompt;        ///< Unique; empty for plain services.
-  std::string m_Key;           ///< Idempotency key, or empty.
-  std::string m_Body;          ///< JSON.
+  Duration m_DueTime{};         ///< From the start of the warm-up.
+  std::size_t m_Source = 0;     ///< Index in the plan.
+  std::size_t m_Workspace = 0;  ///< Index in the plan.
+  std::string m_Prompt;         ///< Unique; empty for plain services.
+  std::string m_IdempotencyKey; ///< Idempotency key, or empty.
+  std::string m_Body;           ///< JSON.
 };
 
 /// Open-loop Poisson arrivals of all sources, merged in order of time.
@@ -29,7 +29,7 @@
   [[nodiscard]] std::optional<Duration> nextTime() const;
 
   /// Returns the next request. Must not be called after the last one.
-  PlannedCall take();
+  PlannedCall takeNext();
 
 private:
   struct ArrivalStream {
--- a/src/load/audit.cpp
+++ b/src/load/audit.cpp
@@ -22,43 +22,44 @@
 
 } // namespace
 
-void Audit::getAll(const std::vector<Address> &Upstreams,
-                   const std::string &Path,
-                   const std::function<void(const json &)> &OnDocument,
-                   const std::function<void()> &OnDone) {
+void Audit::fetchAll(const std::vector<Address> &Upstreams,
+                     const std::string &Path,
+                     const std::function<void(const json &)> &OnDocument,
+                     const std::function<void()> &OnDone) {
   // Shared by all calls; its deleter runs OnDone after the last answer.
   const std::shared_ptr<void> Completion(nullptr,
                                          [OnDone](void *) { OnDone(); });
   for (const Address &Upstream : Upstreams)
-    m_Http.call({"GET", Upstream, Path, "", RecordTimeout},
-                [OnDocument, Completion](const HttpResult &Result) {
-                  const json Document = documentOf(Result);
-                  if (Document.is_object())
-                    OnDocument(Document);
-                });
+    m_HttpClient.call({"GET", Upstream, Path, "", RecordTimeout},
+                      [OnDocument, Completion](const HttpResult &Result) {
+                        const json Document = documentOf(Result);
+                        if (Document.is_object())
+                          OnDocument(Document);
+                      });
 }
 
-void Audit::begin(const std::function<void()> &OnDone) {
-  getAll(
+void Audit::readBaseline(const std::function<void()> &OnDone) {
+  fetchAll(
       m_Plan.m_Engines, "/record/sums",
       [this](const json &Sums) {
-        m_Before += Sums.value("generated", std::uint64_t{0});
+        m_GeneratedBefore += Sums.value("generated", std::uint64_t{0});
       },
       OnDone);
 }
 
-void Audit::finish(std::uint64_t Delivered,
-                   const std::map<std::string, std::string> &RunStateByKey,
-                   const std::function<void(AuditResult)> &OnDone) {
+void Audit::compareRecords(
+    std::uint64_t Delivered,
+    const std::map<std::string, std::string> &RunStateByKey,
+    const std::function<void(AuditResult)> &OnDone) {
   const auto Compare = [this, Delivered, &RunStateByKey, OnDone] {
     AuditResult Result;
-    Result.m_Generated = m_After - m_Before;
-    Result.m_Delivered = Delivered;
+    Result.m_GeneratedTokens = m_GeneratedAfter - m_GeneratedBefore;
+    Result.m_DeliveredTokens = Delivered;
     compareKeys(RunStateByKey, Result);
     OnDone(Result);
   };
   const auto ReadServices = [this, Compare] {
-    getAll(
+    fetchAll(
         m_Plan.m_Services, "/record",
         [this](const json &Record) {
           for (const json &Call : Record.value("calls", json::array()))
@@ -66,10 +67,10 @@
         },
         Compare);
   };
-  getAll(
+  fetchAll(
       m_Plan.m_Engines, "/record/sums",
       [this](const json &Sums) {
-        m_After += Sums.value("generated", std::uint64_t{0});
+        m_GeneratedAfter += Sums.value("generated", std::uint64_t{0});
       },
       ReadServices);
 }
--- a/src/load/call_outcome.h
+++ b/src/load/call_outcome.h
@@ -28,17 +28,17 @@
 struct CallOutcome {
   std::size_t m_Source = 0;       ///< Index in the plan.
   std::size_t m_Workspace = 0;    ///< Index in the plan.
-  Duration m_At{};                ///< From the start of the warm-up.
-  Duration m_Late{};              ///< Delay from due time to sending.
+  Duration m_DueTime{};           ///< From the start of the warm-up.
+  Duration m_Lateness{};          ///< Delay from due time to sending.
   CallEnd m_End = CallEnd::Whole; ///< How it ended.
   unsigned m_Status = 0;          ///< HTTP status; 0: none received.
   std::string m_Reason;           ///< Error code of a refusal or a cut answer.
   std::string m_RunState;         ///< Header Crowstep-Run, or empty.
-  std::string m_Key;              ///< Idempotency key, or empty.
-  Duration m_First{};             ///< To the first token or the whole document.
-  Duration m_Total{};             ///< From sending to the end.
+  std::string m_IdempotencyKey;   ///< Idempotency key, or empty.
+  Duration m_TimeToFirstToken{};  ///< To the first token or the whole document.
+  Duration m_TotalTime{};         ///< From sending to the end.
   std::uint64_t m_Tokens = 0;     ///< Received by the caller.
-  std::vector<Duration> m_Gaps;   ///< Between tokens; streams only.
+  std::vector<Duration> m_TokenGaps; ///< Between tokens; streams only.
 };
 
 } // namespace crowstep::load
--- a/src/load/caller.cpp
+++ b/src/load/caller.cpp
@@ -49,14 +49,15 @@
 }
 
 CallerPool::CallerPool(const Experiment &Plan, std::vector<Address> Targets,
-                       const Clock &Time, Scheduler &Timers, Done OnDone)
+                       const Clock &Time, Scheduler &Timers,
+                       OutcomeCallback OnDone)
     : m_Plan(Plan), m_Targets(std::move(Targets)), m_Clock(Time),
-      m_Timers(Timers), m_Done(std::move(OnDone)) {
+      m_Timers(Timers), m_OnOutcome(std::move(OnDone)) {
   std::generate_n(std::back_inserter(m_Sessions), SessionCount, newSession);
 }
 
 CallerPool::~CallerPool() {
-  m_Open.clear();
+  m_OpenCalls.clear();
   for (SoupSession *Session : m_Sessions)
     g_object_unref(Session);
 }
@@ -64,20 +65,20 @@
 void CallerPool::send(const PlannedCall &Call, Duration Late) {
   const std::uint64_t Id = ++m_LastId;
   const Address &Target = m_Targets[Id % m_Targets.size()];
-  m_Open[Id] = std::make_unique<ActiveCall>(*this, Id, Call, Target, Late);
+  m_OpenCalls[Id] = std::make_unique<ActiveCall>(*this, Id, Call, Target, Late);
 }
 
-void CallerPool::giveUp() {
+void CallerPool::timeOutOpenCalls() {
   std::vector<ActiveCall *> Calls;
-  for (const auto &[Id, Call] : m_Open)
+  for (const auto &[Id, Call] : m_OpenCalls)
     Calls.push_back(Call.get());
   for (ActiveCall *Call : Calls)
-    Call->giveUp();
+    Call->timeOut();
 }
 
-void CallerPool::ended(std::uint64_t Id, CallOutcome Outcome) {
-  m_Open.erase(Id);
-  m_Done(std::move(Outcome));
+void CallerPool::finishCall(std::uint64_t Id, CallOutcome Outcome) {
+  m_OpenCalls.erase(Id);
+  m_OnOutcome(std::move(Outcome));
 }
 
 } // namespace crowstep::load
--- a/src/load/caller.h
+++ b/src/load/caller.h
@@ -19,10 +19,10 @@
 /// behind the platform's load balancer.
 class CallerPool {
 public:
-  using Done = std::function<void(CallOutcome)>;
+  using OutcomeCallback = std::function<void(CallOutcome)>;
 
   CallerPool(const Experiment &Plan, std::vector<Address> Targets,
-             const Clock &Time, Scheduler &Timers, Done OnDone);
+             const Clock &Time, Scheduler &Timers, OutcomeCallback OnDone);
   ~CallerPool();
   CallerPool(const CallerPool &) = delete;
   CallerPool &operator=(const CallerPool &) = delete;
@@ -32,13 +32,13 @@
 
   /// Ends every open call as timed out. Calls without response headers end in
   /// a later iteration of the loop.
-  void giveUp();
+  void timeOutOpenCalls();
 
-  [[nodiscard]] std::size_t open() const { return m_Open.size(); }
+  [[nodiscard]] std::size_t openCalls() const { return m_OpenCalls.size(); }
 
 private:
   friend class ActiveCall;
-  void ended(std::uint64_t Id, CallOutcome Outcome);
+  void finishCall(std::uint64_t Id, CallOutcome Outcome);
   [[nodiscard]] SoupSession *sessionOf(std::uint64_t Id) const {
     return m_Sessions[Id % m_Sessions.size()];
   }
@@ -47,10 +47,10 @@
   std::vector<Address> m_Targets;        ///< At least one.
   const Clock &m_Clock;                  ///< Outlives the pool.
   Scheduler &m_Timers;                   ///< Outlives the pool.
-  Done m_Done;                           ///< Called once per call.
+  OutcomeCallback m_OnOutcome;           ///< Called once per call.
   std::vector<SoupSession *> m_Sessions; ///< Owned; used round robin.
   std::uint64_t m_LastId = 0;            ///< Also selects target and session.
-  std::map<std::uint64_t, std::unique_ptr<ActiveCall>> m_Open; ///< By id.
+  std::map<std::uint64_t, std::unique_ptr<ActiveCall>> m_OpenCalls; ///< By id.
 };
 
 } // namespace crowstep::load
--- a/src/load/experiment.cpp
+++ b/src/load/experiment.cpp
@@ -22,7 +22,8 @@
   return Rate;
 }
 
-Duration Experiment::nextChange(std::size_t SourceIndex, Duration Time) const {
+Duration Experiment::nextRateChange(std::size_t SourceIndex,
+                                    Duration Time) const {
   Duration Next = m_WarmUp + m_Measured;
   for (const Phase &RatePhase : m_Phases) {
     if (RatePhase.m_Source != SourceIndex)
--- a/src/load/experiment.h
+++ b/src/load/experiment.h
@@ -28,22 +28,24 @@
 
 /// A stream of arrivals of one request class.
 struct Source {
-  std::string m_Name;         ///< Row of the report.
-  std::string m_Class;        ///< Name in the operators' table.
-  std::string m_Path;         ///< URL path of the requests.
-  std::string m_Model;        ///< Empty for plain services.
-  std::string m_Workspace;    ///< Only this one; empty: all, by share.
-  double m_Rate = 1;          ///< Mean arrivals per second.
-  bool m_Stream = true;       ///< Answers as server-sent events.
-  bool m_Keyed = false;       ///< Requests carry an idempotency key.
-  SizeDistribution m_Prompt;  ///< In characters.
-  SizeDistribution m_Tokens;  ///< Answer length; a maximum of 0: no completion.
-  std::uint64_t m_Shared = 0; ///< Characters of prefix shared by a workspace.
+  std::string m_Name;                ///< Row of the report.
+  std::string m_Class;               ///< Name in the operators' table.
+  std::string m_Path;                ///< URL path of the requests.
+  std::string m_Model;               ///< Empty for plain services.
+  std::string m_Workspace;           ///< Only this one; empty: all, by share.
+  double m_Rate = 1;                 ///< Mean arrivals per second.
+  bool m_Stream = true;              ///< Answers as server-sent events.
+  bool m_UsesIdempotencyKey = false; ///< Requests carry an idempotency key.
+  SizeDistribution m_PromptSize;     ///< In characters.
+  SizeDistribution
+      m_AnswerTokens; ///< Answer length; a maximum of 0: no completion.
+  std::uint64_t m_SharedPrefix =
+      0; ///< Characters of prefix shared by a workspace.
   Duration m_FirstTokenTarget{}; ///< From the table; 0: none.
   Duration m_TokenTarget{};      ///< From the table; 0: none.
-  Duration m_Limit{};            ///< The caller's timeout.
+  Duration m_Timeout{};          ///< The caller's timeout.
 
-  [[nodiscard]] bool isCompletion() const { return m_Tokens.m_Max > 0; }
+  [[nodiscard]] bool isCompletion() const { return m_AnswerTokens.m_Max > 0; }
 };
 
 /// Multiplies the rate of a source during a time range; the factors of
@@ -57,8 +59,8 @@
 
 /// A POST to a stand-in upstream at a given time.
 struct Action {
-  Duration m_At{};    ///< From the start of the warm-up.
-  Address m_Where;    ///< Of the stand-in upstream.
+  Duration m_Time{};  ///< From the start of the warm-up.
+  Address m_Address;  ///< Of the stand-in upstream.
   std::string m_Path; ///< Such as /faults.
   std::string m_Body; ///< JSON.
 };
@@ -83,14 +85,14 @@
 
   /// Returns when a source's rate changes next after \p Time, at the latest the
   /// end of the experiment.
-  [[nodiscard]] Duration nextChange(std::size_t SourceIndex,
-                                    Duration Time) const;
+  [[nodiscard]] Duration nextRateChange(std::size_t SourceIndex,
+                                        Duration Time) const;
 };
 
 /// Reads several settings files as one; later files override earlier ones, so
 /// that the scenarios of a deployment can share a base file. \throws
 /// LoadFileError.
-Settings joinedSettings(const std::vector<std::string> &Files);
+Settings readMergedSettings(const std::vector<std::string> &Files);
 
 /// Reads an experiment. Models, latency targets and time limits come from the
 /// table CSV that it names.
--- a/src/load/experiment_settings.cpp
+++ b/src/load/experiment_settings.cpp
@@ -70,9 +70,9 @@
   Result.m_Workspace = File.text(Section, "workspace", "");
   Result.m_Rate = File.number(Section, "rate", 0, 1000000);
   Result.m_Stream = File.boolean(Section, "stream", true);
-  Result.m_Prompt = readSizes(File, Section, "prompt", 400, MaxSize);
-  Result.m_Tokens = readSizes(File, Section, "tokens", 100, 0);
-  Result.m_Shared = static_cast<std::uint64_t>(
+  Result.m_PromptSize = readSizes(File, Section, "prompt", 400, MaxSize);
+  Result.m_AnswerTokens = readSizes(File, Section, "tokens", 100, 0);
+  Result.m_SharedPrefix = static_cast<std::uint64_t>(
       File.integer(Section, "shared_prefix", 0, MaxSize, 0));
   const auto Row =
       std::find_if(Table.m_Contracts.begin(), Table.m_Contracts.end(),
@@ -82,10 +82,10 @@
   if (Row == Table.m_Contracts.end())
     throw ExperimentError(Section, Result.m_Class, "a class of the table");
   Result.m_Model = Row->m_Model;
-  Result.m_Keyed = !Row->m_Repeatable;
+  Result.m_UsesIdempotencyKey = !Row->m_Repeatable;
   Result.m_FirstTokenTarget = Row->m_FirstTokenTarget;
   Result.m_TokenTarget = Row->m_TokenTarget;
-  Result.m_Limit = Row->m_TotalLimit + CallerTimeoutMargin;
+  Result.m_Timeout = Row->m_TotalLimit + CallerTimeoutMargin;
   return Result;
 }
 
@@ -109,8 +109,8 @@
 
 Action readAction(Settings &File, const std::string &Section) {
   Action Result;
-  Result.m_At = File.milliseconds(Section, "at_ms", 0s, 24h);
-  Result.m_Where = File.address(Section, "address");
+  Result.m_Time = File.milliseconds(Section, "at_ms", 0s, 24h);
+  Result.m_Address = File.address(Section, "address");
   Result.m_Path = File.text(Section, "path", "/faults");
   Result.m_Body = File.text(Section, "body");
   return Result;
@@ -118,7 +118,7 @@
 
 } // namespace
 
-Settings joinedSettings(const std::vector<std::string> &Files) {
+Settings readMergedSettings(const std::vector<std::string> &Files) {
   std::string Text;
   std::string Names;
   for (const std::string &File : Files) {
@@ -149,8 +149,9 @@
     Result.m_Phases.push_back(readPhase(File, Section, Result));
   for (const std::string &Section : File.sections("action-"))
     Result.m_Actions.push_back(readAction(File, Section));
-  std::sort(Result.m_Actions.begin(), Result.m_Actions.end(),
-            [](const Action &A, const Action &B) { return A.m_At < B.m_At; });
+  std::sort(
+      Result.m_Actions.begin(), Result.m_Actions.end(),
+      [](const Action &A, const Action &B) { return A.m_Time < B.m_Time; });
   return Result;
 }
 
--- a/src/load/load_command.cpp
+++ b/src/load/load_command.cpp
@@ -54,14 +54,14 @@
   g_main_loop_unref(Loop);
   logEvent(LogEvent::LoadFinished);
   std::cout << markdownReport({Result});
-  if (!Parsed.m_Out.empty())
-    writeFile(Parsed.m_Out, toJson(Result).dump(1) + "\n");
+  if (!Parsed.m_ResultFile.empty())
+    writeFile(Parsed.m_ResultFile, toJson(Result).dump(1) + "\n");
   return ExitCode::Success;
 }
 
 ExitCode execute(const ReportCommand &Parsed) {
   std::vector<RunResult> Runs;
-  for (const std::string &Path : Parsed.m_Results)
+  for (const std::string &Path : Parsed.m_ResultFiles)
     Runs.push_back(readResult(Path));
   const std::filesystem::path Folder = Parsed.m_Folder;
   std::filesystem::create_directories(Folder);
--- a/src/load/load_command.h
+++ b/src/load/load_command.h
@@ -17,14 +17,14 @@
   Experiment m_Plan;              ///< Requests to send.
   std::vector<Address> m_Targets; ///< Entries, or engines directly.
   std::string m_Policy; ///< Compared policy; names its rows and plot columns.
-  std::string m_Out;    ///< Result file; empty: none.
+  std::string m_ResultFile; ///< Result file; empty: none.
   bool m_CheckOnly = false; ///< Validate the plan and exit.
 };
 
 /// Writes a report on result files.
 struct ReportCommand {
-  std::vector<std::string> m_Results; ///< Paths of the input.
-  std::string m_Folder;               ///< Output directory.
+  std::vector<std::string> m_ResultFiles; ///< Paths of the input.
+  std::string m_Folder;                   ///< Output directory.
 };
 
 /// Usage text of the program.
--- a/src/load/load_command_line.cpp
+++ b/src/load/load_command_line.cpp
@@ -34,7 +34,7 @@
     SendCommand Result;
     Result.m_Targets = parseTargets(m_Targets.getValue());
     Result.m_Policy = m_Policy.getValue();
-    Result.m_Out = m_Out.getValue();
+    Result.m_ResultFile = m_Out.getValue();
     Experiment &Plan = Result.m_Plan;
     Plan.m_Name = "run";
     Plan.m_Seed = static_cast<std::uint64_t>(m_Seed.getValue());
@@ -56,13 +56,13 @@
     Result.m_Model = m_Model.getValue();
     Result.m_Rate = m_Rate.getValue();
     Result.m_Stream = !m_Plain.getValue();
-    Result.m_Keyed = m_Keyed.getValue();
+    Result.m_UsesIdempotencyKey = m_Keyed.getValue();
     const auto FixedSize = [](double Value) {
       return SizeDistribution{Value, 0, static_cast<std::uint64_t>(Value)};
     };
-    Result.m_Prompt = FixedSize(m_Prompt.getValue());
-    Result.m_Tokens = FixedSize(m_Tokens.getValue());
-    Result.m_Limit = seconds(m_Limit.getValue());
+    Result.m_PromptSize = FixedSize(m_Prompt.getValue());
+    Result.m_AnswerTokens = FixedSize(m_Tokens.getValue());
+    Result.m_Timeout = seconds(m_Limit.getValue());
     return Result;
   }
 
@@ -112,13 +112,13 @@
   Text Out("o", "out", "result file", false, "", "file", Line);
   TCLAP::SwitchArg Check("", "check", "validate the settings and stop", Line);
   Line.parse(Argc, Argv);
-  Settings File = joinedSettings(Configs.getValue());
+  Settings File = readMergedSettings(Configs.getValue());
   SendCommand Result;
   Result.m_Plan = readExperiment(File);
   File.rejectUnknown();
   Result.m_Targets = parseTargets(Targets.getValue());
   Result.m_Policy = Policy.getValue();
-  Result.m_Out = Out.getValue();
+  Result.m_ResultFile = Out.getValue();
   Result.m_CheckOnly = Check.getValue();
   return Result;
 }
--- a/src/load/recorder.cpp
+++ b/src/load/recorder.cpp
@@ -18,16 +18,17 @@
 }
 
 void Recorder::add(const CallOutcome &Outcome) {
-  m_Delivered += Outcome.m_Tokens;
-  if (!Outcome.m_Key.empty())
-    m_ToldByKey[Outcome.m_Key] = Outcome.m_RunState;
-  if (Outcome.m_At < m_Plan.m_WarmUp)
+  m_DeliveredTokens += Outcome.m_Tokens;
+  if (!Outcome.m_IdempotencyKey.empty())
+    m_RunStateByKey[Outcome.m_IdempotencyKey] = Outcome.m_RunState;
+  if (Outcome.m_DueTime < m_Plan.m_WarmUp)
     return;
-  m_LargestLateness = std::max(m_LargestLateness, Outcome.m_Late);
+  m_LargestLateness = std::max(m_LargestLateness, Outcome.m_Lateness);
   SourceResult &Result = m_Sources[Outcome.m_Source];
-  const auto Index = static_cast<std::size_t>(
-      std::chrono::floor<std::chrono::seconds>(Outcome.m_At - m_Plan.m_WarmUp)
-          .count());
+  const auto Index =
+      static_cast<std::size_t>(std::chrono::floor<std::chrono::seconds>(
+                                   Outcome.m_DueTime - m_Plan.m_WarmUp)
+                                   .count());
   SecondSums &Second = Result.m_Seconds[Index];
   ++Result.m_Sent;
   ++Second.m_Sent;
@@ -38,26 +39,27 @@
   if (Outcome.m_End == CallEnd::Refused)
     ++Second.m_Refused;
   else if (Outcome.m_End == CallEnd::Whole)
-    addWhole(Outcome, Result, Second);
+    addCompleteAnswer(Outcome, Result, Second);
 }
 
-void Recorder::addWhole(const CallOutcome &Outcome, SourceResult &Result,
-                        SecondSums &Second) {
+void Recorder::addCompleteAnswer(const CallOutcome &Outcome,
+                                 SourceResult &Result, SecondSums &Second) {
   const Source &PlannedSource = m_Plan.m_Sources[Outcome.m_Source];
   Samples &SourceSamples = m_Samples[Outcome.m_Source];
-  SourceSamples.m_First.push_back(Outcome.m_First);
-  SourceSamples.m_Total.push_back(Outcome.m_Total);
-  SourceSamples.m_Gap.insert(SourceSamples.m_Gap.end(), Outcome.m_Gaps.begin(),
-                             Outcome.m_Gaps.end());
+  SourceSamples.m_TimeToFirstToken.push_back(Outcome.m_TimeToFirstToken);
+  SourceSamples.m_TotalTime.push_back(Outcome.m_TotalTime);
+  SourceSamples.m_TokenGap.insert(SourceSamples.m_TokenGap.end(),
+                                  Outcome.m_TokenGaps.begin(),
+                                  Outcome.m_TokenGaps.end());
   // The target applies to the mean gap: an entry merges tokens that wait
   // together, so single gaps become 0 or twice as long, which is not noticeable
   // to a reader.
-  const Duration Sum =
-      std::accumulate(Outcome.m_Gaps.begin(), Outcome.m_Gaps.end(), Duration());
-  const auto Gaps = static_cast<std::int64_t>(Outcome.m_Gaps.size());
+  const Duration Sum = std::accumulate(Outcome.m_TokenGaps.begin(),
+                                       Outcome.m_TokenGaps.end(), Duration());
+  const auto Gaps = static_cast<std::int64_t>(Outcome.m_TokenGaps.size());
   const bool FirstInTarget =
       PlannedSource.m_FirstTokenTarget == Duration() ||
-      Outcome.m_First <= PlannedSource.m_FirstTokenTarget;
+      Outcome.m_TimeToFirstToken <= PlannedSource.m_FirstTokenTarget;
   const bool TokenInTarget = PlannedSource.m_TokenTarget == Duration() ||
                              Sum <= PlannedSource.m_TokenTarget * Gaps;
   Result.m_FirstInTarget += FirstInTarget ? 1 : 0;
@@ -79,9 +81,12 @@
   Result.m_LargestLateness = m_LargestLateness;
   Result.m_Sources = m_Sources;
   for (std::size_t Index = 0; Index < m_Sources.size(); ++Index) {
-    Result.m_Sources[Index].m_First = quantilesOf(m_Samples[Index].m_First);
-    Result.m_Sources[Index].m_Gap = quantilesOf(m_Samples[Index].m_Gap);
-    Result.m_Sources[Index].m_Total = quantilesOf(m_Samples[Index].m_Total);
+    Result.m_Sources[Index].m_TimeToFirstToken =
+        quantilesOf(m_Samples[Index].m_TimeToFirstToken);
+    Result.m_Sources[Index].m_TokenGap =
+        quantilesOf(m_Samples[Index].m_TokenGap);
+    Result.m_Sources[Index].m_TotalTime =
+        quantilesOf(m_Samples[Index].m_TotalTime);
   }
   return Result;
 }
--- a/src/load/recorder.h
+++ b/src/load/recorder.h
@@ -18,30 +18,33 @@
   [[nodiscard]] RunResult result(const std::string &Policy) const;
 
   /// Returns the tokens that callers received, including the warm-up.
-  [[nodiscard]] std::uint64_t delivered() const { return m_Delivered; }
+  [[nodiscard]] std::uint64_t deliveredTokens() const {
+    return m_DeliveredTokens;
+  }
 
   /// Returns the run state that was reported to the caller of each keyed
   /// request, by idempotency key.
-  [[nodiscard]] const std::map<std::string, std::string> &toldByKey() const {
-    return m_ToldByKey;
+  [[nodiscard]] const std::map<std::string, std::string> &
+  runStateByKey() const {
+    return m_RunStateByKey;
   }
 
 private:
   struct Samples {
-    std::vector<Duration> m_First; ///< Of complete answers.
-    std::vector<Duration> m_Gap;   ///< Of complete answers.
-    std::vector<Duration> m_Total; ///< Of complete answers.
+    std::vector<Duration> m_TimeToFirstToken; ///< Of complete answers.
+    std::vector<Duration> m_TokenGap;         ///< Of complete answers.
+    std::vector<Duration> m_TotalTime;        ///< Of complete answers.
   };
 
-  void addWhole(const CallOutcome &Outcome, SourceResult &Result,
-                SecondSums &Second);
+  void addCompleteAnswer(const CallOutcome &Outcome, SourceResult &Result,
+                         SecondSums &Second);
 
   const Experiment &m_Plan;            ///< Outlives the recorder.
   std::vector<SourceResult> m_Sources; ///< In the plan's order.
   std::vector<Samples> m_Samples;      ///< In the plan's order.
   Duration m_LargestLateness{};        ///< Largest sending delay.
-  std::uint64_t m_Delivered = 0;       ///< Tokens, including the warm-up.
-  std::map<std::string, std::string> m_ToldByKey; ///< By idempotency key.
+  std::uint64_t m_DeliveredTokens = 0; ///< Tokens, including the warm-up.
+  std::map<std::string, std::string> m_RunStateByKey; ///< By idempotency key.
 };
 
 } // namespace crowstep::load
--- a/src/load/result.cpp
+++ b/src/load/result.cpp
@@ -38,9 +38,9 @@
           {"good", Row.m_Good},
           {"tokens", Row.m_Tokens},
           {"good_tokens", Row.m_GoodTokens},
-          {"first", toJson(Row.m_First)},
-          {"gap", toJson(Row.m_Gap)},
-          {"total", toJson(Row.m_Total)},
+          {"first", toJson(Row.m_TimeToFirstToken)},
+          {"gap", toJson(Row.m_TokenGap)},
+          {"total", toJson(Row.m_TotalTime)},
           {"seconds", std::move(Seconds)}};
 }
 
@@ -55,9 +55,9 @@
   Value.at("good").get_to(Row.m_Good);
   Value.at("tokens").get_to(Row.m_Tokens);
   Value.at("good_tokens").get_to(Row.m_GoodTokens);
-  Row.m_First = quantilesFromJson(Value.at("first"));
-  Row.m_Gap = quantilesFromJson(Value.at("gap"));
-  Row.m_Total = quantilesFromJson(Value.at("total"));
+  Row.m_TimeToFirstToken = quantilesFromJson(Value.at("first"));
+  Row.m_TokenGap = quantilesFromJson(Value.at("gap"));
+  Row.m_TotalTime = quantilesFromJson(Value.at("total"));
   for (const json &Second : Value.at("seconds"))
     Row.m_Seconds.push_back(
         {Second.at(0).get<std::uint64_t>(), Second.at(1).get<std::uint64_t>(),
@@ -66,8 +66,8 @@
 }
 
 json toJson(const AuditResult &Audit) {
-  return {{"generated", Audit.m_Generated},
-          {"delivered", Audit.m_Delivered},
+  return {{"generated", Audit.m_GeneratedTokens},
+          {"delivered", Audit.m_DeliveredTokens},
           {"keys_run_twice", Audit.m_KeysRunTwice},
           {"false_not_run", Audit.m_FalseNotRun},
           {"false_answered", Audit.m_FalseAnswered}};
@@ -75,8 +75,8 @@
 
 AuditResult auditFromJson(const json &Value) {
   AuditResult Audit;
-  Value.at("generated").get_to(Audit.m_Generated);
-  Value.at("delivered").get_to(Audit.m_Delivered);
+  Value.at("generated").get_to(Audit.m_GeneratedTokens);
+  Value.at("delivered").get_to(Audit.m_DeliveredTokens);
   Value.at("keys_run_twice").get_to(Audit.m_KeysRunTwice);
   Value.at("false_not_run").get_to(Audit.m_FalseNotRun);
   Value.at("false_answered").get_to(Audit.m_FalseAnswered);
@@ -107,10 +107,10 @@
 }
 
 double AuditResult::wastedShare() const {
-  if (m_Generated <= m_Delivered)
+  if (m_GeneratedTokens <= m_DeliveredTokens)
     return 0;
-  return static_cast<double>(m_Generated - m_Delivered) /
-         static_cast<double>(m_Generated);
+  return static_cast<double>(m_GeneratedTokens - m_DeliveredTokens) /
+         static_cast<double>(m_GeneratedTokens);
 }
 
 json toJson(const RunResult &Run) {
--- a/src/load/result.h
+++ b/src/load/result.h
@@ -41,9 +41,9 @@
   std::uint64_t m_Good = 0;          ///< Complete and both in target.
   std::uint64_t m_Tokens = 0;        ///< Received by callers.
   std::uint64_t m_GoodTokens = 0;    ///< Of the good answers.
-  Quantiles m_First;                 ///< Complete answers only.
-  Quantiles m_Gap;                   ///< Complete answers only.
-  Quantiles m_Total;                 ///< Complete answers only.
+  Quantiles m_TimeToFirstToken;      ///< Complete answers only.
+  Quantiles m_TokenGap;              ///< Complete answers only.
+  Quantiles m_TotalTime;             ///< Complete answers only.
   std::vector<SecondSums> m_Seconds; ///< From the end of the warm-up on.
 
   [[nodiscard]] std::uint64_t count(CallEnd End) const;
@@ -52,11 +52,11 @@
 /// Comparison of the upstreams' records with the callers' answers, including
 /// the warm-up.
 struct AuditResult {
-  std::uint64_t m_Generated = 0;     ///< Tokens that engines generated.
-  std::uint64_t m_Delivered = 0;     ///< Tokens that callers received.
-  std::uint64_t m_KeysRunTwice = 0;  ///< Keys executed more than once.
-  std::uint64_t m_FalseNotRun = 0;   ///< Reported as not run, but executed.
-  std::uint64_t m_FalseAnswered = 0; ///< Reported as run, but never executed.
+  std::uint64_t m_GeneratedTokens = 0; ///< Tokens that engines generated.
+  std::uint64_t m_DeliveredTokens = 0; ///< Tokens that callers received.
+  std::uint64_t m_KeysRunTwice = 0;    ///< Keys executed more than once.
+  std::uint64_t m_FalseNotRun = 0;     ///< Reported as not run, but executed.
+  std::uint64_t m_FalseAnswered = 0;   ///< Reported as run, but never executed.
 
   /// Share of the generated tokens that no caller received, 0 to 1.
   [[nodiscard]] double wastedShare() const;
--- a/src/load/runner.cpp
+++ b/src/load/runner.cpp
@@ -14,64 +14,66 @@
 Runner::Runner(const Experiment &Plan, std::vector<Address> Targets,
                std::string Policy)
     : m_Plan(Plan), m_Policy(std::move(Policy)), m_Arrivals(Plan),
-      m_Recorder(Plan), m_Audit(Plan, m_Http),
+      m_Recorder(Plan), m_Audit(Plan, m_HttpClient),
       m_Callers(
           Plan, std::move(Targets), m_Clock, m_Timers,
           [this](const CallOutcome &Outcome) { m_Recorder.add(Outcome); }) {}
 
-void Runner::start(Done OnDone) {
-  m_Done = std::move(OnDone);
-  m_Audit.begin([this] { begin(); });
+void Runner::start(ResultCallback OnDone) {
+  m_OnResult = std::move(OnDone);
+  m_Audit.readBaseline([this] { startLoad(); });
 }
 
-void Runner::begin() {
-  m_Start = m_Clock.fresh();
+void Runner::startLoad() {
+  m_StartTime = m_Clock.readNow();
   for (const Action &Planned : m_Plan.m_Actions)
-    m_Timers.after(Planned.m_At, [this, &Planned] {
-      logEvent(LogEvent::LoadAction, {{"where", toString(Planned.m_Where)},
+    m_Timers.runAfter(Planned.m_Time, [this, &Planned] {
+      logEvent(LogEvent::LoadAction, {{"where", toString(Planned.m_Address)},
                                       {"path", Planned.m_Path}});
-      m_Http.call({"POST", Planned.m_Where, Planned.m_Path, Planned.m_Body},
-                  [](const HttpResult &Result) {
-                    if (std::holds_alternative<HttpFailure>(Result))
-                      logEvent(LogEvent::LoadActionFailed);
-                  });
+      m_HttpClient.call(
+          {"POST", Planned.m_Address, Planned.m_Path, Planned.m_Body},
+          [](const HttpResult &Result) {
+            if (std::holds_alternative<HttpFailure>(Result))
+              logEvent(LogEvent::LoadActionFailed);
+          });
     });
-  sendDue();
+  sendDueCalls();
 }
 
-void Runner::sendDue() {
+void Runner::sendDueCalls() {
   std::optional<Duration> Next = m_Arrivals.nextTime();
   for (; Next && *Next <= elapsed(); Next = m_Arrivals.nextTime()) {
-    const PlannedCall Call = m_Arrivals.take();
-    m_Callers.send(Call, elapsed() - Call.m_At);
+    const PlannedCall Call = m_Arrivals.takeNext();
+    m_Callers.send(Call, elapsed() - Call.m_DueTime);
   }
   if (Next)
-    m_Timers.after(*Next - elapsed(), [this] { sendDue(); });
+    m_Timers.runAfter(*Next - elapsed(), [this] { sendDueCalls(); });
   else
     drain();
 }
 
 void Runner::drain() {
   const Duration End = m_Plan.m_WarmUp + m_Plan.m_Measured;
-  if (m_Callers.open() > 0 && elapsed() < End + m_Plan.m_DrainLimit) {
-    m_Timers.after(DrainPollInterval, [this] { drain(); });
+  if (m_Callers.openCalls() > 0 && elapsed() < End + m_Plan.m_DrainLimit) {
+    m_Timers.runAfter(DrainPollInterval, [this] { drain(); });
     return;
   }
-  m_Callers.giveUp();
+  m_Callers.timeOutOpenCalls();
   // Calls without response headers end in a later iteration of the loop.
-  if (m_Callers.open() > 0)
-    m_Timers.after(DrainPollInterval, [this] { drain(); });
+  if (m_Callers.openCalls() > 0)
+    m_Timers.runAfter(DrainPollInterval, [this] { drain(); });
   else
-    finish();
+    runAudit();
 }
 
-void Runner::finish() {
-  m_Audit.finish(m_Recorder.delivered(), m_Recorder.toldByKey(),
-                 [this](const AuditResult &Audited) {
-                   RunResult Result = m_Recorder.result(m_Policy);
-                   Result.m_Audit = Audited;
-                   m_Done(std::move(Result));
-                 });
+void Runner::runAudit() {
+  m_Audit.compareRecords(m_Recorder.deliveredTokens(),
+                         m_Recorder.runStateByKey(),
+                         [this](const AuditResult &Audited) {
+                           RunResult Result = m_Recorder.result(m_Policy);
+                           Result.m_Audit = Audited;
+                           m_OnResult(std::move(Result));
+                         });
 }
 
 } // namespace crowstep::load
--- a/src/membership/dial_plan.cpp
+++ b/src/membership/dial_plan.cpp
@@ -31,21 +31,21 @@
   Actions.emplace_back(Dial{Candidate});
 }
 
-void DialPlan::expire(TimePoint Now, std::vector<Action> &Actions) {
+void DialPlan::expireProbes(TimePoint Now, std::vector<Action> &Actions) {
   for (auto Probe = m_Probes.begin(); Probe != m_Probes.end();) {
     if (Probe->second > Now) {
       ++Probe;
       continue;
     }
-    Actions.emplace_back(HangUp{Probe->first});
+    Actions.emplace_back(Disconnect{Probe->first});
     Probe = m_Probes.erase(Probe);
   }
 }
 
-std::optional<InstanceId> DialPlan::failed(const Address &Dialled,
-                                           std::vector<Action> &Actions) {
+std::optional<InstanceId> DialPlan::dialFailed(const Address &Dialled,
+                                               std::vector<Action> &Actions) {
   if (m_Probes.erase(Dialled) > 0)
-    Actions.emplace_back(HangUp{Dialled});
+    Actions.emplace_back(Disconnect{Dialled});
   const auto Found = m_Targets.find(Dialled);
   if (Found == m_Targets.end())
     return std::nullopt;
--- a/src/membership/dial_plan.h
+++ b/src/membership/dial_plan.h
@@ -23,11 +23,11 @@
              std::vector<Action> &Actions);
 
   /// Disconnects probes whose time has passed.
-  void expire(TimePoint Now, std::vector<Action> &Actions);
+  void expireProbes(TimePoint Now, std::vector<Action> &Actions);
 
   /// A dial failed: ends a probe, or returns the member that is the target.
-  std::optional<InstanceId> failed(const Address &Dialled,
-                                   std::vector<Action> &Actions);
+  std::optional<InstanceId> dialFailed(const Address &Dialled,
+                                       std::vector<Action> &Actions);
 
 private:
   std::map<Address, InstanceId> m_Targets; ///< Dialled permanently.
--- a/src/membership/member_view.cpp
+++ b/src/membership/member_view.cpp
@@ -21,29 +21,29 @@
 MemberView::MemberView(const Member &Self) { store(Self, TimePoint()); }
 
 MergeResult MemberView::merge(const Member &Update, TimePoint Now) {
-  const auto Found = m_Known.find(Update.m_Id);
-  if (Found == m_Known.end() && !isLive(Update.m_State))
-    return MergeResult::Nothing;
-  if (Found == m_Known.end() ||
+  const auto Found = m_Records.find(Update.m_Id);
+  if (Found == m_Records.end() && !isLive(Update.m_State))
+    return MergeResult::Unchanged;
+  if (Found == m_Records.end() ||
       Update.m_Incarnation > Found->second.m_Member.m_Incarnation) {
     store(Update, Now);
     return MergeResult::Joined;
   }
   const Member &Old = Found->second.m_Member;
   if (Update.m_Incarnation < Old.m_Incarnation)
-    return MergeResult::Nothing;
+    return MergeResult::Unchanged;
   Member Merged = Old;
   Merged.m_State = std::max(Old.m_State, Update.m_State);
   Merged.m_TableVersion = std::max(Old.m_TableVersion, Update.m_TableVersion);
   if (Merged == Old)
-    return MergeResult::Nothing;
+    return MergeResult::Unchanged;
   const bool SameState = Merged.m_State == Old.m_State;
   store(Merged, SameState ? Found->second.m_Since : Now);
-  return SameState ? MergeResult::VersionOnly : MergeResult::StateOnly;
+  return SameState ? MergeResult::VersionOnly : MergeResult::StateChanged;
 }
 
 void MemberView::store(const Member &Update, TimePoint Now) {
-  Known &Entry = m_Known[Update.m_Id];
+  MemberRecord &Entry = m_Records[Update.m_Id];
   if (!Entry.m_Member.m_Name.empty())
     m_Hash ^= hashOf(Entry.m_Member);
   Entry = {Update, Now};
@@ -55,9 +55,9 @@
   m_AllIsCurrent = false;
 }
 
-bool MemberView::forgetBefore(TimePoint Limit) {
+bool MemberView::removeTombstonesBefore(TimePoint Limit) {
   const std::size_t Forgotten =
-      std::erase_if(m_Known, [Limit](const auto &Record) {
+      std::erase_if(m_Records, [Limit](const auto &Record) {
         return !isLive(Record.second.m_Member.m_State) &&
                Record.second.m_Since < Limit;
       });
@@ -66,14 +66,14 @@
 }
 
 const Member *MemberView::find(InstanceId Id) const {
-  const auto Found = m_Known.find(Id);
-  return Found == m_Known.end() ? nullptr : &Found->second.m_Member;
+  const auto Found = m_Records.find(Id);
+  return Found == m_Records.end() ? nullptr : &Found->second.m_Member;
 }
 
 std::vector<InstanceId> MemberView::suspectsBefore(TimePoint Limit) const {
   std::vector<InstanceId> Result;
   for (const InstanceId Id : m_Suspects)
-    if (m_Known.at(Id).m_Since < Limit)
+    if (m_Records.at(Id).m_Since < Limit)
       Result.push_back(Id);
   return Result;
 }
@@ -81,7 +81,7 @@
 const std::vector<Member> &MemberView::all() const {
   if (!m_AllIsCurrent) {
     m_All.clear();
-    for (const auto &[Id, Entry] : m_Known)
+    for (const auto &[Id, Entry] : m_Records)
       m_All.push_back(Entry.m_Member);
     m_AllIsCurrent = true;
   }
--- a/src/membership/member_view.h
+++ b/src/membership/member_view.h
@@ -16,10 +16,10 @@
 
 /// What a merge changed.
 enum class MergeResult : std::uint8_t {
-  Nothing,     ///< The update is known or outdated.
-  VersionOnly, ///< Only the confirmed table version rose.
-  StateOnly,   ///< Higher state; the version may have risen too.
-  Joined,      ///< A new member or a higher incarnation.
+  Unchanged,    ///< The update is known or outdated.
+  VersionOnly,  ///< Only the confirmed table version rose.
+  StateChanged, ///< Higher state; the version may have risen too.
+  Joined,       ///< A new member or a higher incarnation.
 };
 
 /// All known members, including tombstones of those that died or left.
@@ -33,7 +33,7 @@
 
   /// Removes the members that died or left before \p Limit; returns whether
   /// there were any.
-  bool forgetBefore(TimePoint Limit);
+  bool removeTombstonesBefore(TimePoint Limit);
 
   /// Returns a member, or null.
   [[nodiscard]] const Member *find(InstanceId Id) const;
@@ -50,14 +50,15 @@
   [[nodiscard]] std::uint64_t hash() const { return m_Hash; }
 
 private:
-  struct Known {
+  struct MemberRecord {
     Member m_Member;   ///< As last merged.
     TimePoint m_Since; ///< When its state or incarnation changed.
   };
 
   void store(const Member &Update, TimePoint Now);
 
-  std::map<InstanceId, Known> m_Known; ///< By id; contains this process.
+  std::map<InstanceId, MemberRecord>
+      m_Records;                       ///< By id; contains this process.
   std::set<InstanceId> m_Suspects;     ///< Members in state Suspect.
   std::uint64_t m_Hash = 0;            ///< XOR over the live members.
   mutable std::vector<Member> m_All;   ///< Copy of m_Records, made on demand.
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -36,14 +36,16 @@
   void start() { tick(); }
   void handle(const Event &Incoming);
 
-  void perform(const Dial &Requested) { m_Transport.dial(Requested.m_Where); }
-  void perform(const HangUp &Requested) {
-    m_Transport.hangUp(Requested.m_Where);
+  void perform(const Dial &Requested) { m_Transport.dial(Requested.m_Address); }
+  void perform(const Disconnect &Requested) {
+    m_Transport.disconnect(Requested.m_Address);
+  }
+  void perform(const CloseLink &Requested) {
+    m_Transport.close(Requested.m_Link);
   }
-  void perform(const Drop &Requested) { m_Transport.close(Requested.m_Link); }
   void perform(const SendHeartbeat &Message) { send(Message); }
   void perform(const SendMembers &Message) { send(Message); }
-  void perform(const SendNews &Message) { send(Message); }
+  void perform(const SendUpdates &Message) { send(Message); }
   void perform(const Notice &Raised);
   void perform(const ViewChanged &Changed);
 
@@ -57,7 +59,7 @@
   void tick();
   void publishMajority();
   template <typename Message> void send(const Message &Outgoing) {
-    put(Outgoing, m_Transport.outbox(Outgoing.m_Link));
+    addToFrame(Outgoing, m_Transport.outbox(Outgoing.m_Link));
   }
 
   Timer m_Tick;                                   ///< Runs from start() on.
@@ -90,7 +92,7 @@
 }
 
 void Membership::Impl::publishMajority() {
-  const double IsInMajority = m_Core.hearsMajority(m_Clock.now()) ? 1 : 0;
+  const double IsInMajority = m_Core.isInMajority(m_Clock.now()) ? 1 : 0;
   if (IsInMajority == m_Majority.value())
     return;
   m_Majority.set(IsInMajority);
@@ -129,8 +131,8 @@
 
 void Membership::start() { m_Impl->start(); }
 
-void Membership::seed(const std::vector<Address> &Hints) {
-  m_Impl->handle(HintsGiven{Hints});
+void Membership::setHints(const std::vector<Address> &Hints) {
+  m_Impl->handle(HintsSet{Hints});
 }
 
 void Membership::linkUp(link::LinkId Link, const link::Peer &Remote) {
@@ -169,10 +171,10 @@
   m_Impl->handle(VersionConfirmed{Version});
 }
 
-bool Membership::hearsMajority() const {
+bool Membership::isInMajority() const {
   // Reads the clock anew: a process that was frozen must not rely on what it
   // received before.
-  return m_Impl->m_Core.hearsMajority(m_Impl->m_Clock.fresh());
+  return m_Impl->m_Core.isInMajority(m_Impl->m_Clock.readNow());
 }
 
 link::LinkId Membership::linkTo(InstanceId Id) const {
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -39,7 +39,7 @@
 
   /// Replaces the addresses (from the instance list or the settings) that are
   /// probed while no live member is known at them. They may be stale.
-  void seed(const std::vector<Address> &Hints);
+  void setHints(const std::vector<Address> &Hints);
 
   /// To be called on each event of the daemon's links; links to other roles
   /// than dispatchers are ignored.
@@ -64,7 +64,7 @@
   /// half of the reference members (those that were live when it last was) are
   /// alive in its view, and more than half of the live members that it watches,
   /// itself counted, sent a frame within the suspicion time.
-  [[nodiscard]] bool hearsMajority() const;
+  [[nodiscard]] bool isInMajority() const;
 
   /// Returns a direct link to a member, or none.
   [[nodiscard]] link::LinkId linkTo(InstanceId Id) const;
--- a/src/membership/membership_core.h
+++ b/src/membership/membership_core.h
@@ -21,7 +21,7 @@
 /// outdated updates from reviving its member. A process that was cut off for
 /// longer may revive a dead member, until those that then watch it detect that
 /// nothing answers.
-inline constexpr Duration RememberDead = std::chrono::minutes(10);
+inline constexpr Duration TombstoneRetention = std::chrono::minutes(10);
 
 /// The protocol state of one member.
 class MembershipCore {
@@ -34,7 +34,7 @@
 
   /// See Membership.
   [[nodiscard]] const std::vector<Member> &members() const;
-  [[nodiscard]] bool hearsMajority(TimePoint Now) const;
+  [[nodiscard]] bool isInMajority(TimePoint Now) const;
   [[nodiscard]] LinkId linkTo(InstanceId Id) const;
 
 private:
@@ -42,62 +42,62 @@
   void on(const PeerUp &Up);
   void on(const PeerDown &Down);
   void on(const DialFailed &Failure);
-  void on(const PeerHeard &Received);
-  void on(const HeartbeatHeard &Heartbeat);
-  void on(const MembersHeard &Received);
-  void on(const NewsHeard &Received);
-  void on(const HintsGiven &Set);
+  void on(const FrameReceived &Received);
+  void on(const HeartbeatReceived &Heartbeat);
+  void on(const MembersReceived &Received);
+  void on(const UpdatesReceived &Received);
+  void on(const HintsSet &Set);
   void on(const VersionConfirmed &Confirmed);
   void on(const Leave &Leaving);
 
-  void accept(const Member &Update);
-  void acceptAboutSelf(const Member &Update);
-  void accuse(InstanceId Id, MemberState State);
+  void applyUpdate(const Member &Update);
+  void applyUpdateAboutSelf(const Member &Update);
+  void reportFailure(InstanceId Id, MemberState State);
   void advanceRunningTime();
   void sendHeartbeat(LinkId Link);
   void sendHeartbeats();
-  void sendHeldVersions();
+  void sendPendingVersions();
   void probe();
   [[nodiscard]] std::vector<Address> probeCandidates() const;
-  void retarget();
-  void rebaseReference();
-  void countMajority();
-  void settle();
-  void notice(NoticeKind Kind, const Member &Subject);
+  void updateTargets();
+  void resetReference();
+  void updateViewMajority();
+  void finishEvent();
+  void addNotice(NoticeKind Kind, const Member &Subject);
   [[nodiscard]] const Member &self() const;
 
   MembershipConfig m_Config;
-  InstanceId m_Self;            ///< This member.
-  MemberView m_View;            ///< Always contains this member.
-  WatchList m_Watches;          ///< Detects silent members.
-  ViewExchange m_Exchange;      ///< Decides when to send the full view.
-  DialPlan m_Dials;             ///< Which addresses to dial.
-  std::vector<Address> m_Hints; ///< May be stale.
-  std::mt19937_64 m_Random;     ///< For the choice and the times of probes.
-  TimePoint m_Now;              ///< Time of the current event.
-  TimePoint m_LastTick;         ///< Real time, like m_Now.
-  TimePoint m_Running;          ///< Stands still while the process is frozen.
-  TimePoint m_NextHeartbeat;    ///< Real time of the next round.
-  TimePoint m_NextForget;       ///< On running time.
-  TimePoint m_NextProbe;        ///< Real time of the next probes.
-  std::uint64_t m_Sequence = 0; ///< Of the last round of heartbeats.
+  InstanceId m_Self;              ///< This member.
+  MemberView m_View;              ///< Always contains this member.
+  WatchList m_WatchList;          ///< Detects silent members.
+  ViewExchange m_Exchange;        ///< Decides when to send the full view.
+  DialPlan m_DialPlan;            ///< Which addresses to dial.
+  std::vector<Address> m_Hints;   ///< May be stale.
+  std::mt19937_64 m_Random;       ///< For the choice and the times of probes.
+  TimePoint m_Now;                ///< Time of the current event.
+  TimePoint m_LastTick;           ///< Real time, like m_Now.
+  TimePoint m_RunningTime;        ///< Stands still while the process is frozen.
+  TimePoint m_NextHeartbeat;      ///< Real time of the next round.
+  TimePoint m_NextTombstoneSweep; ///< On running time.
+  TimePoint m_NextProbe;          ///< Real time of the next probes.
+  std::uint64_t m_Sequence = 0;   ///< Of the last round of heartbeats.
   /// Members whose confirmed version is to be passed on, each with the links
   /// whose peers have it already.
-  std::map<InstanceId, std::set<LinkId>> m_Held;
+  std::map<InstanceId, std::set<LinkId>> m_PendingVersions;
   std::vector<InstanceId> m_Reference; ///< Live members when this process was
                                        ///< last in a majority.
-  bool m_ReferenceIsOld = false;       ///< The live members have changed since.
+  bool m_ReferenceIsStale = false;     ///< The live members have changed since.
   bool m_ViewHasMajority = true;       ///< More than half of m_Reference are
                                        ///< alive in m_View.
   bool m_Leaving = false;              ///< After Leave.
 
   // State of the current event:
-  std::vector<Action> m_Out;      ///< Returned by handle().
-  LinkId m_Source;                ///< Source of the update, if any.
-  std::vector<Member> m_Whole;    ///< Full records to be flooded.
-  std::vector<MemberNews> m_News; ///< Updates to be flooded.
-  bool m_ViewChanged = false;     ///< The view changed in any way.
-  bool m_LiveChanged = false;     ///< A state or an incarnation changed.
+  std::vector<Action> m_Actions;              ///< Returned by handle().
+  LinkId m_SourceLink;                        ///< Source of the update, if any.
+  std::vector<Member> m_MembersToFlood;       ///< Full records to be flooded.
+  std::vector<MemberUpdate> m_UpdatesToFlood; ///< Updates to be flooded.
+  bool m_ViewChanged = false;                 ///< The view changed in any way.
+  bool m_LiveChanged = false; ///< A state or an incarnation changed.
 };
 
 } // namespace crowstep::membership
--- a/src/membership/membership_event.h
+++ b/src/membership/membership_event.h
@@ -13,13 +13,13 @@
 using link::LinkId;
 
 /// The changeable fields of a member that the receiver knows already.
-struct MemberNews {
+struct MemberUpdate {
   InstanceId m_Id;                          ///< Of the member.
   Incarnation m_Incarnation;                ///< Of the start that it concerns.
   MemberState m_State = MemberState::Alive; ///< New state.
   TableVersion m_TableVersion;              ///< Confirmed version.
 
-  bool operator==(const MemberNews &) const = default;
+  bool operator==(const MemberUpdate &) const = default;
 };
 
 // ---- Events ----
@@ -34,34 +34,34 @@
 /// A link to another member closed.
 struct PeerDown {
   LinkId m_Link;
-  CloseReason m_Why = CloseReason::Local;
+  CloseReason m_Reason = CloseReason::Local;
 };
 /// A dial failed before the link was up.
 struct DialFailed {
-  Address m_Where; ///< The address dialled.
-  CloseReason m_Why = CloseReason::Local;
+  Address m_Address; ///< The address dialled.
+  CloseReason m_Reason = CloseReason::Local;
 };
 /// A frame arrived from a member, with any content.
-struct PeerHeard {
+struct FrameReceived {
   LinkId m_Link; ///< Source.
 };
 /// A member sent a heartbeat.
-struct HeartbeatHeard {
+struct HeartbeatReceived {
   LinkId m_Link;                ///< Source.
   std::uint64_t m_ViewHash = 0; ///< Of the sender's view.
 };
 /// A member sent full member records.
-struct MembersHeard {
+struct MembersReceived {
   LinkId m_Link;                 ///< Source.
   std::vector<Member> m_Members; ///< From the sender's view.
 };
 /// A member sent updates of members.
-struct NewsHeard {
-  LinkId m_Link;                  ///< Source.
-  std::vector<MemberNews> m_News; ///< From the sender's view.
+struct UpdatesReceived {
+  LinkId m_Link;                       ///< Source.
+  std::vector<MemberUpdate> m_Updates; ///< From the sender's view.
 };
 /// Addresses at which members may be reached.
-struct HintsGiven {
+struct HintsSet {
   std::vector<Address> m_Hints; ///< Replace the earlier ones.
 };
 /// This process has a table version in force.
@@ -71,22 +71,22 @@
 /// This process is about to stop.
 struct Leave {};
 
-using Event =
-    std::variant<Tick, PeerUp, PeerDown, DialFailed, PeerHeard, HeartbeatHeard,
-                 MembersHeard, NewsHeard, HintsGiven, VersionConfirmed, Leave>;
+using Event = std::variant<Tick, PeerUp, PeerDown, DialFailed, FrameReceived,
+                           HeartbeatReceived, MembersReceived, UpdatesReceived,
+                           HintsSet, VersionConfirmed, Leave>;
 
 // ---- Actions ----
 
 /// Keep a link to this address.
 struct Dial {
-  Address m_Where; ///< Of a member or a hint.
+  Address m_Address; ///< Of a member or a hint.
 };
 /// Close the link to this address and stop dialling it.
-struct HangUp {
-  Address m_Where; ///< Of an earlier Dial.
+struct Disconnect {
+  Address m_Address; ///< Of an earlier Dial.
 };
 /// Close one link; if this process dialled it, it is dialled again.
-struct Drop {
+struct CloseLink {
   LinkId m_Link;
 };
 /// Send a heartbeat.
@@ -102,9 +102,9 @@
   std::vector<Member> m_Members;
 };
 /// Send updates of members.
-struct SendNews {
+struct SendUpdates {
   LinkId m_Link; ///< Destination.
-  std::vector<MemberNews> m_News;
+  std::vector<MemberUpdate> m_Updates;
 };
 
 /// Occurrences that are counted and logged.
@@ -126,8 +126,8 @@
 /// The result of members() changed.
 struct ViewChanged {};
 
-using Action = std::variant<Dial, HangUp, Drop, SendHeartbeat, SendMembers,
-                            SendNews, Notice, ViewChanged>;
+using Action = std::variant<Dial, Disconnect, CloseLink, SendHeartbeat,
+                            SendMembers, SendUpdates, Notice, ViewChanged>;
 
 } // namespace crowstep::membership
 
--- a/src/membership/membership_type.h
+++ b/src/membership/membership_type.h
@@ -40,8 +40,9 @@
 
 /// Returns at most \p Count live members, in descending order of their
 /// rendezvous score for \p Key.
-std::vector<const Member *> homesOf(std::uint64_t Key, std::size_t Count,
-                                    const std::vector<Member> &Members);
+std::vector<const Member *>
+topRankedMembers(std::uint64_t Key, std::size_t Count,
+                 const std::vector<Member> &Members);
 
 } // namespace crowstep::membership
 
--- a/src/membership/membership_wire.cpp
+++ b/src/membership/membership_wire.cpp
@@ -13,8 +13,8 @@
   return State <= wire::MemberState::MAX;
 }
 
-MembersHeard membersIn(LinkId Link, const wire::Frame &Frame) {
-  MembersHeard Result{Link, {}};
+MembersReceived membersIn(LinkId Link, const wire::Frame &Frame) {
+  MembersReceived Result{Link, {}};
   for (const wire::Member *Source : *Frame.members()) {
     const Member Read = memberOf(*Source);
     if (isValid(Source->state()) && !Read.m_Name.empty() &&
@@ -24,14 +24,14 @@
   return Result;
 }
 
-NewsHeard updatesIn(LinkId Link, const wire::Frame &Frame) {
-  NewsHeard Result{Link, {}};
+UpdatesReceived updatesIn(LinkId Link, const wire::Frame &Frame) {
+  UpdatesReceived Result{Link, {}};
   for (const wire::MemberNews *Source : *Frame.member_news())
     if (isValid(Source->state()))
-      Result.m_News.push_back({InstanceId(Source->instance()),
-                               Incarnation(Source->incarnation()),
-                               static_cast<MemberState>(Source->state()),
-                               TableVersion(Source->table_version())});
+      Result.m_Updates.push_back({InstanceId(Source->instance()),
+                                  Incarnation(Source->incarnation()),
+                                  static_cast<MemberState>(Source->state()),
+                                  TableVersion(Source->table_version())});
   return Result;
 }
 
@@ -72,30 +72,31 @@
 }
 
 std::vector<Event> eventsOf(LinkId Link, const wire::Frame &Frame) {
-  std::vector<Event> Result{PeerHeard{Link}};
+  std::vector<Event> Result{FrameReceived{Link}};
   if (Frame.members() != nullptr)
     Result.emplace_back(membersIn(Link, Frame));
   if (Frame.member_news() != nullptr)
     Result.emplace_back(updatesIn(Link, Frame));
   if (Frame.heartbeat() != nullptr)
-    Result.emplace_back(HeartbeatHeard{Link, Frame.heartbeat()->view_hash()});
+    Result.emplace_back(
+        HeartbeatReceived{Link, Frame.heartbeat()->view_hash()});
   return Result;
 }
 
-void put(const SendMembers &Message, wire::FrameT &Frame) {
+void addToFrame(const SendMembers &Message, wire::FrameT &Frame) {
   for (const Member &Sent : Message.m_Members)
     Frame.members.push_back(wireOf(Sent));
 }
 
-void put(const SendNews &Message, wire::FrameT &Frame) {
-  for (const MemberNews &Update : Message.m_News)
+void addToFrame(const SendUpdates &Message, wire::FrameT &Frame) {
+  for (const MemberUpdate &Update : Message.m_Updates)
     Frame.member_news.emplace_back(
         Update.m_Id.value(), Update.m_Incarnation.value(),
         Update.m_TableVersion.value(),
         static_cast<wire::MemberState>(Update.m_State));
 }
 
-void put(const SendHeartbeat &Message, wire::FrameT &Frame) {
+void addToFrame(const SendHeartbeat &Message, wire::FrameT &Frame) {
   // The frame may contain a heartbeat already.
   if (!Frame.heartbeat)
     Frame.heartbeat = std::make_unique<wire::HeartbeatT>();
--- a/src/membership/membership_wire.h
+++ b/src/membership/membership_wire.h
@@ -19,9 +19,9 @@
 std::vector<Event> eventsOf(LinkId Link, const wire::Frame &Frame);
 
 /// Adds a message to the frame under assembly.
-void put(const SendMembers &Message, wire::FrameT &Frame);
-void put(const SendNews &Message, wire::FrameT &Frame);
-void put(const SendHeartbeat &Message, wire::FrameT &Frame);
+void addToFrame(const SendMembers &Message, wire::FrameT &Frame);
+void addToFrame(const SendUpdates &Message, wire::FrameT &Frame);
+void addToFrame(const SendHeartbeat &Message, wire::FrameT &Frame);
 
 } // namespace crowstep::membership
 
--- a/src/membership/rendezvous.cpp
+++ b/src/membership/rendezvous.cpp
@@ -25,8 +25,9 @@
   return Best;
 }
 
-std::vector<const Member *> homesOf(std::uint64_t Key, std::size_t Count,
-                                    const std::vector<Member> &Members) {
+std::vector<const Member *>
+topRankedMembers(std::uint64_t Key, std::size_t Count,
+                 const std::vector<Member> &Members) {
   std::vector<std::pair<std::uint64_t, const Member *>> Scored;
   for (const Member &Candidate : Members)
     if (isLive(Candidate.m_State))
--- a/src/membership/view_exchange.cpp
+++ b/src/membership/view_exchange.cpp
@@ -11,19 +11,20 @@
 
 } // namespace
 
-bool ViewExchange::differs(LinkId Link, std::uint64_t Own,
-                           std::uint64_t Theirs) {
-  const auto [Found, IsNew] = m_Last.try_emplace(Link);
-  Seen &Last = Found->second;
+bool ViewExchange::shouldSendView(LinkId Link, std::uint64_t Own,
+                                  std::uint64_t Theirs) {
+  const auto [Found, IsNew] = m_LastHashes.try_emplace(Link);
+  LinkHashes &Last = Found->second;
   const bool Same = Own == Theirs;
   const bool Unchanged =
-      Last.m_Count > 0 && Last.m_Own == Own && Last.m_Theirs == Theirs;
+      Last.m_DifferingCount > 0 && Last.m_Own == Own && Last.m_Theirs == Theirs;
   Last.m_Own = Own;
   Last.m_Theirs = Theirs;
-  Last.m_Count = Same ? 0 : Last.m_Count + 1;
-  if (Same || !(IsNew || Unchanged || Last.m_Count >= MaxDifferingHeartbeats))
+  Last.m_DifferingCount = Same ? 0 : Last.m_DifferingCount + 1;
+  if (Same ||
+      !(IsNew || Unchanged || Last.m_DifferingCount >= MaxDifferingHeartbeats))
     return false;
-  Last.m_Count = 0;
+  Last.m_DifferingCount = 0;
   return true;
 }
 
--- a/src/membership/view_exchange.h
+++ b/src/membership/view_exchange.h
@@ -19,19 +19,20 @@
   /// neither hash has changed since the last heartbeat, or after several
   /// differing heartbeats in a row. While hashes change, updates are still
   /// under way, and each change would cost a full view.
-  bool differs(LinkId Link, std::uint64_t Own, std::uint64_t Theirs);
+  bool shouldSendView(LinkId Link, std::uint64_t Own, std::uint64_t Theirs);
 
   /// Removes a closed link.
-  void drop(LinkId Link) { m_Last.erase(Link); }
+  void removeLink(LinkId Link) { m_LastHashes.erase(Link); }
 
 private:
-  struct Seen {
-    std::uint64_t m_Own = 0;    ///< At the last heartbeat.
-    std::uint64_t m_Theirs = 0; ///< In the last heartbeat.
-    std::uint32_t m_Count = 0;  ///< Differing heartbeats in a row
-                                ///< since the last exchange.
+  struct LinkHashes {
+    std::uint64_t m_Own = 0;            ///< At the last heartbeat.
+    std::uint64_t m_Theirs = 0;         ///< In the last heartbeat.
+    std::uint32_t m_DifferingCount = 0; ///< Differing heartbeats in a row
+                                        ///< since the last exchange.
   };
-  std::map<LinkId, Seen> m_Last; ///< By link; since its first heartbeat.
+  std::map<LinkId, LinkHashes>
+      m_LastHashes; ///< By link; since its first heartbeat.
 };
 
 } // namespace crowstep::membership
--- a/src/membership/watch_list.cpp
+++ b/src/membership/watch_list.cpp
@@ -21,7 +21,7 @@
                        TimePoint Now) {
   m_Links[Link] = Peer;
   m_Watches[Peer].m_Links.insert(Link);
-  heard(Link, RunningTime, Now);
+  frameReceived(Link, RunningTime, Now);
 }
 
 void WatchList::linkDown(LinkId Link, CloseReason Reason) {
@@ -32,19 +32,20 @@
   m_Links.erase(Found);
   Watched.m_Links.erase(Link);
   Watched.m_ClosedByPeer = Reason == CloseReason::PeerClosed;
-  dropUnused();
+  removeUnused();
 }
 
-void WatchList::heard(LinkId Link, TimePoint RunningTime, TimePoint Now) {
+void WatchList::frameReceived(LinkId Link, TimePoint RunningTime,
+                              TimePoint Now) {
   const auto Found = m_Links.find(Link);
   if (Found == m_Links.end())
     return;
   Watch &Watched = m_Watches.at(Found->second);
-  Watched.m_HeardRunning = RunningTime;
-  Watched.m_HeardNow = Now;
-  Watched.m_Patience = 1;
+  Watched.m_LastReceivedRunning = RunningTime;
+  Watched.m_LastReceivedReal = Now;
+  Watched.m_TimeoutFactor = 1;
   Watched.m_ClosedByPeer = false;
-  Watched.m_Accused = false;
+  Watched.m_FailureReported = false;
 }
 
 void WatchList::setTargets(const std::set<InstanceId> &Targets,
@@ -55,26 +56,26 @@
     const auto [Found, IsNew] = m_Watches.try_emplace(Id);
     Found->second.m_IsTarget = true;
     if (IsNew)
-      Found->second.m_HeardRunning = RunningTime;
+      Found->second.m_LastReceivedRunning = RunningTime;
   }
-  dropUnused();
+  removeUnused();
 }
 
 bool WatchList::isSilent(const Watch &Watched, TimePoint RunningTime) const {
-  return RunningTime - Watched.m_HeardRunning >
-         m_SuspectAfter * Watched.m_Patience;
+  return RunningTime - Watched.m_LastReceivedRunning >
+         m_SuspectAfter * Watched.m_TimeoutFactor;
 }
 
-bool WatchList::allSilent(TimePoint RunningTime) const {
+bool WatchList::areAllSilent(TimePoint RunningTime) const {
   return m_Watches.size() >= 2 &&
          std::ranges::all_of(m_Watches, [&](const auto &Entry) {
            return isSilent(Entry.second, RunningTime);
          });
 }
 
-std::vector<InstanceId> WatchList::silent(TimePoint RunningTime) const {
+std::vector<InstanceId> WatchList::silentPeers(TimePoint RunningTime) const {
   const TimePoint Limit =
-      allSilent(RunningTime)
+      areAllSilent(RunningTime)
           ? RunningTime - m_SuspectAfter * (AllSilentFactor - 1)
           : RunningTime;
   std::vector<InstanceId> Result;
@@ -84,38 +85,40 @@
   return Result;
 }
 
-void WatchList::accused(InstanceId Peer) {
+void WatchList::recordFailureReport(InstanceId Peer) {
   const auto Found = m_Watches.find(Peer);
   if (Found != m_Watches.end())
-    Found->second.m_Accused = true;
+    Found->second.m_FailureReported = true;
 }
 
-std::vector<LinkId> WatchList::vouched(InstanceId Peer, TimePoint RunningTime) {
+std::vector<LinkId> WatchList::handleRefutation(InstanceId Peer,
+                                                TimePoint RunningTime) {
   const auto Found = m_Watches.find(Peer);
-  if (Found == m_Watches.end() || !Found->second.m_Accused)
+  if (Found == m_Watches.end() || !Found->second.m_FailureReported)
     return {};
   Watch &Watched = Found->second;
-  Watched.m_Accused = false;
-  Watched.m_HeardRunning = RunningTime;
-  Watched.m_Patience = std::min(Watched.m_Patience * 2, MaxTimeoutFactor);
+  Watched.m_FailureReported = false;
+  Watched.m_LastReceivedRunning = RunningTime;
+  Watched.m_TimeoutFactor =
+      std::min(Watched.m_TimeoutFactor * 2, MaxTimeoutFactor);
   return {Watched.m_Links.begin(), Watched.m_Links.end()};
 }
 
-bool WatchList::closedByPeer(InstanceId Peer) const {
+bool WatchList::wasClosedByPeer(InstanceId Peer) const {
   const auto Found = m_Watches.find(Peer);
   return Found != m_Watches.end() && Found->second.m_Links.empty() &&
          Found->second.m_ClosedByPeer;
 }
 
-bool WatchList::hearsMost(TimePoint Now,
-                          const std::function<bool(InstanceId)> &Counts) const {
+bool WatchList::receivedFromMajority(
+    TimePoint Now, const std::function<bool(InstanceId)> &Counts) const {
   std::size_t Total = 1;
   std::size_t Received = 1;
   for (const auto &[Id, Watched] : m_Watches) {
     if (!Counts(Id))
       continue;
     ++Total;
-    Received += Now - Watched.m_HeardNow <= m_SuspectAfter ? 1 : 0;
+    Received += Now - Watched.m_LastReceivedReal <= m_SuspectAfter ? 1 : 0;
   }
   return Received * 2 > Total;
 }
@@ -132,7 +135,7 @@
   return Found == m_Links.end() ? InstanceId() : Found->second;
 }
 
-void WatchList::dropUnused() {
+void WatchList::removeUnused() {
   std::erase_if(m_Watches, [](const auto &Entry) {
     return !Entry.second.m_IsTarget && Entry.second.m_Links.empty();
   });
--- a/src/membership/watch_list.h
+++ b/src/membership/watch_list.h
@@ -25,7 +25,7 @@
               TimePoint Now);
   void linkDown(LinkId Link, CloseReason Reason);
   /// A frame arrived.
-  void heard(LinkId Link, TimePoint RunningTime, TimePoint Now);
+  void frameReceived(LinkId Link, TimePoint RunningTime, TimePoint Now);
 
   /// Replaces the targets, which are watched even without a link.
   void setTargets(const std::set<InstanceId> &Targets, TimePoint RunningTime);
@@ -33,28 +33,30 @@
   /// Returns the members silent for longer than their suspicion time. While
   /// everyone watched is silent, the fault is likely this process's own, and
   /// two more suspicion times must pass before any of them is returned.
-  [[nodiscard]] std::vector<InstanceId> silent(TimePoint RunningTime) const;
+  [[nodiscard]] std::vector<InstanceId>
+  silentPeers(TimePoint RunningTime) const;
 
   /// Returns whether all watched members, and at least two, are silent.
-  [[nodiscard]] bool allSilent(TimePoint RunningTime) const;
+  [[nodiscard]] bool areAllSilent(TimePoint RunningTime) const;
 
   /// Records that this process has reported \p Peer as suspect or dead.
-  void accused(InstanceId Peer);
+  void recordFailureReport(InstanceId Peer);
 
   /// An update shows that \p Peer is alive. If this process had reported a
   /// failure of it, its own path to the peer is at fault: returns the links to
   /// close and doubles the suspicion time of the peer, until a frame of it
   /// arrives.
-  std::vector<LinkId> vouched(InstanceId Peer, TimePoint RunningTime);
+  std::vector<LinkId> handleRefutation(InstanceId Peer, TimePoint RunningTime);
 
   /// Returns whether \p Peer has no link left and closed the last one itself.
-  [[nodiscard]] bool closedByPeer(InstanceId Peer) const;
+  [[nodiscard]] bool wasClosedByPeer(InstanceId Peer) const;
 
   /// Returns whether frames of more than half of the watched members for which
   /// \p Counts holds, this process counted in both, arrived within the
   /// suspicion time.
   [[nodiscard]] bool
-  hearsMost(TimePoint Now, const std::function<bool(InstanceId)> &Counts) const;
+  receivedFromMajority(TimePoint Now,
+                       const std::function<bool(InstanceId)> &Counts) const;
 
   /// Returns the link with the lowest id to a member, or none.
   [[nodiscard]] LinkId linkTo(InstanceId Peer) const;
@@ -69,18 +71,19 @@
 
 private:
   struct Watch {
-    std::set<LinkId> m_Links;                     ///< Those that are up.
-    TimePoint m_HeardRunning;                     ///< Or start of the watch.
-    TimePoint m_HeardNow{-std::chrono::hours(1)}; ///< Initially long ago.
-    std::uint32_t m_Patience = 1; ///< Multiplies the suspicion time.
-    bool m_IsTarget = false;      ///< Watched even without a link.
-    bool m_ClosedByPeer = false;  ///< How the last link was closed.
-    bool m_Accused = false;       ///< By this process, and not refuted since.
+    std::set<LinkId> m_Links;        ///< Those that are up.
+    TimePoint m_LastReceivedRunning; ///< Or start of the watch.
+    TimePoint m_LastReceivedReal{
+        -std::chrono::hours(1)};       ///< Initially long ago.
+    std::uint32_t m_TimeoutFactor = 1; ///< Multiplies the suspicion time.
+    bool m_IsTarget = false;           ///< Watched even without a link.
+    bool m_ClosedByPeer = false;       ///< How the last link was closed.
+    bool m_FailureReported = false; ///< By this process, and not refuted since.
   };
 
   [[nodiscard]] bool isSilent(const Watch &Watched,
                               TimePoint RunningTime) const;
-  void dropUnused();
+  void removeUnused();
 
   Duration m_SuspectAfter;               ///< Of silence; > 0.
   std::map<InstanceId, Watch> m_Watches; ///< Targets and linked peers.
--- a/src/platform/platform_client.cpp
+++ b/src/platform/platform_client.cpp
@@ -90,9 +90,9 @@
 
 } // namespace
 
-PlatformClient::PlatformClient(HttpCaller &Http, Address Where,
+PlatformClient::PlatformClient(HttpClientInterface &Http, Address Where,
                                Duration Timeout, Metrics &Stats)
-    : m_Http(Http), m_Where(Where), m_Timeout(Timeout),
+    : m_Http(Http), m_Address(Where), m_Timeout(Timeout),
       m_Reads(Stats.counter("crowstep_platform_calls_total",
                             {{"kind", "table_read"}})),
       m_Writes(Stats.counter("crowstep_platform_calls_total",
@@ -104,7 +104,7 @@
                            std::function<void(WriteResult)> Done) {
   m_Writes.add();
   const std::size_t Count = Writes.size();
-  const HttpCall Call{"POST", m_Where,
+  const HttpCall Call{"POST", m_Address,
                       "/v1/tables/" + escaped(Table) + "/write",
                       encodeWrites(Writes), m_Timeout};
   m_Http.call(
@@ -120,7 +120,7 @@
 void PlatformClient::readRows(const std::string &Path,
                               std::function<void(ReadResult)> Done) {
   m_Reads.add();
-  m_Http.call({"GET", m_Where, Path, "", m_Timeout},
+  m_Http.call({"GET", m_Address, Path, "", m_Timeout},
               [this, Done = std::move(Done)](const HttpResult &Result) {
                 const auto Decode = [](const std::string &Body) -> ReadResult {
                   return decodeRows(Body);
@@ -144,7 +144,7 @@
 
 void PlatformClient::put(const std::string &Name, const std::string &Content,
                          std::function<void(PutResult)> Done) {
-  const HttpCall Call{"PUT", m_Where, "/v1/objects/" + escaped(Name), Content,
+  const HttpCall Call{"PUT", m_Address, "/v1/objects/" + escaped(Name), Content,
                       m_Timeout};
   m_Http.call(Call, [this, Done = std::move(Done)](const HttpResult &Result) {
     const auto Decode = [](const std::string &) -> PutResult {
@@ -157,7 +157,7 @@
 
 void PlatformClient::get(const std::string &Name,
                          std::function<void(GetResult)> Done) {
-  const HttpCall Call{"GET", m_Where, "/v1/objects/" + escaped(Name), "",
+  const HttpCall Call{"GET", m_Address, "/v1/objects/" + escaped(Name), "",
                       m_Timeout};
   m_Http.call(Call, [this, Done = std::move(Done)](const HttpResult &Result) {
     const auto *Answer = std::get_if<HttpAnswer>(&Result);
@@ -174,7 +174,7 @@
 }
 
 void PlatformClient::fetch(std::function<void(Result)> Done) {
-  m_Http.call({"GET", m_Where, "/v1/instances", "", m_Timeout},
+  m_Http.call({"GET", m_Address, "/v1/instances", "", m_Timeout},
               [this, Done = std::move(Done)](const HttpResult &Answer) {
                 const auto Decode = [](const std::string &Body) -> Result {
                   return decodeInstances(Body);
--- a/src/platform/platform_client.h
+++ b/src/platform/platform_client.h
@@ -30,7 +30,7 @@
                              public ObjectStore,
                              public InstanceList {
 public:
-  PlatformClient(HttpCaller &Http, Address Where, Duration Timeout,
+  PlatformClient(HttpClientInterface &Http, Address Where, Duration Timeout,
                  Metrics &Stats);
 
   void write(const std::string &Table, std::vector<RowWrite> Writes,
@@ -48,12 +48,12 @@
 private:
   void readRows(const std::string &Path, std::function<void(ReadResult)> Done);
 
-  HttpCaller &m_Http;  ///< Outlives the client.
-  Address m_Where;     ///< The platform's server.
-  Duration m_Timeout;  ///< Of each call.
-  Counter &m_Reads;    ///< Calls that read the table service.
-  Counter &m_Writes;   ///< Calls that write to it.
-  Counter &m_Failures; ///< Calls without an outcome.
+  HttpClientInterface &m_Http; ///< Outlives the client.
+  Address m_Address;           ///< The platform's server.
+  Duration m_Timeout;          ///< Of each call.
+  Counter &m_Reads;            ///< Calls that read the table service.
+  Counter &m_Writes;           ///< Calls that write to it.
+  Counter &m_Failures;         ///< Calls without an outcome.
 };
 
 } // namespace crowstep::platform
--- a/src/platform/platform_codec.cpp
+++ b/src/platform/platform_codec.cpp
@@ -35,7 +35,7 @@
   Result.m_Written = Value.at("written").get<bool>();
   const json &Present = Value.at("row");
   if (!Present.is_null())
-    Result.m_Present = rowOf(Present);
+    Result.m_CurrentRow = rowOf(Present);
   return Result;
 }
 
@@ -69,7 +69,7 @@
   Result.m_Address = parseAddress(Value.at("address").get<std::string>());
   Result.m_Zone.m_Name = Value.at("zone").get<std::string>();
   Result.m_Kind = kindOf(Value);
-  Result.m_Leaving = Value.value("leaving", false);
+  Result.m_Draining = Value.value("leaving", false);
   return Result;
 }
 
--- a/src/platform/platform_type.h
+++ b/src/platform/platform_type.h
@@ -36,8 +36,8 @@
 
 /// Outcome of one conditional write.
 struct RowOutcome {
-  bool m_Written = false;       ///< False: the version differed.
-  std::optional<Row> m_Present; ///< The row after the call, if it exists.
+  bool m_Written = false;          ///< False: the version differed.
+  std::optional<Row> m_CurrentRow; ///< The row after the call, if it exists.
 };
 
 /// Why a call to the platform has no outcome.
@@ -83,9 +83,9 @@
 /// An instance of crowstep in the platform's list.
 struct ListedInstance {
   std::string m_Name;      ///< Its hash is the InstanceId.
-  Address m_Link;          ///< Where its dispatcher accepts links.
+  Address m_LinkAddress;   ///< Where its dispatcher accepts links.
   AvailabilityZone m_Zone; ///< Zone of the instance.
-  bool m_Leaving = false;  ///< The platform is about to remove it.
+  bool m_Draining = false; ///< The platform is about to remove it.
 };
 
 /// The instance list, which may be out of date.
--- a/src/refusal_type.h
+++ b/src/refusal_type.h
@@ -57,7 +57,7 @@
 enum class RetryReason : std::uint8_t {
   ConnectFailed,    ///< No connection; nothing was sent.
   UpstreamRefused,  ///< The upstream stated that it did not run the call.
-  UpstreamLeaving,  ///< The upstream is draining.
+  UpstreamDraining, ///< The upstream is draining.
   ClosedBeforeByte, ///< Closed before any byte of the answer to a
                     ///< repeatable call.
   ClosedMidStream,  ///< Resumed after the tokens that the caller has.
--- a/src/upstream_type.h
+++ b/src/upstream_type.h
@@ -48,7 +48,7 @@
   Address m_Address;                    ///< Where its HTTP server listens.
   AvailabilityZone m_Zone;              ///< For the distance to callers.
   UpstreamKind m_Kind = PlainService{}; ///< Engine or plain service.
-  bool m_Leaving = false;               ///< Must get no new work.
+  bool m_Draining = false;              ///< Must get no new work.
 };
 
 /// Returns how many calls an upstream can run at once; at least 1.
--- a/tests/benchmark/connections_benchmark.cpp
+++ b/tests/benchmark/connections_benchmark.cpp
@@ -95,9 +95,9 @@
   LoopClock Clock;
   LoopScheduler Timers;
   BusyUpstream Upstream;
-  HttpUpstreamCaller Caller(Clock, Timers);
+  HttpUpstreamClient Caller(Clock, Timers);
   std::vector<std::unique_ptr<ForwardedCall>> Open;
-  Front Callers(
+  Frontend Callers(
       {1000, 4096, 10s, 600s}, [](RefusalReason) {}, Timers);
   Address ListenAddress;
   {
@@ -109,11 +109,11 @@
       [&](const IncomingRequest &, std::unique_ptr<crowstep::Caller> AnswerTo) {
         Open.push_back(std::make_unique<ForwardedCall>());
         Open.back()->m_Caller = std::move(AnswerTo);
-        UpstreamSend Request;
-        Request.m_Where = Upstream.m_Address;
+        UpstreamRequest Request;
+        Request.m_Address = Upstream.m_Address;
         Request.m_Path = "/x";
         Request.m_Repeatable = true;
-        Request.m_SendBefore = Clock.fresh() + 10s;
+        Request.m_SendDeadline = Clock.readNow() + 10s;
         Open.back()->m_Call = Caller.send(Request, *Open.back());
       });
   std::atomic<bool> Served = false;
--- a/tests/benchmark/placing_benchmark.cpp
+++ b/tests/benchmark/placing_benchmark.cpp
@@ -17,8 +17,8 @@
   PlacementQuery Result;
   Result.m_Service = "model";
   Result.m_Urgency = 5;
-  Result.m_Target = 1500ms;
-  Result.m_LongestPause = 600ms;
+  Result.m_LatencyTarget = 1500ms;
+  Result.m_MaxPause = 600ms;
   Result.m_Prompt = {{{Number % 4, 2500},
                       {100 + Number % Prefixes, 3800},
                       {100000 + Number, 2900}},
@@ -46,15 +46,16 @@
   }
   Balancer Gateway({"a"});
   Gateway.setUpstreams(List);
-  Gateway.setCacheTokens("model", 260000);
-  Gateway.peerSaid(InstanceId(1), PeerDigest, TimePoint(1s));
+  Gateway.setCacheCapacity("model", 260000);
+  Gateway.applyPeerDigest(InstanceId(1), PeerDigest, TimePoint(1s));
   std::uint64_t Number = 0;
   for (auto _ : State) {
     const PlacementResult Result =
         Gateway.place(longCall(++Number), TimePoint(1s));
     if (const auto *Placement = std::get_if<Placed>(&Result)) {
-      Gateway.answered(Placement->m_Ticket, TimePoint(1s));
-      Gateway.ended(Placement->m_Ticket, CallOutcome::Served, TimePoint(1s));
+      Gateway.recordFirstEvent(Placement->m_Ticket, TimePoint(1s));
+      Gateway.recordCallEnd(Placement->m_Ticket, CallOutcome::Served,
+                            TimePoint(1s));
     }
     if (Number % 100 == 0)
       benchmark::DoNotOptimize(Gateway.takeDigest(TimePoint(1s)));
--- a/tests/process/at_most_once_test.cpp
+++ b/tests/process/at_most_once_test.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 /// Results of all requests with one key.
-using CallResults = std::vector<std::shared_ptr<const Told>>;
+using CallResults = std::vector<std::shared_ptr<const CallResult>>;
 
 /// Sends keyed "hold" requests, each key twice through different entries, keeps
 /// their results, and compares them with the records of the upstreams.
@@ -35,9 +35,9 @@
   }
 
   void send(const std::string &Key, std::size_t Entry) {
-    Call Request = m_Fleet.desk(Entry % m_Fleet.instances().size(), "hold", Key,
-                                "{\"seat\":\"" + Key + "\"}");
-    Request.m_Limit = 12s;
+    Call Request = m_Fleet.deskCall(Entry % m_Fleet.instances().size(), "hold",
+                                    Key, "{\"seat\":\"" + Key + "\"}");
+    Request.m_Timeout = 12s;
     m_Results[Key].push_back(m_Fleet.caller().start(Request));
   }
 
@@ -59,8 +59,8 @@
   /// records of the upstreams.
   void checkAgainstRecords() {
     std::map<std::string, std::size_t> Ran;
-    for (const RanCall &Record : m_Fleet.ran("desk"))
-      ++Ran[Record.m_Key];
+    for (const RecordedCall &Record : m_Fleet.recordedCalls("desk"))
+      ++Ran[Record.m_IdempotencyKey];
     std::size_t Answered = 0;
     for (const auto &[Key, Results] : m_Results) {
       BOOST_TEST(Ran[Key] <= 1U, Key + " ran " + std::to_string(Ran[Key]));
@@ -118,7 +118,7 @@
   TestFleet.instances()[1].m_Entry->kill();
   BOOST_TEST(runUntil([&] { return Callers.allEnded(); }, 20s));
   TestFleet.startInstance(1);
-  TestFleet.waitReady(1, 10s);
+  TestFleet.waitUntilReady(1, 10s);
   Callers.resendAll();
   BOOST_TEST(runUntil([&] { return Callers.allEnded(); }, 20s));
   Callers.checkAgainstRecords();
@@ -130,10 +130,10 @@
   Fleet TestFleet(slowDesk());
   TestFleet.start();
   KeyedCallers Callers(TestFleet);
-  TestFleet.platformFault("tables", "drop_answer", 0, 12);
+  TestFleet.setPlatformFault("tables", "drop_answer", 0, 12);
   Callers.sendWave(30);
   BOOST_TEST(runUntil([&] { return Callers.allEnded(); }, 30s));
-  TestFleet.platformFault("tables", "none");
+  TestFleet.setPlatformFault("tables", "none");
   Callers.resendAll();
   BOOST_TEST(runUntil([&] { return Callers.allEnded(); }, 20s));
   Callers.checkAgainstRecords();
@@ -166,14 +166,14 @@
   KeyedCallers Callers(TestFleet);
   const std::string Owner = TestFleet.ownerOf("desk");
   BOOST_TEST(!Owner.empty());
-  TestFleet.platformFault("tables", "drop_answer", 0, 6);
+  TestFleet.setPlatformFault("tables", "drop_answer", 0, 6);
   Callers.sendWave(30);
   runFor(40ms);
   for (TestInstance &Instance : TestFleet.instances())
     if (Instance.m_Name == Owner)
       Instance.m_Dispatcher->kill();
   BOOST_TEST(runUntil([&] { return Callers.allEnded(); }, 30s));
-  TestFleet.platformFault("tables", "none");
+  TestFleet.setPlatformFault("tables", "none");
   Callers.resendAll();
   BOOST_TEST(runUntil([&] { return Callers.allEnded(); }, 30s));
   Callers.checkAgainstRecords();
@@ -185,18 +185,18 @@
 BOOST_AUTO_TEST_CASE(OutageRefusesHoldsAndServesChecks) {
   Fleet TestFleet(slowDesk());
   TestFleet.start();
-  TestFleet.platformFault("tables", "refuse");
-  const Told Hold = TestFleet.caller().call(
-      TestFleet.desk(0, "hold", "outage-1", "{\"seat\":1}"));
+  TestFleet.setPlatformFault("tables", "refuse");
+  const CallResult Hold = TestFleet.caller().call(
+      TestFleet.deskCall(0, "hold", "outage-1", "{\"seat\":1}"));
   BOOST_TEST(Hold.m_Status == 503U, Hold.m_Body);
-  BOOST_TEST(Hold.code() == "claim_unavailable");
+  BOOST_TEST(Hold.errorCode() == "claim_unavailable");
   BOOST_TEST(Hold.m_Run == "not-run");
   BOOST_TEST(!Hold.m_RetryAfter.empty());
-  const Told Check =
-      TestFleet.caller().call(TestFleet.desk(0, "check", "", "{\"pass\":1}"));
+  const CallResult Check = TestFleet.caller().call(
+      TestFleet.deskCall(0, "check", "", "{\"pass\":1}"));
   BOOST_TEST(Check.m_Status == 200U, Check.m_Body);
-  TestFleet.platformFault("tables", "none");
-  const Told Again = TestFleet.caller().call(
-      TestFleet.desk(1, "hold", "outage-1", "{\"seat\":1}"));
+  TestFleet.setPlatformFault("tables", "none");
+  const CallResult Again = TestFleet.caller().call(
+      TestFleet.deskCall(1, "hold", "outage-1", "{\"seat\":1}"));
   BOOST_TEST(Again.m_Status == 200U, Again.m_Body);
 }
--- a/tests/process/caller.cpp
+++ b/tests/process/caller.cpp
@@ -15,8 +15,9 @@
 
 /// A call in progress; deletes itself when it ends.
 struct PendingCall {
-  std::shared_ptr<Told> m_Result = std::make_shared<Told>(); ///< Shared.
-  SoupMessage *m_Message = nullptr;                          ///< Owned.
+  std::shared_ptr<CallResult> m_Result =
+      std::make_shared<CallResult>(); ///< Shared.
+  SoupMessage *m_Message = nullptr;   ///< Owned.
   GInputStream *m_Stream = nullptr;   ///< Owned; null before the headers.
   GCancellable *m_Cancel = nullptr;   ///< Owned.
   guint m_Timer = 0;                  ///< Time-out source; 0: none.
@@ -35,7 +36,7 @@
   }
   void finish(bool Broken) {
     m_Result->m_Ended = true;
-    m_Result->m_Broken = Broken;
+    m_Result->m_ConnectionBroken = Broken;
     m_Result->m_Elapsed = elapsed();
   }
 };
@@ -58,7 +59,7 @@
     return;
   }
   if (Pending->m_Result->m_Body.empty())
-    Pending->m_Result->m_FirstByte = Pending->elapsed();
+    Pending->m_Result->m_FirstByteTime = Pending->elapsed();
   Pending->m_Result->m_Body.append(Pending->m_Buffer.data(),
                                    static_cast<std::size_t>(Size));
   readNext(Pending);
@@ -105,14 +106,14 @@
 
 } // namespace
 
-std::string Told::code() const {
+std::string CallResult::errorCode() const {
   const json Body = json::parse(m_Body, nullptr, false);
   if (!Body.is_object() || !Body.contains("error"))
     return {};
   return Body["error"].value("code", "");
 }
 
-std::string Told::text() const {
+std::string CallResult::completionText() const {
   if (!m_Body.starts_with("data:")) {
     const json Body = json::parse(m_Body, nullptr, false);
     return Body.is_object() ? choiceText(Body) : std::string();
@@ -129,7 +130,7 @@
   return Result;
 }
 
-bool Told::streamEnded() const {
+bool CallResult::isStreamComplete() const {
   return m_Body.find("data: [DONE]") != std::string::npos;
 }
 
@@ -138,20 +139,20 @@
           "max-conns", 4096, "max-conns-per-host", 1024, nullptr)) {}
 
 Caller::~Caller() {
-  hangUp();
+  cancelAll();
   // Pending calls end in the loop; they must not outlive the session.
   runUntil([] { return g_main_context_pending(nullptr) == 0; },
            std::chrono::seconds(1));
   g_object_unref(m_Session);
 }
 
-void Caller::hangUp() { soup_session_abort(m_Session); }
+void Caller::cancelAll() { soup_session_abort(m_Session); }
 
-std::shared_ptr<const Told> Caller::start(const Call &Request) {
+std::shared_ptr<const CallResult> Caller::start(const Call &Request) {
   auto *Pending = new PendingCall;
-  std::shared_ptr<const Told> Result = Pending->m_Result;
+  std::shared_ptr<const CallResult> Result = Pending->m_Result;
   const std::string Uri =
-      "http://" + toString(Request.m_Where) + Request.m_Path;
+      "http://" + toString(Request.m_Address) + Request.m_Path;
   Pending->m_Message = soup_message_new(Request.m_Method.c_str(), Uri.c_str());
   Pending->m_Cancel = g_cancellable_new();
   Pending->m_StartTime = g_get_monotonic_time();
@@ -169,7 +170,7 @@
   // connection, which would hide that an entry was killed.
   soup_message_headers_replace(Headers, "Connection", "close");
   const auto Limit =
-      std::chrono::ceil<std::chrono::milliseconds>(Request.m_Limit);
+      std::chrono::ceil<std::chrono::milliseconds>(Request.m_Timeout);
   Pending->m_Timer =
       g_timeout_add(static_cast<guint>(Limit.count()), onTimeout, Pending);
   soup_session_send_async(m_Session, Pending->m_Message, G_PRIORITY_DEFAULT,
@@ -177,10 +178,10 @@
   return Result;
 }
 
-Told Caller::call(const Call &Request) {
-  const std::shared_ptr<const Told> Result = start(Request);
+CallResult Caller::call(const Call &Request) {
+  const std::shared_ptr<const CallResult> Result = start(Request);
   runUntil([&] { return Result->m_Ended; },
-           Request.m_Limit + std::chrono::seconds(5));
+           Request.m_Timeout + std::chrono::seconds(5));
   return *Result;
 }
 
@@ -189,13 +190,13 @@
                   const std::string &Key) {
   Call Request;
   Request.m_Method = Method;
-  Request.m_Where = Server;
+  Request.m_Address = Server;
   Request.m_Path = Path;
   if (!Body.is_null())
     Request.m_Body = Body.dump();
   if (!Key.empty())
     Request.m_Headers["Authorization"] = "Bearer " + Key;
-  Request.m_Limit = std::chrono::seconds(10);
+  Request.m_Timeout = std::chrono::seconds(10);
   const nlohmann::json Answer =
       nlohmann::json::parse(call(Request).m_Body, nullptr, false);
   return Answer.is_discarded() ? nlohmann::json() : Answer;
--- a/tests/process/caller.h
+++ b/tests/process/caller.h
@@ -17,33 +17,33 @@
 /// One HTTP request.
 struct Call {
   std::string m_Method = "POST"; ///< HTTP method.
-  Address m_Where;               ///< Server: entry, dispatcher or stand-in.
+  Address m_Address;             ///< Server: entry, dispatcher or stand-in.
   std::string m_Path;            ///< Path, without scheme and host.
   std::string m_Body;            ///< JSON; empty: no body.
-  std::map<std::string, std::string> m_Headers; ///< Additional headers.
-  Duration m_Limit = std::chrono::seconds(30);  ///< Of the whole call.
-  bool m_KeepsOpen = false; ///< Honoured by soak::RawCaller only.
+  std::map<std::string, std::string> m_Headers;  ///< Additional headers.
+  Duration m_Timeout = std::chrono::seconds(30); ///< Of the whole call.
+  bool m_KeepAlive = false; ///< Honoured by soak::RawCaller only.
 };
 
 /// Result of a call; m_Ended is false while the call is in progress.
-struct Told {
-  bool m_Ended = false;     ///< The call has completed or failed.
-  unsigned m_Status = 0;    ///< HTTP status; 0: no response head.
-  std::string m_Run;        ///< Header Crowstep-Run.
-  std::string m_RetryAfter; ///< Header Retry-After.
-  std::string m_Body;       ///< Bytes received so far.
-  bool m_Broken = false;    ///< The response is incomplete.
-  Duration m_Elapsed{};     ///< From the start to the end.
-  Duration m_FirstByte{};   ///< From the start to the first body byte.
+struct CallResult {
+  bool m_Ended = false;            ///< The call has completed or failed.
+  unsigned m_Status = 0;           ///< HTTP status; 0: no response head.
+  std::string m_Run;               ///< Header Crowstep-Run.
+  std::string m_RetryAfter;        ///< Header Retry-After.
+  std::string m_Body;              ///< Bytes received so far.
+  bool m_ConnectionBroken = false; ///< The response is incomplete.
+  Duration m_Elapsed{};            ///< From the start to the end.
+  Duration m_FirstByteTime{};      ///< From the start to the first body byte.
 
   /// Returns the error code in the JSON body, or an empty string.
-  [[nodiscard]] std::string code() const;
+  [[nodiscard]] std::string errorCode() const;
 
   /// Returns the text of a completion, whether plain or streamed.
-  [[nodiscard]] std::string text() const;
+  [[nodiscard]] std::string completionText() const;
 
   /// Returns whether a streamed answer ended with "data: [DONE]".
-  [[nodiscard]] bool streamEnded() const;
+  [[nodiscard]] bool isStreamComplete() const;
 };
 
 /// Sends requests on the test's main loop.
@@ -55,10 +55,10 @@
   Caller &operator=(const Caller &) = delete;
 
   /// Starts a call; the result is filled in while the loop runs.
-  std::shared_ptr<const Told> start(const Call &Request);
+  std::shared_ptr<const CallResult> start(const Call &Request);
 
   /// Makes a call and runs the loop until it ends.
-  Told call(const Call &Request);
+  CallResult call(const Call &Request);
 
   /// Calls a stand-in or an administration API, with \p Key as bearer token
   /// unless it is empty. Returns the JSON answer, or null if it is not JSON.
@@ -68,7 +68,7 @@
                       const std::string &Key = {});
 
   /// Aborts all calls in progress, as callers that disconnect do.
-  void hangUp();
+  void cancelAll();
 
 private:
   SoupSession *m_Session; ///< Owned.
--- a/tests/process/crashing_request_test.cpp
+++ b/tests/process/crashing_request_test.cpp
@@ -53,30 +53,31 @@
   }
 
   void handle(SoupServerMessage *Message) {
-    signAnswer(Message);
-    const auto Deferred = std::make_shared<HeldAnswer>(Message);
+    addSignatureHeaders(Message);
+    const auto Deferred = std::make_shared<DeferredAnswer>(Message);
     m_OpenAnswers.push_back(Deferred);
     if (requestBody(Message) == CrashingBody) {
-      m_Runs.push_back(m_Clock.fresh());
-      m_Timers.after(CrashDelay, [this, Start = m_Starts] {
+      m_Runs.push_back(m_Clock.readNow());
+      m_Timers.runAfter(CrashDelay, [this, Start = m_Starts] {
         if (m_Server != nullptr && Start == m_Starts)
           crash();
       });
       return;
     }
-    m_Timers.after(RunTime,
-                   [Deferred] { Deferred->answer(200, "text/plain", "ok"); });
+    m_Timers.runAfter(
+        RunTime, [Deferred] { Deferred->answer(200, "text/plain", "ok"); });
   }
 
   void crash() {
-    m_Crashes.push_back(m_Clock.fresh());
+    m_Crashes.push_back(m_Clock.readNow());
     for (const auto &Answer : m_OpenAnswers)
-      Answer->cut();
+      Answer->closeConnection();
     m_OpenAnswers.clear();
     m_Server = nullptr;
-    m_Timers.after(RestartDelay, [this] { start(); });
-    m_Timers.after(EntryRetention,
-                   [this, Name = m_Name] { m_Store.put("servers", Name, ""); });
+    m_Timers.runAfter(RestartDelay, [this] { start(); });
+    m_Timers.runAfter(EntryRetention, [this, Name = m_Name] {
+      m_Store.put("servers", Name, "");
+    });
   }
 
   int m_Number;                         ///< From 0.
@@ -87,7 +88,8 @@
   const Clock &m_Clock;                 ///< Outlives it.
   Scheduler &m_Timers;                  ///< Outlives it.
   std::unique_ptr<HttpServer> m_Server; ///< Null between a crash and a start.
-  std::vector<std::shared_ptr<HeldAnswer>> m_OpenAnswers; ///< Of this start.
+  std::vector<std::shared_ptr<DeferredAnswer>>
+      m_OpenAnswers; ///< Of this start.
 };
 
 struct CrashTestFleet : GatewayFleet {
@@ -103,8 +105,8 @@
 
   /// Sends the crashing request every 50 ms, to the gateways in turn.
   void sendCrashing(Duration Span, const std::string &Path) {
-    const TimePoint End = m_Clock.fresh() + Span;
-    for (std::size_t I = 0; m_Clock.fresh() < End; ++I) {
+    const TimePoint End = m_Clock.readNow() + Span;
+    for (std::size_t I = 0; m_Clock.readNow() < End; ++I) {
       m_Caller.start(request(I, Path, CrashingBody));
       runFor(50ms);
     }
@@ -143,7 +145,7 @@
 
   void checkCrashingRefused(const std::string &Path) {
     for (std::size_t I = 0; I < size(); ++I) {
-      const Told Answer = m_Caller.call(request(I, Path, CrashingBody));
+      const CallResult Answer = m_Caller.call(request(I, Path, CrashingBody));
       BOOST_TEST(Answer.m_Status == 503U);
       BOOST_TEST(!Answer.m_RetryAfter.empty());
       BOOST_TEST((Answer.m_Elapsed < 100ms));
--- a/tests/process/fleet.cpp
+++ b/tests/process/fleet.cpp
@@ -48,12 +48,12 @@
 Fleet::Fleet(FleetPlan Plan)
     : m_Plan(std::move(Plan)), m_PlatformAddress(freeAddress()) {
   planUpstreams();
-  for (std::size_t Index = 1; Index <= m_Plan.m_Instances; ++Index) {
+  for (std::size_t Index = 1; Index <= m_Plan.m_InstanceCount; ++Index) {
     TestInstance Instance;
     Instance.m_Name = "crowstep-" + std::to_string(Index);
-    Instance.m_Link = freeAddress();
-    Instance.m_Admin = freeAddress();
-    Instance.m_Callers = freeAddress();
+    Instance.m_LinkAddress = freeAddress();
+    Instance.m_AdminAddress = freeAddress();
+    Instance.m_CallerAddress = freeAddress();
     m_Instances.push_back(std::move(Instance));
   }
 }
@@ -66,22 +66,22 @@
       const Address Listen = freeAddress();
       m_UpstreamList.push_back(
           {Service + "-" + std::to_string(Index), Service, Listen,
-           m_Plan.m_CanCutUpstreams ? std::make_unique<Relay>(Listen)
-                                    : nullptr});
+           m_Plan.m_RelayUpstreams ? std::make_unique<Relay>(Listen)
+                                   : nullptr});
     }
   };
-  Add("writer", m_Plan.m_Engines);
-  Add("desk", m_Plan.m_Services);
+  Add("writer", m_Plan.m_EngineCount);
+  Add("desk", m_Plan.m_ServiceCount);
 }
 
 std::string Fleet::platformSeed() const {
-  ContractTable Table =
-      contract::readCsv(m_Plan.m_Table.empty() ? DefaultTable : m_Plan.m_Table);
+  ContractTable Table = contract::readCsv(
+      m_Plan.m_TableCsv.empty() ? DefaultTable : m_Plan.m_TableCsv);
   Table.m_Version = TableVersion(1);
   json Instances = json::array();
   for (const TestInstance &Instance : m_Instances)
     Instances.push_back({{"name", Instance.m_Name},
-                         {"link", toString(Instance.m_Link)},
+                         {"link", toString(Instance.m_LinkAddress)},
                          {"zone", "njiro"},
                          {"leaving", false}});
   json Upstreams = json::array();
@@ -95,7 +95,7 @@
         {"zone", "njiro"},
         {"leaving", false},
         {"kind", IsEngine ? "engine" : "service"},
-        {"slots", IsEngine ? m_Plan.m_Slots : 32}};
+        {"slots", IsEngine ? m_Plan.m_SlotsPerEngine : 32}};
     if (IsEngine)
       Row.update(
           {{"models", {"m"}}, {"can_resume", true}, {"checks_fencing", true}});
@@ -136,7 +136,7 @@
     Text += setting("listen", toString(Upstream.m_Address));
     Text += setting("service", Upstream.m_Service);
     if (IsEngine)
-      Text += setting("slots", std::to_string(m_Plan.m_Slots)) +
+      Text += setting("slots", std::to_string(m_Plan.m_SlotsPerEngine)) +
               m_Plan.m_EngineSettings;
     else
       Text += m_Plan.m_ServiceSettings;
@@ -152,22 +152,22 @@
                                       setting("name", Instance.m_Name) +
                                       setting("zone", "njiro");
   const std::string LinkSection = section("link") + setting("key", LinkKey);
-  std::string Dispatchers = toString(Instance.m_Link);
+  std::string Dispatchers = toString(Instance.m_LinkAddress);
   for (const TestInstance &Other : m_Instances)
     if (Other.m_Name != Instance.m_Name)
-      Dispatchers += ";" + toString(Other.m_Link);
+      Dispatchers += ";" + toString(Other.m_LinkAddress);
   Instance.m_Dispatcher = std::make_unique<Process>(
       m_Folder, "crowstep-dispatcher",
       "dispatcher-" + Instance.m_Name + StartSuffix,
       InstanceSection + section("dispatcher") +
-          setting("link_listen", toString(Instance.m_Link)) +
-          setting("admin_listen", toString(Instance.m_Admin)) + LinkSection +
-          setting("seeds", Dispatchers) + section("platform") +
+          setting("link_listen", toString(Instance.m_LinkAddress)) +
+          setting("admin_listen", toString(Instance.m_AdminAddress)) +
+          LinkSection + setting("seeds", Dispatchers) + section("platform") +
           setting("address", toString(m_PlatformAddress)));
   Instance.m_Entry = std::make_unique<Process>(
       m_Folder, "crowstep-entry", "entry-" + Instance.m_Name + StartSuffix,
       InstanceSection + section("entry") +
-          setting("listen", toString(Instance.m_Callers)) +
+          setting("listen", toString(Instance.m_CallerAddress)) +
           setting("home", Dispatchers) + LinkSection);
 }
 
@@ -176,9 +176,9 @@
 void Fleet::waitForPlatform() {
   Call Probe;
   Probe.m_Method = "GET";
-  Probe.m_Where = m_PlatformAddress;
+  Probe.m_Address = m_PlatformAddress;
   Probe.m_Path = "/";
-  std::shared_ptr<const Told> Answer;
+  std::shared_ptr<const CallResult> Answer;
   const bool Listens = runUntil(
       [&] {
         if (Answer == nullptr || (Answer->m_Ended && Answer->m_Status == 0))
@@ -198,17 +198,17 @@
   for (std::size_t Index = 0; Index < m_Instances.size(); ++Index)
     startInstance(Index);
   for (std::size_t Index = 0; Index < m_Instances.size(); ++Index)
-    if (!waitReady(Index, 20s))
+    if (!waitUntilReady(Index, 20s))
       throw FleetNotReady("instance " + std::to_string(Index + 1) +
                           " did not become ready within 20 s:\n" + logs());
 }
 
-bool Fleet::waitReady(std::size_t Index, Duration Limit) {
+bool Fleet::waitUntilReady(std::size_t Index, Duration Limit) {
   Call Probe;
   Probe.m_Method = "GET";
-  Probe.m_Where = m_Instances.at(Index).m_Callers;
+  Probe.m_Address = m_Instances.at(Index).m_CallerAddress;
   Probe.m_Path = "/readyz";
-  std::shared_ptr<const Told> Answer;
+  std::shared_ptr<const CallResult> Answer;
   return runUntil(
       [&] {
         if (Answer == nullptr || (Answer->m_Ended && Answer->m_Status != 200))
@@ -225,11 +225,11 @@
   throw FleetNotReady("unknown upstream " + Name);
 }
 
-Call Fleet::chat(std::size_t Index, const std::string &Class,
-                 std::size_t Tokens, bool Streamed,
-                 const std::string &Prompt) const {
+Call Fleet::chatCall(std::size_t Index, const std::string &Class,
+                     std::size_t Tokens, bool Streamed,
+                     const std::string &Prompt) const {
   Call Request;
-  Request.m_Where = m_Instances.at(Index).m_Callers;
+  Request.m_Address = m_Instances.at(Index).m_CallerAddress;
   Request.m_Path = "/v1/chat/completions";
   const std::string Content = Prompt + " [len=" + std::to_string(Tokens) + "]";
   const json Message = {{"role", "user"}, {"content", Content}};
@@ -243,10 +243,10 @@
   return Request;
 }
 
-Call Fleet::desk(std::size_t Index, const std::string &Class,
-                 const std::string &Key, const std::string &Body) const {
+Call Fleet::deskCall(std::size_t Index, const std::string &Class,
+                     const std::string &Key, const std::string &Body) const {
   Call Request;
-  Request.m_Where = m_Instances.at(Index).m_Callers;
+  Request.m_Address = m_Instances.at(Index).m_CallerAddress;
   Request.m_Path = "/v1/services/desk/" + Class;
   Request.m_Body = Body;
   Request.m_Headers = {{"Authorization", std::string("Bearer ") + WorkspaceKey},
@@ -256,8 +256,8 @@
   return Request;
 }
 
-void Fleet::platformFault(const std::string &Target, const std::string &Mode,
-                          int DelayMs, int Count) {
+void Fleet::setPlatformFault(const std::string &Target, const std::string &Mode,
+                             int DelayMs, int Count) {
   m_Caller.json("POST", m_PlatformAddress, "/faults",
                 {{"target", Target},
                  {"mode", Mode},
@@ -265,20 +265,20 @@
                  {"count", Count}});
 }
 
-void Fleet::cutUpstream(const std::string &Name, bool Cut) {
+void Fleet::setUpstreamBlocked(const std::string &Name, bool Cut) {
   for (const TestUpstream &Upstream : m_UpstreamList)
     if (Upstream.m_Name == Name && Cut)
-      Upstream.m_Relay->cut();
+      Upstream.m_Relay->block();
     else if (Upstream.m_Name == Name)
-      Upstream.m_Relay->mend();
+      Upstream.m_Relay->unblock();
 }
 
-void Fleet::upstreamFault(const std::string &Name, const json &Fault) {
+void Fleet::setUpstreamFault(const std::string &Name, const json &Fault) {
   m_Caller.json("POST", upstreamAddress(Name), "/faults", Fault);
 }
 
-std::vector<RanCall> Fleet::ran(const std::string &Service) {
-  std::vector<RanCall> Result;
+std::vector<RecordedCall> Fleet::recordedCalls(const std::string &Service) {
+  std::vector<RecordedCall> Result;
   for (const TestUpstream &Upstream : m_UpstreamList) {
     if (Upstream.m_Service != Service)
       continue;
@@ -291,10 +291,10 @@
   return Result;
 }
 
-double Fleet::metric(const Address &Server, const std::string &Series) {
+double Fleet::readMetric(const Address &Server, const std::string &Series) {
   Call Probe;
   Probe.m_Method = "GET";
-  Probe.m_Where = Server;
+  Probe.m_Address = Server;
   Probe.m_Path = "/metrics";
   std::istringstream Lines(m_Caller.call(Probe).m_Body);
   for (std::string Line; std::getline(Lines, Line);)
@@ -305,10 +305,10 @@
 
 std::string Fleet::ownerOf(const std::string &Service) {
   for (const TestInstance &Instance : m_Instances) {
-    if (Instance.m_Dispatcher == nullptr || !Instance.m_Dispatcher->running())
+    if (Instance.m_Dispatcher == nullptr || !Instance.m_Dispatcher->isRunning())
       continue;
-    const json Status = m_Caller.json("GET", Instance.m_Admin, "/v1/status",
-                                      nullptr, OperatorKey);
+    const json Status = m_Caller.json("GET", Instance.m_AdminAddress,
+                                      "/v1/status", nullptr, OperatorKey);
     for (const json &Pool : Status.value("pools", json::array()))
       if (Pool.value("service", "") == Service)
         return Instance.m_Name;
@@ -331,7 +331,7 @@
   return Result;
 }
 
-bool isWholeAnswer(const std::string &Text, std::size_t Tokens) {
+bool isCompleteAnswer(const std::string &Text, std::size_t Tokens) {
   std::istringstream Words(Text);
   std::string Word;
   std::string Prompt;
--- a/tests/process/fleet.h
+++ b/tests/process/fleet.h
@@ -16,32 +16,32 @@
 
 /// Size and settings of a fleet.
 struct FleetPlan {
-  std::size_t m_Instances = 3;    ///< Each has an entry and a dispatcher.
-  std::size_t m_Engines = 2;      ///< Engines of the service "writer".
-  std::size_t m_Services = 2;     ///< Upstreams of the service "desk".
-  std::size_t m_Slots = 4;        ///< Slots of each engine.
-  std::string m_EngineSettings;   ///< Additional lines for each engine.
-  std::string m_ServiceSettings;  ///< Additional lines for each "desk".
-  std::string m_Table;            ///< CSV; empty: the default table.
-  bool m_CanCutUpstreams = false; ///< Instances reach upstreams by relays.
+  std::size_t m_InstanceCount = 3;  ///< Each has an entry and a dispatcher.
+  std::size_t m_EngineCount = 2;    ///< Engines of the service "writer".
+  std::size_t m_ServiceCount = 2;   ///< Upstreams of the service "desk".
+  std::size_t m_SlotsPerEngine = 4; ///< Slots of each engine.
+  std::string m_EngineSettings;     ///< Additional lines for each engine.
+  std::string m_ServiceSettings;    ///< Additional lines for each "desk".
+  std::string m_TableCsv;           ///< CSV; empty: the default table.
+  bool m_RelayUpstreams = false;    ///< Instances reach upstreams by relays.
 };
 
 /// One instance: a dispatcher and an entry.
 struct TestInstance {
   std::string m_Name;                    ///< crowstep-1 ...
-  Address m_Link;                        ///< Of its dispatcher.
-  Address m_Admin;                       ///< Of its dispatcher.
-  Address m_Callers;                     ///< Of its entry.
+  Address m_LinkAddress;                 ///< Of its dispatcher.
+  Address m_AdminAddress;                ///< Of its dispatcher.
+  Address m_CallerAddress;               ///< Of its entry.
   std::unique_ptr<Process> m_Dispatcher; ///< Null while stopped.
   std::unique_ptr<Process> m_Entry;      ///< Null while stopped.
 };
 
 /// A call in the record of an upstream.
-struct RanCall {
-  std::string m_Upstream;        ///< Name of the upstream.
-  std::string m_Key;             ///< Header Idempotency-Key, or empty.
-  bool m_Finished = false;       ///< The call ran to its end.
-  std::uint64_t m_Generated = 0; ///< Number of tokens generated.
+struct RecordedCall {
+  std::string m_Upstream;              ///< Name of the upstream.
+  std::string m_IdempotencyKey;        ///< Header Idempotency-Key, or empty.
+  bool m_Finished = false;             ///< The call ran to its end.
+  std::uint64_t m_GeneratedTokens = 0; ///< Number of tokens generated.
 };
 
 /// A running fleet. Classes of the default table: "check" (tier 1) and "hold"
@@ -62,7 +62,7 @@
 
   /// Waits until the entry of instance \p Index is ready; returns whether it
   /// was within \p Limit.
-  bool waitReady(std::size_t Index, Duration Limit);
+  bool waitUntilReady(std::size_t Index, Duration Limit);
 
   [[nodiscard]] std::vector<TestInstance> &instances() { return m_Instances; }
   [[nodiscard]] Caller &caller() { return m_Caller; }
@@ -75,32 +75,32 @@
 
   /// Returns a chat completion request of \p Class to the entry of instance
   /// \p Index, whose answer has exactly \p Tokens tokens.
-  [[nodiscard]] Call chat(std::size_t Index, const std::string &Class,
-                          std::size_t Tokens, bool Streamed,
-                          const std::string &Prompt = "a question") const;
+  [[nodiscard]] Call chatCall(std::size_t Index, const std::string &Class,
+                              std::size_t Tokens, bool Streamed,
+                              const std::string &Prompt = "a question") const;
 
   /// Returns a request of \p Class to the service "desk" by the entry of
   /// instance \p Index, with an idempotency key unless \p Key is empty.
-  [[nodiscard]] Call desk(std::size_t Index, const std::string &Class,
-                          const std::string &Key,
-                          const std::string &Body) const;
+  [[nodiscard]] Call deskCall(std::size_t Index, const std::string &Class,
+                              const std::string &Key,
+                              const std::string &Body) const;
 
   /// Injects a fault into the platform stand-in, until "none" is set or
   /// \p Count calls had it (0: no limit).
-  void platformFault(const std::string &Target, const std::string &Mode,
-                     int DelayMs = 0, int Count = 0);
+  void setPlatformFault(const std::string &Target, const std::string &Mode,
+                        int DelayMs = 0, int Count = 0);
   /// Closes all connections to an upstream and refuses new ones, or accepts
   /// them again. Needs FleetPlan::m_RelayUpstreams.
-  void cutUpstream(const std::string &Name, bool Cut);
-  void upstreamFault(const std::string &Name, const nlohmann::json &Fault);
+  void setUpstreamBlocked(const std::string &Name, bool Cut);
+  void setUpstreamFault(const std::string &Name, const nlohmann::json &Fault);
 
   /// Returns every call that the upstreams of \p Service have recorded: the
   /// tests compare it with what callers were answered.
-  std::vector<RanCall> ran(const std::string &Service);
+  std::vector<RecordedCall> recordedCalls(const std::string &Service);
 
   /// Returns the value of \p Series in the metrics at \p Server, or 0 if it is
   /// not there.
-  double metric(const Address &Server, const std::string &Series);
+  double readMetric(const Address &Server, const std::string &Series);
 
   /// Returns the name of the instance whose dispatcher owns the pool of
   /// \p Service, or an empty string.
@@ -141,7 +141,7 @@
 
 /// Returns whether \p Text is a complete answer of the stand-in engine: \p
 /// Tokens tokens, each once and in order, all with the hash of one prompt.
-bool isWholeAnswer(const std::string &Text, std::size_t Tokens);
+bool isCompleteAnswer(const std::string &Text, std::size_t Tokens);
 
 } // namespace crowstep::test
 
--- a/tests/process/gateway_fleet.cpp
+++ b/tests/process/gateway_fleet.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-void signAnswer(SoupServerMessage *Message) {
+void addSignatureHeaders(SoupServerMessage *Message) {
   SoupMessageHeaders *Headers =
       soup_server_message_get_response_headers(Message);
   soup_message_headers_replace(Headers, "X-Attempt-Id",
@@ -36,16 +36,17 @@
   m_Store.put("op", "config", Table.dump());
   for (std::size_t I = 0; I < Count; ++I) {
     m_Configs.push_back(
-        gatewayPlace("edge-" + std::to_string(I), StoreAddress));
-    m_Configs.back().m_Drain = 1200ms;
+        makeGatewayConfig("edge-" + std::to_string(I), StoreAddress));
+    m_Configs.back().m_DrainTime = 1200ms;
   }
 }
 
 bool GatewayFleet::startAll() {
-  for (const GatewayPlace &Config : m_Configs)
-    m_Processes.push_back(std::make_unique<Process>(
-        m_Folder, "crowstep-gateway", Config.m_Name, settingsOf(Config)));
-  for (const GatewayPlace &Config : m_Configs)
+  for (const GatewayConfig &Config : m_Configs)
+    m_Processes.push_back(
+        std::make_unique<Process>(m_Folder, "crowstep-gateway", Config.m_Name,
+                                  gatewaySettingsText(Config)));
+  for (const GatewayConfig &Config : m_Configs)
     if (!runUntil(
             [&] {
               return m_Caller.call(readinessCall(Config)).m_Status == 200;
@@ -60,7 +61,7 @@
 Call GatewayFleet::request(std::size_t Gateway, const std::string &Path,
                            const std::string &Body) {
   Call Result;
-  Result.m_Where = m_Configs[Gateway % m_Configs.size()].m_Listen;
+  Result.m_Address = m_Configs[Gateway % m_Configs.size()].m_ListenAddress;
   Result.m_Path = Path;
   Result.m_Body = Body;
   Result.m_Headers = {{"Host", "h.example"},
--- a/tests/process/gateway_fleet.h
+++ b/tests/process/gateway_fleet.h
@@ -19,7 +19,7 @@
 
 /// Sets the response headers by which a gateway accepts an upstream's answer:
 /// the request's attempt id and a signature.
-void signAnswer(SoupServerMessage *Message);
+void addSignatureHeaders(SoupServerMessage *Message);
 
 class GatewayFleet {
 public:
@@ -46,8 +46,8 @@
   Caller m_Caller;              ///< Client that sends the requests.
 
 private:
-  TemporaryFolder m_Folder;            ///< Settings and logs.
-  std::vector<GatewayPlace> m_Configs; ///< By gateway.
+  TemporaryFolder m_Folder;             ///< Settings and logs.
+  std::vector<GatewayConfig> m_Configs; ///< By gateway.
   std::vector<std::unique_ptr<Process>>
       m_Processes;        ///< As m_Configs; empty: stopped.
   int m_RequestCount = 0; ///< Attempt ids used so far.
--- a/tests/process/gateway_place.cpp
+++ b/tests/process/gateway_place.cpp
@@ -7,39 +7,42 @@
 
 namespace crowstep::test {
 
-GatewayPlace gatewayPlace(const std::string &Name, const Address &Store) {
+GatewayConfig makeGatewayConfig(const std::string &Name, const Address &Store) {
   const auto FreeAddress = [] { return Address{INADDR_LOOPBACK, freePort()}; };
-  GatewayPlace Result;
+  GatewayConfig Result;
   Result.m_Name = Name;
-  Result.m_Listen = FreeAddress();
-  Result.m_Links = FreeAddress();
-  Result.m_Probes = FreeAddress();
-  Result.m_Store = Store;
+  Result.m_ListenAddress = FreeAddress();
+  Result.m_LinkAddress = FreeAddress();
+  Result.m_ProbeAddress = FreeAddress();
+  Result.m_StoreAddress = Store;
   return Result;
 }
 
-std::string settingsOf(const GatewayPlace &Config) {
-  const auto Window =
-      std::chrono::duration_cast<std::chrono::seconds>(Config.m_Retry.m_Window);
+std::string gatewaySettingsText(const GatewayConfig &Config) {
+  const auto Window = std::chrono::duration_cast<std::chrono::seconds>(
+      Config.m_RetryBudget.m_Window);
   return "[instance]\nname=" + Config.m_Name +
-         "\nzone=a\nweight=1\n[gateway]\nlisten=" + toString(Config.m_Listen) +
-         "\nlinks=" + toString(Config.m_Links) +
-         "\nprobes=" + toString(Config.m_Probes) +
+         "\nzone=a\nweight=1\n[gateway]\nlisten=" +
+         toString(Config.m_ListenAddress) +
+         "\nlinks=" + toString(Config.m_LinkAddress) +
+         "\nprobes=" + toString(Config.m_ProbeAddress) +
          "\nreadiness_path=/readiness\ngrace_s=" +
-         std::to_string(Config.m_Grace.count()) +
-         "\n[retry_budget]\nratio=" + std::to_string(Config.m_Retry.m_Ratio) +
-         "\nslack=" + std::to_string(Config.m_Retry.m_Slack) +
+         std::to_string(Config.m_GracePeriod.count()) +
+         "\n[retry_budget]\nratio=" +
+         std::to_string(Config.m_RetryBudget.m_Ratio) +
+         "\nslack=" + std::to_string(Config.m_RetryBudget.m_Slack) +
          "\nwindow_s=" + std::to_string(Window.count()) +
-         "\n[upstreams]\ndrain_ms=" + std::to_string(Config.m_Drain.count()) +
-         "\n[store]\naddress=" + toString(Config.m_Store) +
-         "\napply_ms=" + std::to_string(Config.m_Apply.count()) +
-         "\nsettle_ms=" + std::to_string(Config.m_Settle.count()) + "\n";
+         "\n[upstreams]\ndrain_ms=" +
+         std::to_string(Config.m_DrainTime.count()) +
+         "\n[store]\naddress=" + toString(Config.m_StoreAddress) +
+         "\napply_ms=" + std::to_string(Config.m_ApplyTime.count()) +
+         "\nsettle_ms=" + std::to_string(Config.m_SettleTime.count()) + "\n";
 }
 
-Call readinessCall(const GatewayPlace &Config) {
+Call readinessCall(const GatewayConfig &Config) {
   Call Result;
   Result.m_Method = "GET";
-  Result.m_Where = Config.m_Probes;
+  Result.m_Address = Config.m_ProbeAddress;
   Result.m_Path = "/readiness";
   return Result;
 }
--- a/tests/process/gateway_place.h
+++ b/tests/process/gateway_place.h
@@ -8,27 +8,27 @@
 namespace crowstep::test {
 
 /// Addresses and time limits of one gateway.
-struct GatewayPlace {
-  std::string m_Name;                  ///< Instance name.
-  Address m_Listen;                    ///< For callers.
-  Address m_Links;                     ///< For other gateways.
-  Address m_Probes;                    ///< For readiness.
-  Address m_Store;                     ///< Of the store, or of a relay to it.
-  std::chrono::seconds m_Grace{8};     ///< From SIGTERM to a kill.
-  std::chrono::milliseconds m_Drain{}; ///< See StoreBounds.
-  std::chrono::milliseconds m_Apply{2000};  ///< See StoreBounds.
-  std::chrono::milliseconds m_Settle{3000}; ///< See StoreBounds.
-  balance::RetryBudgetSettings m_Retry;     ///< Shared by all gateways.
+struct GatewayConfig {
+  std::string m_Name;                    ///< Instance name.
+  Address m_ListenAddress;               ///< For callers.
+  Address m_LinkAddress;                 ///< For other gateways.
+  Address m_ProbeAddress;                ///< For readiness.
+  Address m_StoreAddress;                ///< Of the store, or of a relay to it.
+  std::chrono::seconds m_GracePeriod{8}; ///< From SIGTERM to a kill.
+  std::chrono::milliseconds m_DrainTime{};      ///< See StoreBounds.
+  std::chrono::milliseconds m_ApplyTime{2000};  ///< See StoreBounds.
+  std::chrono::milliseconds m_SettleTime{3000}; ///< See StoreBounds.
+  balance::RetryBudgetSettings m_RetryBudget;   ///< Shared by all gateways.
 };
 
 /// Returns a configuration with free loopback ports.
-GatewayPlace gatewayPlace(const std::string &Name, const Address &Store);
+GatewayConfig makeGatewayConfig(const std::string &Name, const Address &Store);
 
 /// Returns the text of the configuration file for \p Config.
-std::string settingsOf(const GatewayPlace &Config);
+std::string gatewaySettingsText(const GatewayConfig &Config);
 
 /// Returns the request of the readiness probe; status 200 means ready.
-Call readinessCall(const GatewayPlace &Config);
+Call readinessCall(const GatewayConfig &Config);
 
 /// Returns the value of the store row of the upstream at \p Upstream, as JSON.
 std::string upstreamRow(const Address &Upstream, unsigned Slots,
--- a/tests/process/gateway_test.cpp
+++ b/tests/process/gateway_test.cpp
@@ -43,9 +43,9 @@
 
 private:
   struct Stream {
-    HeldAnswer m_Held;    ///< Answer to the gateway.
-    std::string m_Path;   ///< Selects the behaviour.
-    int m_SentEvents = 0; ///< Number of events sent.
+    DeferredAnswer m_Held; ///< Answer to the gateway.
+    std::string m_Path;    ///< Selects the behaviour.
+    int m_SentEvents = 0;  ///< Number of events sent.
   };
 
   void handle(SoupServerMessage *Message, const std::string &Path) {
@@ -58,14 +58,14 @@
                                    requestHeader(Message, Name).c_str());
     soup_message_headers_replace(Headers, "X-Server-Signature", "s");
     if (Path.find("crash") != std::string::npos) {
-      HeldAnswer(Message).cut();
+      DeferredAnswer(Message).closeConnection();
       return;
     }
     if (Path.find("/stream/") == std::string::npos) {
       respond(Message, 200, "text/plain", "from " + m_Name);
       return;
     }
-    auto *NewStream = new Stream{HeldAnswer(Message), Path};
+    auto *NewStream = new Stream{DeferredAnswer(Message), Path};
     NewStream->m_Held.beginStream(200, "text/event-stream");
     g_timeout_add(100, onTick, NewStream);
   }
@@ -81,10 +81,10 @@
     const bool Last =
         (Current->m_SentEvents == 10 && !PathHas("endless")) || Breaks;
     if (Breaks)
-      Current->m_Held.cut();
+      Current->m_Held.closeConnection();
     else if (Last)
       Current->m_Held.endStream();
-    if (Current->m_Held.open())
+    if (Current->m_Held.isOpen())
       return G_SOURCE_CONTINUE;
     delete Current;
     return G_SOURCE_REMOVE;
@@ -97,7 +97,7 @@
   TemporaryFolder m_Folder;
   StoreServer m_Store;
   Address m_StoreAddress = local(freePort());
-  GatewayPlace m_Config = gatewayPlace("edge-1", m_StoreAddress);
+  GatewayConfig m_Config = makeGatewayConfig("edge-1", m_StoreAddress);
   SigningUpstream m_First{"u-1"};
   SigningUpstream m_Second{"u-2"};
   Caller m_Caller;
@@ -105,12 +105,12 @@
 
   GatewayFixture() {
     m_Store.listen(m_StoreAddress);
-    m_Config.m_Drain = 1200ms;
+    m_Config.m_DrainTime = 1200ms;
   }
 
   void start() {
-    m_Gateway = std::make_unique<Process>(m_Folder, "crowstep-gateway",
-                                          "gateway", settingsOf(m_Config));
+    m_Gateway = std::make_unique<Process>(
+        m_Folder, "crowstep-gateway", "gateway", gatewaySettingsText(m_Config));
   }
   void putManifest(int Version, const std::string &Key = "key-1") {
     const Json Manifest = {{"version", Version},
@@ -145,7 +145,7 @@
   Call request(const std::string &Path, const std::string &Key = "key-1") {
     static int Number = 0;
     Call Result;
-    Result.m_Where = m_Config.m_Listen;
+    Result.m_Address = m_Config.m_ListenAddress;
     Result.m_Path = Path;
     Result.m_Body = "b";
     Result.m_Headers = {{"Host", "h.example"},
@@ -179,13 +179,13 @@
   Fixture.putUpstream(Fixture.m_First, "ready");
   Fixture.start();
   BOOST_TEST(runUntil([&] { return Fixture.readiness() == 503; }, 10s));
-  const Told Early = Fixture.m_Caller.call(Fixture.request("/plain/x"));
+  const CallResult Early = Fixture.m_Caller.call(Fixture.request("/plain/x"));
   BOOST_TEST(Early.m_Status == 503U);
   BOOST_TEST(Early.m_Run == "not-run");
   BOOST_TEST(!Early.m_RetryAfter.empty());
   Fixture.m_Store.setMode(StoreServer::Mode::Up);
   BOOST_TEST(Fixture.waitUntilReady());
-  const Told Served = Fixture.m_Caller.call(Fixture.request("/plain/x"));
+  const CallResult Served = Fixture.m_Caller.call(Fixture.request("/plain/x"));
   BOOST_TEST(Served.m_Status == 200U);
   BOOST_TEST(Served.m_Body == "from u-1");
   BOOST_TEST(Fixture.m_First.m_Workspace == "w");
@@ -249,7 +249,7 @@
 BOOST_AUTO_TEST_CASE(AStopCutsNothing) {
   GatewayFixture Fixture;
   Fixture.startServing();
-  std::vector<std::shared_ptr<const Told>> Streams;
+  std::vector<std::shared_ptr<const CallResult>> Streams;
   Streams.reserve(5);
   for (int I = 0; I < 5; ++I)
     Streams.push_back(Fixture.m_Caller.start(Fixture.request("/stream/x")));
@@ -271,7 +271,7 @@
       },
       10s));
   for (const auto &Stream : Streams) {
-    BOOST_TEST(!Stream->m_Broken);
+    BOOST_TEST(!Stream->m_ConnectionBroken);
     BOOST_TEST(Stream->m_Body.find("id: 10\n") != std::string::npos);
   }
   BOOST_TEST((Fixture.m_Gateway->wait(8s) == 0));
@@ -282,7 +282,7 @@
 // of requests that it aborted, which a SIGKILL would not leave in the log.
 BOOST_AUTO_TEST_CASE(AStopEndsAtItsLimit) {
   GatewayFixture Fixture;
-  Fixture.m_Config.m_Grace = 4s;
+  Fixture.m_Config.m_GracePeriod = 4s;
   Fixture.startServing();
   const auto Stream =
       Fixture.m_Caller.start(Fixture.request("/stream/endless"));
@@ -341,7 +341,7 @@
 // again, it is reloaded.
 BOOST_AUTO_TEST_CASE(BadSettingsAreNamed) {
   GatewayFixture Fixture;
-  std::string Broken = settingsOf(Fixture.m_Config);
+  std::string Broken = gatewaySettingsText(Fixture.m_Config);
   Broken.erase(Broken.find("grace_s=8\n"), 10);
   Process Failing(Fixture.m_Folder, "crowstep-gateway", "broken", Broken);
   BOOST_TEST((Failing.wait(10s) == 2));
@@ -356,7 +356,7 @@
       10s));
   BOOST_TEST(Fixture.m_Caller.call(Fixture.request("/plain/x")).m_Status ==
              200U);
-  Fixture.m_Folder.write("gateway.ini", settingsOf(Fixture.m_Config));
+  Fixture.m_Folder.write("gateway.ini", gatewaySettingsText(Fixture.m_Config));
   Fixture.m_Gateway->signal(SIGHUP);
   BOOST_TEST(runUntil(
       [&] {
--- a/tests/process/limited_upstream_test.cpp
+++ b/tests/process/limited_upstream_test.cpp
@@ -57,24 +57,24 @@
 
 private:
   void handle(SoupServerMessage *Message) {
-    m_Arrivals.push_back(m_Clock.fresh());
-    signAnswer(Message);
+    m_Arrivals.push_back(m_Clock.readNow());
+    addSignatureHeaders(Message);
     if (m_Limit)
       soup_message_headers_replace(
           soup_server_message_get_response_headers(Message), "Server-Limit",
           std::to_string(*m_Limit).c_str());
-    const auto Deferred = std::make_shared<HeldAnswer>(Message);
+    const auto Deferred = std::make_shared<DeferredAnswer>(Message);
     m_OpenAnswers.push_back(Deferred);
-    m_Timers.after(RunTime, [Weak = std::weak_ptr(Deferred)] {
+    m_Timers.runAfter(RunTime, [Weak = std::weak_ptr(Deferred)] {
       if (const auto Open = Weak.lock())
         Open->answer(200, "text/plain", "ok");
     });
   }
 
-  const Clock &m_Clock;                                   ///< Outlives it.
-  Scheduler &m_Timers;                                    ///< Outlives it.
-  HttpServer m_Server;                                    ///< For gateways.
-  std::vector<std::shared_ptr<HeldAnswer>> m_OpenAnswers; ///< All so far.
+  const Clock &m_Clock;                                       ///< Outlives it.
+  Scheduler &m_Timers;                                        ///< Outlives it.
+  HttpServer m_Server;                                        ///< For gateways.
+  std::vector<std::shared_ptr<DeferredAnswer>> m_OpenAnswers; ///< All so far.
 };
 
 struct LimitTestFleet : GatewayFleet {
@@ -88,8 +88,8 @@
 
   /// Sends a request every CallInterval, to the gateways in turn.
   void sendLoad(Duration Span) {
-    const TimePoint End = m_Clock.fresh() + Span;
-    for (std::size_t I = 0; m_Clock.fresh() < End; ++I) {
+    const TimePoint End = m_Clock.readNow() + Span;
+    for (std::size_t I = 0; m_Clock.readNow() < End; ++I) {
       m_Caller.start(request(I, "/idempotent/x", "b"));
       runFor(CallInterval);
     }
@@ -99,7 +99,7 @@
   /// gateways kept it.
   bool keepsLimit(double Limit) {
     m_First.m_Limit = Limit;
-    const TimePoint Stated = m_Clock.fresh();
+    const TimePoint Stated = m_Clock.readNow();
     sendLoad(PropagationTime + 2 * Window);
     const double Allowed =
         RateFactor * Limit * std::chrono::duration<double>(Window).count() +
--- a/tests/process/owner_test.cpp
+++ b/tests/process/owner_test.cpp
@@ -23,12 +23,12 @@
 /// or \p Limit has passed; returns the time that took.
 Duration timeUntilServed(Fleet &TestFleet, std::size_t Index, Duration Limit) {
   const gint64 Start = g_get_monotonic_time();
-  std::shared_ptr<const Told> Answer;
+  std::shared_ptr<const CallResult> Answer;
   runUntil(
       [&] {
         if (Answer == nullptr || (Answer->m_Ended && Answer->m_Status != 200)) {
-          Call Request = TestFleet.desk(Index, "check", "", "{}");
-          Request.m_Limit = 5s;
+          Call Request = TestFleet.deskCall(Index, "check", "", "{}");
+          Request.m_Timeout = 5s;
           Answer = TestFleet.caller().start(Request);
         }
         return Answer->m_Ended && Answer->m_Status == 200;
@@ -64,16 +64,16 @@
   TestFleet.start();
   const std::string Owner = TestFleet.ownerOf("writer");
   BOOST_REQUIRE(!Owner.empty());
-  std::vector<std::shared_ptr<const Told>> Answers;
+  std::vector<std::shared_ptr<const CallResult>> Answers;
   for (std::size_t I = 0; I < 24; ++I)
     Answers.push_back(
-        TestFleet.caller().start(TestFleet.chat(I % 3, "guide", 60, true)));
+        TestFleet.caller().start(TestFleet.chatCall(I % 3, "guide", 60, true)));
   runFor(200ms);
   Process &Frozen = *instanceNamed(TestFleet, Owner).m_Dispatcher;
   Frozen.signal(SIGSTOP);
   runFor(4s);
-  const Told During =
-      TestFleet.caller().call(TestFleet.chat(0, "urgent", 5, false));
+  const CallResult During =
+      TestFleet.caller().call(TestFleet.chatCall(0, "urgent", 5, false));
   Frozen.signal(SIGCONT);
   BOOST_TEST(During.m_Status == 200U, During.m_Body);
   BOOST_TEST(runUntil(
@@ -84,6 +84,6 @@
       40s));
   for (const auto &Answer : Answers) {
     BOOST_TEST(Answer->m_Status == 200U, Answer->m_Body);
-    BOOST_TEST(isWholeAnswer(Answer->text(), 60), Answer->m_Body);
+    BOOST_TEST(isCompleteAnswer(Answer->completionText(), 60), Answer->m_Body);
   }
 }
--- a/tests/process/process.cpp
+++ b/tests/process/process.cpp
@@ -85,7 +85,7 @@
   wait(10s);
 }
 
-bool Process::running() { return !reap(); }
+bool Process::isRunning() { return !reap(); }
 
 std::string Process::log() const {
   std::ifstream File(m_LogPath);
--- a/tests/process/process.h
+++ b/tests/process/process.h
@@ -51,8 +51,8 @@
   /// Sends SIGKILL and waits up to 10 s for the process to end.
   void kill();
 
-  [[nodiscard]] bool running();
-  [[nodiscard]] pid_t id() const { return m_Pid; }
+  [[nodiscard]] bool isRunning();
+  [[nodiscard]] pid_t pid() const { return m_Pid; }
 
   /// Returns its output so far.
   [[nodiscard]] std::string log() const;
--- a/tests/process/relay.cpp
+++ b/tests/process/relay.cpp
@@ -53,7 +53,7 @@
 }
 
 Relay::~Relay() {
-  cut();
+  block();
   g_signal_handlers_disconnect_by_data(m_Service, this);
   g_socket_service_stop(m_Service);
   g_socket_listener_close(G_SOCKET_LISTENER(m_Service));
@@ -137,7 +137,7 @@
 
 void Relay::forward(const std::shared_ptr<Pipe> &Direction) {
   if (m_Silence == Silence::Both ||
-      (m_Silence == Silence::Outward && Direction->m_IsToTarget)) {
+      (m_Silence == Silence::ToTarget && Direction->m_IsToTarget)) {
     m_HeldPipes.push_back(Direction);
     return;
   }
@@ -165,11 +165,11 @@
   m_HeldPipes.clear();
 }
 
-void Relay::cut() {
+void Relay::block() {
   m_Blocked = true;
   reset();
 }
 
-void Relay::mend() { m_Blocked = false; }
+void Relay::unblock() { m_Blocked = false; }
 
 } // namespace crowstep::test
--- a/tests/process/relay.h
+++ b/tests/process/relay.h
@@ -14,9 +14,9 @@
 
 /// Which bytes a relay holds back while its connections stay open.
 enum class Silence : std::uint8_t {
-  None,    ///< No bytes.
-  Outward, ///< Bytes to the target.
-  Both,    ///< Bytes in both directions.
+  None,     ///< No bytes.
+  ToTarget, ///< Bytes to the target.
+  Both,     ///< Bytes in both directions.
 };
 
 /// Listens on its own port and forwards connections to a target.
@@ -30,9 +30,9 @@
   [[nodiscard]] const Address &address() const { return m_ListenAddress; }
 
   /// Closes all connections, and new ones at once, until unblock().
-  void cut();
+  void block();
 
-  void mend();
+  void unblock();
 
   /// Closes all connections; new ones are accepted as before.
   void reset();
--- a/tests/process/shutdown_test.cpp
+++ b/tests/process/shutdown_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t Tokens = 80;
 
-bool allEnded(const std::vector<std::shared_ptr<const Told>> &Answers) {
+bool allEnded(const std::vector<std::shared_ptr<const CallResult>> &Answers) {
   return std::all_of(Answers.begin(), Answers.end(),
                      [](const auto &Answer) { return Answer->m_Ended; });
 }
@@ -21,7 +21,7 @@
 FleetPlan longAnswers() {
   FleetPlan Plan;
   Plan.m_EngineSettings = "token_ms = 10\n";
-  Plan.m_Slots = 16;
+  Plan.m_SlotsPerEngine = 16;
   return Plan;
 }
 
@@ -32,11 +32,11 @@
 BOOST_AUTO_TEST_CASE(StoppingEntryFinishesItsStreams) {
   Fleet TestFleet(longAnswers());
   TestFleet.start();
-  std::vector<std::shared_ptr<const Told>> Streams;
+  std::vector<std::shared_ptr<const CallResult>> Streams;
   Streams.reserve(12);
   for (int I = 0; I < 12; ++I)
     Streams.push_back(
-        TestFleet.caller().start(TestFleet.chat(0, "guide", Tokens, true)));
+        TestFleet.caller().start(TestFleet.chatCall(0, "guide", Tokens, true)));
   BOOST_TEST(runUntil(
       [&] {
         return std::all_of(
@@ -46,13 +46,13 @@
       10s));
   Process &Entry = *TestFleet.instances()[0].m_Entry;
   Entry.signal(SIGTERM);
-  const Told Late =
-      TestFleet.caller().call(TestFleet.chat(0, "guide", 5, false));
+  const CallResult Late =
+      TestFleet.caller().call(TestFleet.chatCall(0, "guide", 5, false));
   BOOST_TEST(Late.m_Status != 200U);
   BOOST_TEST(runUntil([&] { return allEnded(Streams); }, 20s));
   for (const auto &Answer : Streams) {
-    BOOST_TEST(isWholeAnswer(Answer->text(), Tokens));
-    BOOST_TEST(Answer->streamEnded());
+    BOOST_TEST(isCompleteAnswer(Answer->completionText(), Tokens));
+    BOOST_TEST(Answer->isStreamComplete());
   }
   const std::optional<int> Code = Entry.wait(10s);
   BOOST_TEST((Code == 0), "exit code " << Code.value_or(-1));
@@ -64,11 +64,11 @@
 BOOST_AUTO_TEST_CASE(AllInstancesAreReplacedUnderLoad) {
   Fleet TestFleet(longAnswers());
   TestFleet.start();
-  std::vector<std::shared_ptr<const Told>> Answers;
+  std::vector<std::shared_ptr<const CallResult>> Answers;
   std::size_t CallNumber = 0;
   const auto StartCall = [&] {
     ++CallNumber;
-    Answers.push_back(TestFleet.caller().start(TestFleet.chat(
+    Answers.push_back(TestFleet.caller().start(TestFleet.chatCall(
         CallNumber % 3, CallNumber % 2 == 0 ? "guide" : "urgent", 30, true)));
   };
   for (std::size_t Index = 0; Index < 3; ++Index) {
@@ -83,13 +83,14 @@
     Stopping.m_Dispatcher->signal(SIGTERM);
     BOOST_TEST((Stopping.m_Dispatcher->wait(10s) == 0));
     TestFleet.startInstance(Index);
-    BOOST_TEST(TestFleet.waitReady(Index, 15s));
+    BOOST_TEST(TestFleet.waitUntilReady(Index, 15s));
   }
   BOOST_TEST(runUntil([&] { return allEnded(Answers); }, 30s));
   std::size_t Whole = 0;
   for (const auto &Answer : Answers) {
     if (Answer->m_Status == 200) {
-      BOOST_TEST(isWholeAnswer(Answer->text(), 30), Answer->m_Body);
+      BOOST_TEST(isCompleteAnswer(Answer->completionText(), 30),
+                 Answer->m_Body);
       ++Whole;
     } else {
       BOOST_TEST((Answer->m_Run == "not-run" || Answer->m_Status == 0));
--- a/tests/process/table_test.cpp
+++ b/tests/process/table_test.cpp
@@ -15,14 +15,14 @@
 /// Returns the table version in force at the dispatcher of \p Instance, or 0.
 std::uint64_t tableVersionAt(Fleet &TestFleet, const TestInstance &Instance) {
   const nlohmann::json Status = TestFleet.caller().json(
-      "GET", Instance.m_Admin, "/v1/status", nullptr, OperatorKey);
+      "GET", Instance.m_AdminAddress, "/v1/status", nullptr, OperatorKey);
   return Status.is_object() ? Status.value("table_version", 0U) : 0;
 }
 
 std::string tableCsvAt(Fleet &TestFleet, const TestInstance &Instance) {
   Call Request;
   Request.m_Method = "GET";
-  Request.m_Where = Instance.m_Admin;
+  Request.m_Address = Instance.m_AdminAddress;
   Request.m_Path = "/v1/table";
   Request.m_Headers["Authorization"] = std::string("Bearer ") + OperatorKey;
   return TestFleet.caller().call(Request).m_Body;
@@ -40,7 +40,7 @@
                 std::uint64_t BaseVersion) {
   Call Change;
   Change.m_Method = "PUT";
-  Change.m_Where = Instance.m_Admin;
+  Change.m_Address = Instance.m_AdminAddress;
   Change.m_Path = "/v1/table";
   Change.m_Body = Csv;
   Change.m_Headers = {{"Authorization", std::string("Bearer ") + OperatorKey},
@@ -69,23 +69,23 @@
   const TestInstance &First = TestFleet.instances()[0];
   const std::uint64_t BaseVersion = tableVersionAt(TestFleet, First);
   const std::string Csv = withMaxTokens(tableCsvAt(TestFleet, First), 7);
-  const Told Answer =
+  const CallResult Answer =
       TestFleet.caller().call(changeCall(First, Csv, BaseVersion));
   BOOST_REQUIRE(Answer.m_Status == 200U);
   for (std::size_t Index = 0; Index < 3; ++Index) {
-    const Told Guide =
-        TestFleet.caller().call(TestFleet.chat(Index, "guide", 30, false));
-    BOOST_TEST(!isWholeAnswer(Guide.text(), 30),
+    const CallResult Guide =
+        TestFleet.caller().call(TestFleet.chatCall(Index, "guide", 30, false));
+    BOOST_TEST(!isCompleteAnswer(Guide.completionText(), 30),
                "the old table is still in force");
   }
-  TestFleet.platformFault("tables", "refuse");
+  TestFleet.setPlatformFault("tables", "refuse");
   TestFleet.instances()[1].m_Dispatcher->kill();
   TestFleet.instances()[1].m_Entry->kill();
   TestFleet.startInstance(1);
-  BOOST_TEST(TestFleet.waitReady(1, 15s),
+  BOOST_TEST(TestFleet.waitUntilReady(1, 15s),
              "did not learn the table from its peers");
   BOOST_TEST(hasMaxTokens(TestFleet, TestFleet.instances()[1], 7));
-  TestFleet.platformFault("tables", "none");
+  TestFleet.setPlatformFault("tables", "none");
 }
 
 // Two operators change the same version at two instances: one change is
@@ -105,7 +105,7 @@
   const unsigned Statuses = FirstAnswer->m_Status + SecondAnswer->m_Status;
   BOOST_TEST(Statuses == 200U + 409U,
              FirstAnswer->m_Body << SecondAnswer->m_Body);
-  const Told &Loser =
+  const CallResult &Loser =
       FirstAnswer->m_Status == 409 ? *FirstAnswer : *SecondAnswer;
   BOOST_TEST(Loser.m_Body.find("conflict") != std::string::npos);
   const int WinningTokens = FirstAnswer->m_Status == 200 ? 11 : 12;
@@ -121,10 +121,10 @@
   const std::uint64_t BaseVersion =
       tableVersionAt(TestFleet, TestFleet.instances()[0]);
   const std::string Csv = tableCsvAt(TestFleet, TestFleet.instances()[0]);
-  TestFleet.platformFault("table_writes", "drop_answer", 0, 2);
-  const Told Answer = TestFleet.caller().call(
+  TestFleet.setPlatformFault("table_writes", "drop_answer", 0, 2);
+  const CallResult Answer = TestFleet.caller().call(
       changeCall(TestFleet.instances()[0], withMaxTokens(Csv, 9), BaseVersion));
-  TestFleet.platformFault("table_writes", "none");
+  TestFleet.setPlatformFault("table_writes", "none");
   BOOST_TEST(
       (Answer.m_Status == 200 ||
        Answer.m_Body.find("\"may_have_committed\": true") != std::string::npos),
@@ -143,7 +143,7 @@
       tableVersionAt(TestFleet, TestFleet.instances()[0]);
   const std::string Csv =
       withMaxTokens(tableCsvAt(TestFleet, TestFleet.instances()[0]), -5);
-  const Told Answer = TestFleet.caller().call(
+  const CallResult Answer = TestFleet.caller().call(
       changeCall(TestFleet.instances()[0], Csv, BaseVersion));
   BOOST_TEST(Answer.m_Status == 422U);
   BOOST_TEST(Answer.m_Body.find("max_tokens") != std::string::npos);
--- a/tests/process/upstream_test.cpp
+++ b/tests/process/upstream_test.cpp
@@ -13,19 +13,19 @@
 
 FleetPlan threeEngines() {
   FleetPlan Plan;
-  Plan.m_Engines = 3;
+  Plan.m_EngineCount = 3;
   Plan.m_EngineSettings = "token_ms = 10\n";
   return Plan;
 }
 
 std::size_t recordedCallsAt(Fleet &TestFleet, const std::string &Upstream) {
   std::size_t Count = 0;
-  for (const RanCall &Record : TestFleet.ran("writer"))
+  for (const RecordedCall &Record : TestFleet.recordedCalls("writer"))
     Count += Record.m_Upstream == Upstream ? 1 : 0;
   return Count;
 }
 
-bool allEnded(const std::vector<std::shared_ptr<const Told>> &Answers) {
+bool allEnded(const std::vector<std::shared_ptr<const CallResult>> &Answers) {
   return std::all_of(Answers.begin(), Answers.end(),
                      [](const auto &Answer) { return Answer->m_Ended; });
 }
@@ -38,18 +38,18 @@
 BOOST_AUTO_TEST_CASE(BrokenStreamIsResumedElsewhere) {
   Fleet TestFleet(threeEngines());
   TestFleet.start();
-  TestFleet.upstreamFault(
+  TestFleet.setUpstreamFault(
       "writer-1",
       {{"mode", "crash_mid_stream"}, {"after_tokens", 10}, {"count", 0}});
-  std::vector<std::shared_ptr<const Told>> Answers;
+  std::vector<std::shared_ptr<const CallResult>> Answers;
   for (std::size_t I = 0; I < 12; ++I)
-    Answers.push_back(TestFleet.caller().start(TestFleet.chat(
+    Answers.push_back(TestFleet.caller().start(TestFleet.chatCall(
         I % 3, "guide", 40, true, "prompt " + std::to_string(I))));
   BOOST_TEST(runUntil([&] { return allEnded(Answers); }, 30s));
   for (const auto &Answer : Answers) {
     BOOST_TEST(Answer->m_Status == 200U, Answer->m_Body);
-    BOOST_TEST(isWholeAnswer(Answer->text(), 40), Answer->m_Body);
-    BOOST_TEST(Answer->streamEnded());
+    BOOST_TEST(isCompleteAnswer(Answer->completionText(), 40), Answer->m_Body);
+    BOOST_TEST(Answer->isStreamComplete());
   }
   BOOST_TEST(recordedCallsAt(TestFleet, "writer-1") > 0U);
 }
@@ -58,13 +58,13 @@
 // are refused. Callers get complete answers: the other engines resume them.
 BOOST_AUTO_TEST_CASE(CutLinkToAnEngineIsResumedElsewhere) {
   FleetPlan Plan = threeEngines();
-  Plan.m_CanCutUpstreams = true;
+  Plan.m_RelayUpstreams = true;
   Fleet TestFleet(Plan);
   TestFleet.start();
-  std::vector<std::shared_ptr<const Told>> Answers;
+  std::vector<std::shared_ptr<const CallResult>> Answers;
   for (std::size_t I = 0; I < 9; ++I)
-    Answers.push_back(TestFleet.caller().start(
-        TestFleet.chat(I % 3, "guide", 100, true, "cut " + std::to_string(I))));
+    Answers.push_back(TestFleet.caller().start(TestFleet.chatCall(
+        I % 3, "guide", 100, true, "cut " + std::to_string(I))));
   BOOST_TEST(runUntil(
       [&] {
         return std::all_of(
@@ -72,10 +72,10 @@
             [](const auto &Answer) { return !Answer->m_Body.empty(); });
       },
       10s));
-  TestFleet.cutUpstream("writer-1", true);
+  TestFleet.setUpstreamBlocked("writer-1", true);
   BOOST_TEST(runUntil([&] { return allEnded(Answers); }, 30s));
   for (const auto &Answer : Answers)
-    BOOST_TEST(isWholeAnswer(Answer->text(), 100), Answer->m_Body);
+    BOOST_TEST(isCompleteAnswer(Answer->completionText(), 100), Answer->m_Body);
   BOOST_TEST(recordedCallsAt(TestFleet, "writer-1") > 0U);
 }
 
@@ -84,22 +84,23 @@
 // the call is not sent elsewhere.
 BOOST_AUTO_TEST_CASE(ClosedKeyedCallIsUnknownAndNotRepeated) {
   FleetPlan Plan;
-  Plan.m_Services = 2;
+  Plan.m_ServiceCount = 2;
   Fleet TestFleet(Plan);
   TestFleet.start();
   for (const char *Name : {"desk-1", "desk-2"})
-    TestFleet.upstreamFault(Name, {{"mode", "drop_answer"}, {"count", 0}});
-  const Told First = TestFleet.caller().call(
-      TestFleet.desk(0, "hold", "closed-1", "{\"seat\":1}"));
+    TestFleet.setUpstreamFault(Name, {{"mode", "drop_answer"}, {"count", 0}});
+  const CallResult First = TestFleet.caller().call(
+      TestFleet.deskCall(0, "hold", "closed-1", "{\"seat\":1}"));
   BOOST_TEST(First.m_Run == "unknown", First.m_Body);
   for (const char *Name : {"desk-1", "desk-2"})
-    TestFleet.upstreamFault(Name, {{"mode", "none"}});
-  const Told Again = TestFleet.caller().call(
-      TestFleet.desk(1, "hold", "closed-1", "{\"seat\":1}"));
+    TestFleet.setUpstreamFault(Name, {{"mode", "none"}});
+  const CallResult Again = TestFleet.caller().call(
+      TestFleet.deskCall(1, "hold", "closed-1", "{\"seat\":1}"));
   BOOST_TEST(Again.m_Run == "unknown", Again.m_Body);
   std::size_t Ran = 0;
-  for (const RanCall &Record : TestFleet.ran("desk"))
-    Ran += Record.m_Key.find("closed-1") != std::string::npos ? 1 : 0;
+  for (const RecordedCall &Record : TestFleet.recordedCalls("desk"))
+    Ran +=
+        Record.m_IdempotencyKey.find("closed-1") != std::string::npos ? 1 : 0;
   BOOST_TEST(Ran <= 1U);
 }
 
@@ -108,27 +109,27 @@
 BOOST_AUTO_TEST_CASE(DrainedEngineGetsNothingNewAndCutsNothing) {
   Fleet TestFleet(threeEngines());
   TestFleet.start();
-  std::vector<std::shared_ptr<const Told>> Running;
+  std::vector<std::shared_ptr<const CallResult>> Running;
   for (std::size_t I = 0; I < 9; ++I)
-    Running.push_back(
-        TestFleet.caller().start(TestFleet.chat(I % 3, "guide", 150, true)));
+    Running.push_back(TestFleet.caller().start(
+        TestFleet.chatCall(I % 3, "guide", 150, true)));
   runFor(300ms);
-  TestFleet.caller().json("PUT", TestFleet.instances()[1].m_Admin,
+  TestFleet.caller().json("PUT", TestFleet.instances()[1].m_AdminAddress,
                           "/v1/drains/upstream/writer-2", nullptr,
                           "operator-key");
   runFor(5s);
   const std::size_t Before = recordedCallsAt(TestFleet, "writer-2");
-  std::vector<std::shared_ptr<const Told>> Later;
+  std::vector<std::shared_ptr<const CallResult>> Later;
   for (std::size_t I = 0; I < 18; ++I)
     Later.push_back(
-        TestFleet.caller().start(TestFleet.chat(I % 3, "guide", 10, true)));
+        TestFleet.caller().start(TestFleet.chatCall(I % 3, "guide", 10, true)));
   BOOST_TEST(
       runUntil([&] { return allEnded(Running) && allEnded(Later); }, 30s));
   BOOST_TEST(recordedCallsAt(TestFleet, "writer-2") == Before);
   for (const auto &Answer : Running)
-    BOOST_TEST(isWholeAnswer(Answer->text(), 150), Answer->m_Body);
+    BOOST_TEST(isCompleteAnswer(Answer->completionText(), 150), Answer->m_Body);
   for (const auto &Answer : Later)
-    BOOST_TEST(isWholeAnswer(Answer->text(), 10), Answer->m_Body);
+    BOOST_TEST(isCompleteAnswer(Answer->completionText(), 10), Answer->m_Body);
 }
 
 // An engine reports that it is draining while the platform's directory, which
@@ -139,13 +140,13 @@
   TestFleet.start();
   TestFleet.caller().json("POST", TestFleet.upstreamAddress("writer-3"),
                           "/v1/drain", {{"leaving", true}});
-  std::vector<std::shared_ptr<const Told>> Answers;
+  std::vector<std::shared_ptr<const CallResult>> Answers;
   for (std::size_t I = 0; I < 9; ++I)
     Answers.push_back(
-        TestFleet.caller().start(TestFleet.chat(I % 3, "guide", 10, true)));
+        TestFleet.caller().start(TestFleet.chatCall(I % 3, "guide", 10, true)));
   BOOST_TEST(runUntil([&] { return allEnded(Answers); }, 20s));
   for (const auto &Answer : Answers)
-    BOOST_TEST(isWholeAnswer(Answer->text(), 10), Answer->m_Body);
+    BOOST_TEST(isCompleteAnswer(Answer->completionText(), 10), Answer->m_Body);
   BOOST_TEST(recordedCallsAt(TestFleet, "writer-3") == 0U);
 }
 
@@ -153,16 +154,16 @@
 // next request does not wait until they are complete.
 BOOST_AUTO_TEST_CASE(GoneCallerCancelsTheEngine) {
   FleetPlan Plan;
-  Plan.m_Engines = 1;
+  Plan.m_EngineCount = 1;
   Plan.m_EngineSettings = "token_ms = 10\n";
   Fleet TestFleet(Plan);
   TestFleet.start();
   {
     Caller LeavingCaller;
-    std::vector<std::shared_ptr<const Told>> Answers;
+    std::vector<std::shared_ptr<const CallResult>> Answers;
     for (std::size_t I = 0; I < 4; ++I)
       Answers.push_back(
-          LeavingCaller.start(TestFleet.chat(0, "guide", 2000, true)));
+          LeavingCaller.start(TestFleet.chatCall(0, "guide", 2000, true)));
     runUntil(
         [&] {
           return std::all_of(
@@ -171,8 +172,8 @@
         },
         10s);
   }
-  const Told Next =
-      TestFleet.caller().call(TestFleet.chat(1, "guide", 5, false));
+  const CallResult Next =
+      TestFleet.caller().call(TestFleet.chatCall(1, "guide", 5, false));
   BOOST_TEST(Next.m_Status == 200U, Next.m_Body);
   BOOST_TEST((Next.m_Elapsed < 5s));
 }
--- a/tests/soak/ledger.h
+++ b/tests/soak/ledger.h
@@ -14,94 +14,99 @@
 namespace crowstep::soak {
 
 /// Kinds of routes, by what callers may expect of a request.
-enum class Kind : std::uint8_t {
-  Once,      ///< Runs at most once.
-  Again,     ///< May be retried after it ran.
-  Stream,    ///< Event stream; not resumable.
-  Resumable, ///< Event stream that another upstream may resume.
+enum class RequestKind : std::uint8_t {
+  AtMostOnce,      ///< Runs at most once.
+  Idempotent,      ///< May be retried after it ran.
+  Stream,          ///< Event stream; not resumable.
+  ResumableStream, ///< Event stream that another upstream may resume.
 };
 
 /// One execution of a request at an upstream.
-struct Run {
-  std::string m_Upstream; ///< Names its incarnation too.
-  TimePoint m_At;         ///< Its start.
-  bool m_Continues;       ///< Sent with a Last-Event-Id.
+struct UpstreamRun {
+  std::string m_UpstreamName; ///< Names its incarnation too.
+  TimePoint m_StartedAt;      ///< Its start.
+  bool m_IsResumption;        ///< Sent with a Last-Event-Id.
 };
 
 /// One request of a caller.
-struct Asked {
-  Kind m_Kind = Kind::Once;    ///< Its route's kind.
+struct RequestRecord {
+  RequestKind m_Kind = RequestKind::AtMostOnce; ///< Its route's kind.
   int m_Gateway = 0;           ///< Number of the gateway it was sent to.
-  unsigned m_Lifetime = 0;     ///< The gateway's incarnation.
+  unsigned m_Incarnation = 0;  ///< The gateway's incarnation.
   unsigned m_TableVersion = 0; ///< Of its route; 0: in every table.
-  TimePoint m_At;              ///< Time of sending.
-  std::shared_ptr<const test::Told> m_Told; ///< Fills while the loop runs.
-  std::vector<Run> m_Runs;                  ///< Recorded so far.
-  bool m_Crashing = false;                  ///< Crashes upstreams that run it.
-  TimePoint m_GatewayStart;                 ///< Of that incarnation.
-  bool m_Judged = false;                    ///< Checked after its end.
+  TimePoint m_SentAt;          ///< Time of sending.
+  std::shared_ptr<const test::CallResult>
+      m_Result;                    ///< Fills while the loop runs.
+  std::vector<UpstreamRun> m_Runs; ///< Recorded so far.
+  bool m_IsCrashing = false;       ///< Crashes upstreams that run it.
+  TimePoint m_GatewayStartedAt;    ///< Of that incarnation.
+  bool m_IsChecked = false;        ///< Checked after its end.
 };
 
 /// A check that failed.
 struct Violation {
-  std::string m_Check; ///< Name of the check.
-  std::string m_What;  ///< The request and what was observed.
+  std::string m_Check;   ///< Name of the check.
+  std::string m_Details; ///< The request and what was observed.
 };
 
 /// Time ranges in which a check is suspended.
-using Spans = std::vector<std::pair<TimePoint, TimePoint>>;
+using TimeRanges = std::vector<std::pair<TimePoint, TimePoint>>;
 
 class Ledger {
 public:
-  void asked(const std::string &Id, Asked Request) {
-    m_Calls[Id] = std::move(Request);
+  void recordRequest(const std::string &Id, RequestRecord Request) {
+    m_Requests[Id] = std::move(Request);
   }
-  void ran(const std::string &Id, Run Started);
+  void recordRun(const std::string &Id, UpstreamRun Started);
 
   /// Counts an arrival of a request at an upstream, whether it runs or not.
-  void arrived(const std::string &Id, TimePoint Now);
+  void recordArrival(const std::string &Id, TimePoint Now);
 
   /// Records that the store has acknowledged that \p Upstream drains or is
   /// removed.
-  void leaves(const std::string &Upstream, TimePoint Now) {
-    m_Leaving.emplace(Upstream, Now);
+  void recordDraining(const std::string &Upstream, TimePoint Now) {
+    m_DrainingSince.emplace(Upstream, Now);
   }
 
   /// Records that the crashing request has crashed an upstream, whose row is
   /// removed at \p RowRemoved.
-  void crashed(TimePoint RowRemoved) { m_CrashesKnown.push_back(RowRemoved); }
+  void recordCrash(TimePoint RowRemoved) {
+    m_CrashRowsRemoved.push_back(RowRemoved);
+  }
 
   /// Records that the store holds a newer table.
-  void tableChanged(unsigned Version, TimePoint Now) {
-    m_Tables.emplace(Version, Now);
+  void recordTableChange(unsigned Version, TimePoint Now) {
+    m_TableWrittenAt.emplace(Version, Now);
   }
 
   /// Excuses gateways from knowing what the store holds.
-  void blind(TimePoint From, TimePoint To) { m_Blind.emplace_back(From, To); }
+  void excuseStaleness(TimePoint From, TimePoint To) {
+    m_StalenessExcuses.emplace_back(From, To);
+  }
 
   /// Records that the driver, and the store that it hosts, did not run.
-  void stalled(TimePoint From, TimePoint To) {
-    blind(From, To);
-    m_Stalled.push_back(To - From);
+  void recordDriverStall(TimePoint From, TimePoint To) {
+    excuseStaleness(From, To);
+    m_DriverStalls.push_back(To - From);
   }
 
   /// Records that a gateway was told to stop in a round of planned work only.
-  void calmStop(int Gateway, TimePoint From, TimePoint To) {
-    m_CalmStops.push_back({Gateway, From, To});
+  void recordPlannedStop(int Gateway, TimePoint From, TimePoint To) {
+    m_PlannedStops.push_back({Gateway, From, To});
   }
 
   /// Checks the requests that have ended since the previous call.
-  void judge();
+  void checkEndedRequests();
 
   /// Checks that service recovered in time after the last fault.
-  void judgeRecovery(bool Recovered) {
-    ++m_Checked["recovery"];
+  void checkRecovery(bool Recovered) {
+    ++m_CheckCounts["recovery"];
     if (!Recovered)
-      violated("recovery", "service did not recover in time");
+      addViolation("recovery", "service did not recover in time");
   }
 
   /// Runs the checks that need the records of the whole round.
-  void judgeAll();
+  void checkAll();
 
   /// Returns the share served of the ended requests sent from \p From until
   /// \p To, or 0 if there are none. Those of the crashing request and of routes
@@ -109,46 +114,48 @@
   [[nodiscard]] double servedShare(TimePoint From, TimePoint To) const;
 
   /// Prints requests by outcome, counts of checks, and violations.
-  void report() const;
+  void printReport() const;
 
   [[nodiscard]] const std::vector<Violation> &violations() const {
     return m_Violations;
   }
 
 private:
-  struct CalmStop {
-    int m_Gateway;    ///< Its number.
-    TimePoint m_From; ///< Time of SIGTERM.
-    TimePoint m_To;   ///< Requests sent later aren't checked.
+  struct PlannedStop {
+    int m_Gateway;           ///< Its number.
+    TimePoint m_SignalledAt; ///< Time of SIGTERM.
+    TimePoint m_End;         ///< Requests sent later aren't checked.
   };
 
-  void violated(const std::string &Check, const std::string &Details) {
+  void addViolation(const std::string &Check, const std::string &Details) {
     m_Violations.push_back({Check, Details});
   }
-  void judgeAnswer(const std::string &Id, const Asked &Request);
-  void judgeStream(const std::string &Id, const Asked &Request);
-  void judgeVersion(const std::string &Id, const Asked &Request);
-  void judgeStops(const std::string &Id, const Asked &Request);
-  void judgeRuns(const std::string &Id, const Asked &Request);
-  void judgeLeaving(const std::string &Id, const Asked &Request);
-  void judgeBudget();
-  void judgeCrashing();
-  [[nodiscard]] bool inTouch(const Asked &Request, TimePoint At) const;
-  [[nodiscard]] TimePoint knownBy(TimePoint Written) const;
-
-  std::map<std::string, Asked> m_Calls;       ///< By X-Attempt-Id.
-  std::map<std::string, int> m_Arrivals;      ///< By X-Attempt-Id.
-  std::vector<TimePoint> m_Again;             ///< Arrivals after the first.
-  std::vector<TimePoint> m_CrashesKnown;      ///< See recordCrash().
-  std::map<std::string, TimePoint> m_Leaving; ///< By upstream's name.
-  std::map<unsigned, TimePoint> m_Tables;     ///< By version.
-  Spans m_Blind;                              ///< See excuseStaleness().
-  std::vector<Duration> m_Stalled;            ///< See recordDriverStall().
-  std::vector<CalmStop> m_CalmStops;          ///< See recordPlannedStop().
+  void checkAnswer(const std::string &Id, const RequestRecord &Request);
+  void checkStream(const std::string &Id, const RequestRecord &Request);
+  void checkTableVersion(const std::string &Id, const RequestRecord &Request);
+  void checkPlannedStops(const std::string &Id, const RequestRecord &Request);
+  void checkRuns(const std::string &Id, const RequestRecord &Request);
+  void checkDraining(const std::string &Id, const RequestRecord &Request);
+  void checkRetryBudget();
+  void checkCrashingRequest();
+  [[nodiscard]] bool isGatewayUpToDate(const RequestRecord &Request,
+                                       TimePoint At) const;
+  [[nodiscard]] TimePoint knowledgeDeadline(TimePoint Written) const;
+
+  std::map<std::string, RequestRecord> m_Requests; ///< By X-Attempt-Id.
+  std::map<std::string, int> m_ArrivalCounts;      ///< By X-Attempt-Id.
+  std::vector<TimePoint> m_RetryArrivals;    ///< Arrivals after the first.
+  std::vector<TimePoint> m_CrashRowsRemoved; ///< See recordCrash().
+  std::map<std::string, TimePoint> m_DrainingSince; ///< By upstream's name.
+  std::map<unsigned, TimePoint> m_TableWrittenAt;   ///< By version.
+  TimeRanges m_StalenessExcuses;                    ///< See excuseStaleness().
+  std::vector<Duration> m_DriverStalls;    ///< See recordDriverStall().
+  std::vector<PlannedStop> m_PlannedStops; ///< See recordPlannedStop().
   /// The newest table observed in force and since when, by gateway and its
   /// incarnation.
-  std::map<std::pair<int, unsigned>, std::pair<unsigned, TimePoint>> m_Newest;
-  std::map<std::string, int> m_Checked; ///< By check.
+  std::map<std::pair<int, unsigned>, std::pair<unsigned, TimePoint>>
+      m_NewestTables;
+  std::map<std::string, int> m_CheckCounts; ///< By check.
   std::vector<Violation> m_Violations;
 };
 
@@ -168,10 +175,10 @@
 
 /// Limit on runs of a request that has crashed three upstreams, by gateways
 /// that can know of the crashes.
-inline constexpr std::size_t RunsAfterCrashes = 3;
+inline constexpr std::size_t MaxRunsAfterCrashes = 3;
 
 /// Events in a complete stream.
-inline constexpr int EventsOfStream = 8;
+inline constexpr int EventsPerStream = 8;
 
 } // namespace crowstep::soak
 
