--- a/tests/soak/raw_caller.cpp
+++ b/tests/soak/raw_caller.cpp
@@ -21,7 +21,7 @@
 class AnswerParser {
 public:
   /// Parses further bytes; status and body go to \p Into.
-  void parse(std::string_view Bytes, test::Told &Into) {
+  void parse(std::string_view Bytes, test::CallResult &Into) {
     m_Pending.append(Bytes);
     if (!m_HasHead && !parseHead(Into))
       return;
@@ -35,7 +35,7 @@
   [[nodiscard]] bool allowsReuse() const { return m_IsComplete && !m_Close; }
 
 private:
-  bool parseHead(test::Told &Into) {
+  bool parseHead(test::CallResult &Into) {
     const auto End = m_Pending.find("\r\n\r\n");
     if (End == std::string::npos)
       return false;
@@ -52,7 +52,7 @@
     return true;
   }
 
-  void parseSizedBody(test::Told &Into) {
+  void parseSizedBody(test::CallResult &Into) {
     const std::size_t Size = std::min(m_RemainingBytes, m_Pending.size());
     Into.m_Body.append(m_Pending, 0, Size);
     m_Pending.erase(0, Size);
@@ -60,7 +60,7 @@
     m_IsComplete = m_RemainingBytes == 0;
   }
 
-  void parseChunks(test::Told &Into) {
+  void parseChunks(test::CallResult &Into) {
     while (!m_IsComplete) {
       const auto Line = m_Pending.find("\r\n");
       if (Line == std::string::npos)
@@ -95,78 +95,83 @@
   }
 };
 
-struct RawCaller::Flight {
+struct RawCaller::OpenRequest {
   RawCaller *m_Owner = nullptr; ///< Null once it has ended.
-  test::Call m_What;            ///< As given.
-  std::string m_Text;           ///< Head and body.
-  std::shared_ptr<test::Told> m_Told = std::make_shared<test::Told>();
-  std::shared_ptr<Connection> m_Connection; ///< Null while not connected.
-  AnswerParser m_Reader;                    ///< Parses the answer.
-  std::array<char, 16384> m_Piece{};        ///< Buffer for reads.
-  gint64 m_Start = g_get_monotonic_time();  ///< In µs.
-  guint m_Timer = 0;                        ///< Source of the timeout; 0: none.
+  test::Call m_Request;         ///< As given.
+  std::string m_RequestBytes;   ///< Head and body.
+  std::shared_ptr<test::CallResult> m_Result =
+      std::make_shared<test::CallResult>();
+  std::shared_ptr<Connection> m_Connection;  ///< Null while not connected.
+  AnswerParser m_Parser;                     ///< Parses the answer.
+  std::array<char, 16384> m_ReadBuffer{};    ///< Buffer for reads.
+  gint64 m_StartUs = g_get_monotonic_time(); ///< In µs.
+  guint m_TimeoutSource = 0; ///< Source of the timeout; 0: none.
   GCancellable *m_Cancel = g_cancellable_new(); ///< Owned.
 
-  ~Flight() { g_object_unref(m_Cancel); }
+  ~OpenRequest() { g_object_unref(m_Cancel); }
 };
 
-RawCaller::~RawCaller() { hangUp(); }
+RawCaller::~RawCaller() { cancelAll(); }
 
-void RawCaller::hangUp() {
-  m_Kept.clear();
-  const std::set<std::shared_ptr<Flight>> Open = m_Flights;
-  for (const std::shared_ptr<Flight> &Exchange : Open)
+void RawCaller::cancelAll() {
+  m_IdleConnections.clear();
+  const std::set<std::shared_ptr<OpenRequest>> Open = m_OpenRequests;
+  for (const std::shared_ptr<OpenRequest> &Exchange : Open)
     finish(Exchange, false);
 }
 
-std::shared_ptr<const test::Told> RawCaller::start(const test::Call &Request) {
-  auto Exchange = std::make_shared<Flight>();
+std::shared_ptr<const test::CallResult>
+RawCaller::start(const test::Call &Request) {
+  auto Exchange = std::make_shared<OpenRequest>();
   Exchange->m_Owner = this;
-  Exchange->m_What = Request;
-  Exchange->m_Text = Request.m_Method + " " + Request.m_Path + " HTTP/1.1\r\n";
+  Exchange->m_Request = Request;
+  Exchange->m_RequestBytes =
+      Request.m_Method + " " + Request.m_Path + " HTTP/1.1\r\n";
   for (const auto &[Name, Value] : Request.m_Headers)
-    Exchange->m_Text.append(Name).append(": ").append(Value).append("\r\n");
-  Exchange->m_Text +=
+    Exchange->m_RequestBytes.append(Name).append(": ").append(Value).append(
+        "\r\n");
+  Exchange->m_RequestBytes +=
       "Content-Length: " + std::to_string(Request.m_Body.size()) + "\r\n";
-  if (!Request.m_KeepsOpen)
-    Exchange->m_Text += "Connection: close\r\n";
-  Exchange->m_Text += "\r\n" + Request.m_Body;
-  m_Flights.insert(Exchange);
-  arm(Exchange, Request.m_Limit);
-  begin(Exchange);
-  return Exchange->m_Told;
+  if (!Request.m_KeepAlive)
+    Exchange->m_RequestBytes += "Connection: close\r\n";
+  Exchange->m_RequestBytes += "\r\n" + Request.m_Body;
+  m_OpenRequests.insert(Exchange);
+  startTimeout(Exchange, Request.m_Timeout);
+  openConnection(Exchange);
+  return Exchange->m_Result;
 }
 
-void RawCaller::arm(const std::shared_ptr<Flight> &Exchange, Duration Limit) {
+void RawCaller::startTimeout(const std::shared_ptr<OpenRequest> &Exchange,
+                             Duration Limit) {
   const auto OnTimeout = +[](gpointer Data) -> gboolean {
-    auto &Expired = *static_cast<std::shared_ptr<Flight> *>(Data);
-    Expired->m_Timer = 0;
+    auto &Expired = *static_cast<std::shared_ptr<OpenRequest> *>(Data);
+    Expired->m_TimeoutSource = 0;
     Expired->m_Owner->finish(Expired, false);
     return G_SOURCE_REMOVE;
   };
   const auto Free = +[](gpointer Data) {
-    delete static_cast<std::shared_ptr<Flight> *>(Data);
+    delete static_cast<std::shared_ptr<OpenRequest> *>(Data);
   };
   const auto Milliseconds =
       std::chrono::ceil<std::chrono::milliseconds>(Limit).count();
-  Exchange->m_Timer = g_timeout_add_full(
+  Exchange->m_TimeoutSource = g_timeout_add_full(
       G_PRIORITY_DEFAULT, static_cast<guint>(Milliseconds), OnTimeout,
-      new std::shared_ptr<Flight>(Exchange), Free);
+      new std::shared_ptr<OpenRequest>(Exchange), Free);
 }
 
-void RawCaller::begin(const std::shared_ptr<Flight> &Exchange) {
-  auto &Idle = m_Kept[Exchange->m_What.m_Where];
-  if (Exchange->m_What.m_KeepsOpen && !Idle.empty()) {
+void RawCaller::openConnection(const std::shared_ptr<OpenRequest> &Exchange) {
+  auto &Idle = m_IdleConnections[Exchange->m_Request.m_Address];
+  if (Exchange->m_Request.m_KeepAlive && !Idle.empty()) {
     Exchange->m_Connection = Idle.front();
     Idle.pop_front();
-    write(Exchange);
+    sendRequest(Exchange);
     return;
   }
   const auto OnConnected =
       +[](GObject *Client, GAsyncResult *Result, gpointer Data) {
-        const std::unique_ptr<std::shared_ptr<Flight>> Pending(
-            static_cast<std::shared_ptr<Flight> *>(Data));
-        Flight &Current = **Pending;
+        const std::unique_ptr<std::shared_ptr<OpenRequest>> Pending(
+            static_cast<std::shared_ptr<OpenRequest> *>(Data));
+        OpenRequest &Current = **Pending;
         GSocketConnection *Stream = g_socket_client_connect_to_host_finish(
             G_SOCKET_CLIENT(Client), Result, nullptr);
         if (Stream != nullptr) {
@@ -178,21 +183,22 @@
         if (Stream == nullptr)
           Current.m_Owner->finish(*Pending, false);
         else
-          Current.m_Owner->write(*Pending);
+          Current.m_Owner->sendRequest(*Pending);
       };
   GSocketClient *Client = g_socket_client_new();
-  const std::string Host = toString(Exchange->m_What.m_Where);
+  const std::string Host = toString(Exchange->m_Request.m_Address);
   g_socket_client_connect_to_host_async(
-      Client, Host.c_str(), Exchange->m_What.m_Where.m_Port, Exchange->m_Cancel,
-      OnConnected, new std::shared_ptr<Flight>(Exchange));
+      Client, Host.c_str(), Exchange->m_Request.m_Address.m_Port,
+      Exchange->m_Cancel, OnConnected,
+      new std::shared_ptr<OpenRequest>(Exchange));
   g_object_unref(Client);
 }
 
-void RawCaller::write(const std::shared_ptr<Flight> &Exchange) {
+void RawCaller::sendRequest(const std::shared_ptr<OpenRequest> &Exchange) {
   const auto OnWritten =
       +[](GObject *Stream, GAsyncResult *Result, gpointer Data) {
-        const std::unique_ptr<std::shared_ptr<Flight>> Pending(
-            static_cast<std::shared_ptr<Flight> *>(Data));
+        const std::unique_ptr<std::shared_ptr<OpenRequest>> Pending(
+            static_cast<std::shared_ptr<OpenRequest> *>(Data));
         const bool Succeeded =
             g_output_stream_write_all_finish(G_OUTPUT_STREAM(Stream), Result,
                                              nullptr, nullptr) != 0;
@@ -200,58 +206,62 @@
         if (Owner == nullptr)
           return;
         if (Succeeded)
-          Owner->read(*Pending);
+          Owner->readResponse(*Pending);
         else
           Owner->finish(*Pending, false);
       };
   g_output_stream_write_all_async(
       g_io_stream_get_output_stream(
           G_IO_STREAM(Exchange->m_Connection->m_Stream)),
-      Exchange->m_Text.data(), Exchange->m_Text.size(), G_PRIORITY_DEFAULT,
-      Exchange->m_Cancel, OnWritten, new std::shared_ptr<Flight>(Exchange));
+      Exchange->m_RequestBytes.data(), Exchange->m_RequestBytes.size(),
+      G_PRIORITY_DEFAULT, Exchange->m_Cancel, OnWritten,
+      new std::shared_ptr<OpenRequest>(Exchange));
 }
 
-void RawCaller::read(const std::shared_ptr<Flight> &Exchange) {
+void RawCaller::readResponse(const std::shared_ptr<OpenRequest> &Exchange) {
   const auto OnRead =
       +[](GObject *Stream, GAsyncResult *Result, gpointer Data) {
-        const std::unique_ptr<std::shared_ptr<Flight>> Pending(
-            static_cast<std::shared_ptr<Flight> *>(Data));
-        Flight &Current = **Pending;
+        const std::unique_ptr<std::shared_ptr<OpenRequest>> Pending(
+            static_cast<std::shared_ptr<OpenRequest> *>(Data));
+        OpenRequest &Current = **Pending;
         const gssize Size =
             g_input_stream_read_finish(G_INPUT_STREAM(Stream), Result, nullptr);
         if (Current.m_Owner == nullptr)
           return;
         if (Size > 0)
-          Current.m_Reader.parse(
-              {Current.m_Piece.data(), static_cast<std::size_t>(Size)},
-              *Current.m_Told);
-        if (Size <= 0 || Current.m_Reader.isComplete())
-          Current.m_Owner->finish(*Pending, Current.m_Reader.isComplete());
+          Current.m_Parser.parse(
+              {Current.m_ReadBuffer.data(), static_cast<std::size_t>(Size)},
+              *Current.m_Result);
+        if (Size <= 0 || Current.m_Parser.isComplete())
+          Current.m_Owner->finish(*Pending, Current.m_Parser.isComplete());
         else
-          Current.m_Owner->read(*Pending);
+          Current.m_Owner->readResponse(*Pending);
       };
   g_input_stream_read_async(g_io_stream_get_input_stream(
                                 G_IO_STREAM(Exchange->m_Connection->m_Stream)),
-                            Exchange->m_Piece.data(), Exchange->m_Piece.size(),
-                            G_PRIORITY_DEFAULT, Exchange->m_Cancel, OnRead,
-                            new std::shared_ptr<Flight>(Exchange));
+                            Exchange->m_ReadBuffer.data(),
+                            Exchange->m_ReadBuffer.size(), G_PRIORITY_DEFAULT,
+                            Exchange->m_Cancel, OnRead,
+                            new std::shared_ptr<OpenRequest>(Exchange));
 }
 
-void RawCaller::finish(const std::shared_ptr<Flight> &Exchange, bool Complete) {
-  Exchange->m_Told->m_Ended = true;
-  Exchange->m_Told->m_Broken = !Complete;
-  Exchange->m_Told->m_Elapsed =
-      Duration(g_get_monotonic_time() - Exchange->m_Start);
-  if (Complete && Exchange->m_What.m_KeepsOpen &&
-      Exchange->m_Reader.allowsReuse())
-    m_Kept[Exchange->m_What.m_Where].push_back(Exchange->m_Connection);
-  if (Exchange->m_Timer != 0)
-    g_source_remove(Exchange->m_Timer);
-  Exchange->m_Timer = 0;
+void RawCaller::finish(const std::shared_ptr<OpenRequest> &Exchange,
+                       bool Complete) {
+  Exchange->m_Result->m_Ended = true;
+  Exchange->m_Result->m_ConnectionBroken = !Complete;
+  Exchange->m_Result->m_Elapsed =
+      Duration(g_get_monotonic_time() - Exchange->m_StartUs);
+  if (Complete && Exchange->m_Request.m_KeepAlive &&
+      Exchange->m_Parser.allowsReuse())
+    m_IdleConnections[Exchange->m_Request.m_Address].push_back(
+        Exchange->m_Connection);
+  if (Exchange->m_TimeoutSource != 0)
+    g_source_remove(Exchange->m_TimeoutSource);
+  Exchange->m_TimeoutSource = 0;
   Exchange->m_Owner = nullptr;
   g_cancellable_cancel(Exchange->m_Cancel);
   Exchange->m_Connection = nullptr;
-  m_Flights.erase(Exchange);
+  m_OpenRequests.erase(Exchange);
 }
 
 } // namespace crowstep::soak
--- a/tests/soak/raw_caller.h
+++ b/tests/soak/raw_caller.h
@@ -20,24 +20,25 @@
 
   /// Starts a call, on an idle connection if there is one and the call allows
   /// reuse; the result is filled while the main loop runs.
-  std::shared_ptr<const test::Told> start(const test::Call &Request);
+  std::shared_ptr<const test::CallResult> start(const test::Call &Request);
 
   /// Closes all connections, idle or in use; open calls end as broken.
-  void hangUp();
+  void cancelAll();
 
 private:
-  struct Flight;
+  struct OpenRequest;
   struct Connection;
 
-  void begin(const std::shared_ptr<Flight> &Exchange);
-  void write(const std::shared_ptr<Flight> &Exchange);
-  void read(const std::shared_ptr<Flight> &Exchange);
-  void finish(const std::shared_ptr<Flight> &Exchange, bool Complete);
-  void arm(const std::shared_ptr<Flight> &Exchange, Duration Limit);
+  void openConnection(const std::shared_ptr<OpenRequest> &Exchange);
+  void sendRequest(const std::shared_ptr<OpenRequest> &Exchange);
+  void readResponse(const std::shared_ptr<OpenRequest> &Exchange);
+  void finish(const std::shared_ptr<OpenRequest> &Exchange, bool Complete);
+  void startTimeout(const std::shared_ptr<OpenRequest> &Exchange,
+                    Duration Limit);
 
   std::map<Address, std::list<std::shared_ptr<Connection>>>
-      m_Kept;                                  ///< By peer.
-  std::set<std::shared_ptr<Flight>> m_Flights; ///< Not ended.
+      m_IdleConnections;                                 ///< By peer.
+  std::set<std::shared_ptr<OpenRequest>> m_OpenRequests; ///< Not ended.
 };
 
 } // namespace crowstep::soak
--- a/tests/soak/schedule.cpp
+++ b/tests/soak/schedule.cpp
@@ -59,11 +59,13 @@
   return FaultNames.at(static_cast<std::size_t>(Kind));
 }
 
-bool isCalm(std::uint64_t Seed) { return Seed % PlannedOnlyEvery == 0; }
+bool isPlannedWorkOnly(std::uint64_t Seed) {
+  return Seed % PlannedOnlyEvery == 0;
+}
 
 bool hasCrashingRequest(std::uint64_t Seed) {
   constexpr std::uint64_t Every = 5;
-  return !isCalm(Seed) && Seed % Every == Every - 1;
+  return !isPlannedWorkOnly(Seed) && Seed % Every == Every - 1;
 }
 
 std::optional<FaultKind> faultKindOf(const std::string &Name) {
@@ -88,7 +90,7 @@
     const std::uint64_t Draw = Random();
     const FaultKind Kind =
         OnlyKind ? *OnlyKind
-        : isCalm(Seed)
+        : isPlannedWorkOnly(Seed)
             ? PlannedKinds.at(Draw % PlannedKinds.size())
             : static_cast<FaultKind>(
                   Draw % static_cast<std::uint64_t>(FaultKind::Count));
--- a/tests/soak/schedule.h
+++ b/tests/soak/schedule.h
@@ -22,7 +22,7 @@
   UpstreamBusy,       ///< See UpstreamFault.
   UpstreamErrors,     ///< See UpstreamFault.
   UpstreamCuts,       ///< See UpstreamFault.
-  UpstreamLost,       ///< See UpstreamFault.
+  UpstreamAnswerLost, ///< See UpstreamFault.
   UpstreamMute,       ///< See UpstreamFault.
   AllUpstreamsErrors, ///< UpstreamErrors at every upstream.
   UpstreamCrash,      ///< Stops without draining; restarted later.
@@ -47,10 +47,10 @@
 
 /// One scheduled fault.
 struct Fault {
-  Duration m_At{};                           ///< Since the start of the load.
+  Duration m_Start{};                        ///< Since the start of the load.
   FaultKind m_Kind = FaultKind::GatewayTerm; ///< Which fault.
-  unsigned m_Which = 0; ///< Of gateway or upstream, modulo their count.
-  Duration m_Span{};    ///< Until it ends; some kinds don't last.
+  unsigned m_Target = 0; ///< Of gateway or upstream, modulo their count.
+  Duration m_Duration{}; ///< Until it ends; some kinds don't last.
 };
 
 /// Returns the faults of \p Seed that begin within \p Length, in order. They
@@ -64,7 +64,7 @@
 std::optional<FaultKind> faultKindOf(const std::string &Name);
 
 /// Returns whether \p Seed plays only planned work.
-bool isCalm(std::uint64_t Seed);
+bool isPlannedWorkOnly(std::uint64_t Seed);
 
 /// Returns whether a request that crashes the upstreams that run it is sent
 /// repeatedly, beside the schedule of \p Seed.
--- a/tests/soak/soak_faults.cpp
+++ b/tests/soak/soak_faults.cpp
@@ -19,8 +19,8 @@
 } // namespace
 
 void SoakFleet::apply(const Fault &Played) {
-  Place &Gateway = m_Places.at(Played.m_Which % m_Places.size());
-  Seat &Upstream = m_Seats.at(Played.m_Which % m_Seats.size());
+  GatewayNode &Gateway = m_Gateways.at(Played.m_Target % m_Gateways.size());
+  UpstreamNode &Upstream = m_Upstreams.at(Played.m_Target % m_Upstreams.size());
   switch (Played.m_Kind) {
   case FaultKind::GatewayTerm:
   case FaultKind::GatewayKill:
@@ -29,18 +29,18 @@
     applyToGateway(Played, Gateway);
     return;
   case FaultKind::AllGatewaysKill:
-    for (Place &Target : m_Places)
+    for (GatewayNode &Target : m_Gateways)
       if (Target.m_Process != nullptr)
         Target.m_Process->signal(SIGKILL);
     return;
   case FaultKind::AllUpstreamsErrors:
-    for (Seat &Target : m_Seats)
+    for (UpstreamNode &Target : m_Upstreams)
       applyToUpstream(Played, Target);
     return;
   case FaultKind::UpstreamBusy:
   case FaultKind::UpstreamErrors:
   case FaultKind::UpstreamCuts:
-  case FaultKind::UpstreamLost:
+  case FaultKind::UpstreamAnswerLost:
   case FaultKind::UpstreamMute:
   case FaultKind::UpstreamCrash:
   case FaultKind::UpstreamRelease:
@@ -56,14 +56,14 @@
     putTable();
     return;
   case FaultKind::CallersLeave:
-    m_Callers.hangUp();
+    m_Caller.cancelAll();
     return;
   default:
     applyToStore(Played, Gateway);
   }
 }
 
-void SoakFleet::applyToGateway(const Fault &Played, Place &Gateway) {
+void SoakFleet::applyToGateway(const Fault &Played, GatewayNode &Gateway) {
   if (Gateway.m_Process == nullptr)
     return;
   if (Played.m_Kind == FaultKind::GatewayTerm) {
@@ -71,14 +71,15 @@
   } else if (Played.m_Kind == FaultKind::GatewayKill) {
     Gateway.m_Process->signal(SIGKILL);
   } else if (Played.m_Kind == FaultKind::GatewayHangUp) {
-    m_Folder.write(Gateway.m_At.m_Name + ".ini",
-                   settingsOf(Gateway.m_At) + "# written anew\n");
+    m_Folder.write(Gateway.m_Settings.m_Name + ".ini",
+                   gatewaySettingsText(Gateway.m_Settings) +
+                       "# written anew\n");
     Gateway.m_Process->signal(SIGHUP);
   } else if (!Gateway.m_Frozen) {
     Gateway.m_Frozen = true;
     Gateway.m_Process->signal(SIGSTOP);
-    m_Ledger.blind(m_Clock.now(), m_Clock.now() + Played.m_Span);
-    later(Played.m_Span, [&Gateway] {
+    m_Ledger.excuseStaleness(m_Clock.now(), m_Clock.now() + Played.m_Duration);
+    runAfter(Played.m_Duration, [&Gateway] {
       Gateway.m_Frozen = false;
       if (Gateway.m_Process != nullptr)
         Gateway.m_Process->signal(SIGCONT);
@@ -88,115 +89,116 @@
 
 /// Callers keep using their connections and open new ones until a readiness
 /// probe fails.
-void SoakFleet::stopGateway(Place &Gateway) {
+void SoakFleet::stopGateway(GatewayNode &Gateway) {
   if (Gateway.m_Stopping)
     return;
   Gateway.m_Stopping = true;
   Gateway.m_Process->signal(SIGTERM);
-  if (m_Calm)
-    m_Ledger.calmStop(Gateway.m_Number, m_Clock.now(), m_Clock.now() + 8s);
+  if (m_PlannedWorkOnly)
+    m_Ledger.recordPlannedStop(Gateway.m_Number, m_Clock.now(),
+                               m_Clock.now() + 8s);
 }
 
-void SoakFleet::applyToUpstream(const Fault &Played, Seat &Upstream) {
-  if (Upstream.m_Upstream == nullptr)
+void SoakFleet::applyToUpstream(const Fault &Played, UpstreamNode &Upstream) {
+  if (Upstream.m_Server == nullptr)
     return;
   if (Played.m_Kind == FaultKind::UpstreamCrash) {
-    takeDown(Upstream, Played.m_Span / 2, Played.m_Span);
+    stopUpstream(Upstream, Played.m_Duration / 2, Played.m_Duration);
     return;
   }
   if (Played.m_Kind == FaultKind::UpstreamRelease) {
     // About half are removed without having been listed as draining.
-    const bool IsAnnounced = Played.m_Which / m_Seats.size() % 2 == 0;
-    list(Upstream, IsAnnounced ? "draining" : "");
-    Upstream.m_Upstream->leave();
-    m_Ledger.leaves(Upstream.m_Upstream->name(), m_Clock.now());
-    replace(Upstream, DrainTime);
+    const bool IsAnnounced = Played.m_Target / m_Upstreams.size() % 2 == 0;
+    putUpstreamRow(Upstream, IsAnnounced ? "draining" : "");
+    Upstream.m_Server->startDraining();
+    m_Ledger.recordDraining(Upstream.m_Server->name(), m_Clock.now());
+    replaceUpstream(Upstream, DrainTime);
     return;
   }
   const auto Selected = [&] {
     switch (Played.m_Kind) {
     case FaultKind::UpstreamBusy:
-      return Trouble::Busy;
+      return UpstreamFault::Busy;
     case FaultKind::UpstreamErrors:
     case FaultKind::AllUpstreamsErrors:
-      return Trouble::Errors;
+      return UpstreamFault::Errors;
     case FaultKind::UpstreamCuts:
-      return Trouble::Cuts;
-    case FaultKind::UpstreamLost:
-      return Trouble::AnswerLost;
+      return UpstreamFault::Cuts;
+    case FaultKind::UpstreamAnswerLost:
+      return UpstreamFault::AnswerLost;
     default:
-      return Trouble::Mute;
+      return UpstreamFault::Mute;
     }
   }();
-  Upstream.m_Upstream->setTrouble(Selected);
-  later(Played.m_Span, [&Upstream] {
-    if (Upstream.m_Upstream != nullptr)
-      Upstream.m_Upstream->setTrouble(Trouble::None);
+  Upstream.m_Server->setFault(Selected);
+  runAfter(Played.m_Duration, [&Upstream] {
+    if (Upstream.m_Server != nullptr)
+      Upstream.m_Server->setFault(UpstreamFault::None);
   });
 }
 
 /// Removes a draining upstream after a while and starts a new incarnation.
-void SoakFleet::replace(Seat &Upstream, Duration After) {
-  const std::string Name = Upstream.m_Upstream->name();
+void SoakFleet::replaceUpstream(UpstreamNode &Upstream, Duration After) {
+  const std::string Name = Upstream.m_Server->name();
   const auto IsSameIncarnation = [&Upstream, Name] {
-    return Upstream.m_Upstream != nullptr &&
-           Upstream.m_Upstream->name() == Name;
+    return Upstream.m_Server != nullptr && Upstream.m_Server->name() == Name;
   };
-  later(After, [this, &Upstream, IsSameIncarnation] {
+  runAfter(After, [this, &Upstream, IsSameIncarnation] {
     if (IsSameIncarnation())
-      list(Upstream, "");
+      putUpstreamRow(Upstream, "");
   });
   // It serves on for a little longer than any answer takes.
-  later(After + 1500ms, [this, &Upstream, IsSameIncarnation] {
+  runAfter(After + 1500ms, [this, &Upstream, IsSameIncarnation] {
     if (!IsSameIncarnation())
       return;
-    Upstream.m_Upstream = nullptr;
-    later(500ms, [this, &Upstream] {
-      if (Upstream.m_Upstream == nullptr)
+    Upstream.m_Server = nullptr;
+    runAfter(500ms, [this, &Upstream] {
+      if (Upstream.m_Server == nullptr)
         startUpstream(Upstream);
     });
   });
 }
 
-void SoakFleet::applyToPath(const Fault &Played, Seat &Upstream) {
-  test::Relay &Path = *Upstream.m_Way;
+void SoakFleet::applyToPath(const Fault &Played, UpstreamNode &Upstream) {
+  test::Relay &Path = *Upstream.m_Relay;
   if (Played.m_Kind == FaultKind::PathReset) {
     Path.reset();
   } else if (Played.m_Kind == FaultKind::PathSlow) {
     Path.setDelay(PathDelay);
-    later(Played.m_Span, [&Path] { Path.setDelay(Duration::zero()); });
+    runAfter(Played.m_Duration, [&Path] { Path.setDelay(Duration::zero()); });
   } else {
     Path.setSilence(Played.m_Kind == FaultKind::PathSilent
                         ? test::Silence::Both
-                        : test::Silence::Outward);
-    later(Played.m_Span, [&Path] { Path.setSilence(test::Silence::None); });
+                        : test::Silence::ToTarget);
+    runAfter(Played.m_Duration,
+             [&Path] { Path.setSilence(test::Silence::None); });
   }
 }
 
-void SoakFleet::applyToStore(const Fault &Played, Place &Gateway) {
+void SoakFleet::applyToStore(const Fault &Played, GatewayNode &Gateway) {
   using Mode = standin::StoreServer::Mode;
-  test::Relay &Path = *Gateway.m_ToStore;
-  m_Ledger.blind(m_Clock.now(), m_Clock.now() + Played.m_Span);
+  test::Relay &Path = *Gateway.m_StoreRelay;
+  m_Ledger.excuseStaleness(m_Clock.now(), m_Clock.now() + Played.m_Duration);
   switch (Played.m_Kind) {
   case FaultKind::StoreBusy:
   case FaultKind::StoreSilent:
     m_Store.setMode(Played.m_Kind == FaultKind::StoreBusy ? Mode::Busy
                                                           : Mode::Silent);
-    later(Played.m_Span, [this] { m_Store.setMode(Mode::Up); });
+    runAfter(Played.m_Duration, [this] { m_Store.setMode(Mode::Up); });
     return;
   case FaultKind::StoreCut:
-    Path.cut();
-    later(Played.m_Span, [&Path] { Path.mend(); });
+    Path.block();
+    runAfter(Played.m_Duration, [&Path] { Path.unblock(); });
     return;
   case FaultKind::StoreSlow:
     Path.setDelay(StoreDelay);
-    later(Played.m_Span, [&Path] { Path.setDelay(Duration::zero()); });
+    runAfter(Played.m_Duration, [&Path] { Path.setDelay(Duration::zero()); });
     return;
   case FaultKind::StoreOldCopy:
-    m_Store.serveOldCopy(true);
+    m_Store.serveStaleCopy(true);
     putTable();
-    later(Played.m_Span / 2, [this] { m_Store.dropHistory(); });
-    later(Played.m_Span, [this] { m_Store.serveOldCopy(false); });
+    runAfter(Played.m_Duration / 2, [this] { m_Store.dropHistory(); });
+    runAfter(Played.m_Duration, [this] { m_Store.serveStaleCopy(false); });
     return;
   default:
     m_Store.dropHistory();
--- a/tests/soak/soak_fleet.cpp
+++ b/tests/soak/soak_fleet.cpp
@@ -34,17 +34,18 @@
 
 /// The routes in every table; each table has one more of its own.
 struct RouteRow {
-  Kind m_Kind;        ///< For the checks.
+  RequestKind m_Kind; ///< For the checks.
   const char *m_Path; ///< Prefix of paths.
   const char *m_Name; ///< The table's routeKind.
   int m_TimeoutMs;    ///< Time-out of a request.
   bool m_Resumable;   ///< Streams only.
 };
 constexpr std::array Routes = {
-    RouteRow{Kind::Once, "/once/", "non_idempotent", 2000, false},
-    RouteRow{Kind::Again, "/again/", "idempotent", 2000, false},
-    RouteRow{Kind::Stream, "/stream/", "streaming", 4000, false},
-    RouteRow{Kind::Resumable, "/restream/", "streaming", 4000, true},
+    RouteRow{RequestKind::AtMostOnce, "/once/", "non_idempotent", 2000, false},
+    RouteRow{RequestKind::Idempotent, "/again/", "idempotent", 2000, false},
+    RouteRow{RequestKind::Stream, "/stream/", "streaming", 4000, false},
+    RouteRow{RequestKind::ResumableStream, "/restream/", "streaming", 4000,
+             true},
 };
 
 Json routeJson(const std::string &Path, const std::string &Name, int TimeoutMs,
@@ -71,84 +72,86 @@
 
 SoakFleet::SoakFleet(const FleetPlan &Plan)
     : m_Plan(Plan), m_Random(Plan.m_Seed),
-      m_StoreAt(loopback(test::freePort())), m_Calm(isCalm(Plan.m_Seed)) {
-  m_Store.listen(m_StoreAt);
+      m_StoreAddress(loopback(test::freePort())),
+      m_PlannedWorkOnly(isPlannedWorkOnly(Plan.m_Seed)) {
+  m_Store.listen(m_StoreAddress);
   putTable();
   // Elements must not move: upstreams' callbacks refer to them.
-  m_Seats.reserve(static_cast<std::size_t>(Plan.m_Upstreams));
-  for (int I = 0; I < Plan.m_Upstreams; ++I) {
-    Seat Upstream;
+  m_Upstreams.reserve(static_cast<std::size_t>(Plan.m_UpstreamCount));
+  for (int I = 0; I < Plan.m_UpstreamCount; ++I) {
+    UpstreamNode Upstream;
     Upstream.m_Number = I;
-    Upstream.m_Real = loopback(test::freePort());
-    Upstream.m_Way = std::make_unique<test::Relay>(Upstream.m_Real);
-    m_Seats.push_back(std::move(Upstream));
-    startUpstream(m_Seats.back());
+    Upstream.m_ListenAddress = loopback(test::freePort());
+    Upstream.m_Relay = std::make_unique<test::Relay>(Upstream.m_ListenAddress);
+    m_Upstreams.push_back(std::move(Upstream));
+    startUpstream(m_Upstreams.back());
   }
-  for (int I = 0; I < Plan.m_Gateways; ++I) {
-    Place Gateway;
+  for (int I = 0; I < Plan.m_GatewayCount; ++I) {
+    GatewayNode Gateway;
     Gateway.m_Number = I;
-    Gateway.m_ToStore = std::make_unique<test::Relay>(m_StoreAt);
-    Gateway.m_At = test::gatewayPlace("gateway-" + std::to_string(I),
-                                      Gateway.m_ToStore->address());
-    Gateway.m_At.m_Drain = DrainBound;
-    Gateway.m_At.m_Settle = SettleBound - DriverSlack;
-    Gateway.m_At.m_Retry = {RetryRatio, RetrySlack, RetryWindow};
-    m_Places.push_back(std::move(Gateway));
+    Gateway.m_StoreRelay = std::make_unique<test::Relay>(m_StoreAddress);
+    Gateway.m_Settings = test::makeGatewayConfig(
+        "gateway-" + std::to_string(I), Gateway.m_StoreRelay->address());
+    Gateway.m_Settings.m_DrainTime = DrainBound;
+    Gateway.m_Settings.m_SettleTime = SettleBound - DriverSlack;
+    Gateway.m_Settings.m_RetryBudget = {RetryRatio, RetrySlack, RetryWindow};
+    m_Gateways.push_back(std::move(Gateway));
   }
 }
 
 SoakFleet::~SoakFleet() = default;
 
-void SoakFleet::startGateway(Place &Gateway) {
-  ++Gateway.m_Lifetime;
+void SoakFleet::startGateway(GatewayNode &Gateway) {
+  ++Gateway.m_Incarnation;
   Gateway.m_Stopping = false;
   Gateway.m_Frozen = false;
   Gateway.m_StartedAt = m_Clock.now();
   Gateway.m_Process = std::make_unique<test::Process>(
-      m_Folder, "crowstep-gateway", Gateway.m_At.m_Name,
-      settingsOf(Gateway.m_At));
+      m_Folder, "crowstep-gateway", Gateway.m_Settings.m_Name,
+      gatewaySettingsText(Gateway.m_Settings));
 }
 
 bool SoakFleet::start() {
-  for (Place &Gateway : m_Places)
+  for (GatewayNode &Gateway : m_Gateways)
     startGateway(Gateway);
   return test::runUntil(
       [this] {
-        return std::all_of(m_Places.begin(), m_Places.end(),
-                           [this](Place &Gateway) { return poll(Gateway); });
+        return std::all_of(
+            m_Gateways.begin(), m_Gateways.end(),
+            [this](GatewayNode &Gateway) { return probeReadiness(Gateway); });
       },
       15s);
 }
 
 /// Probes readiness once, waits for the answer and returns whether the gateway
 /// is ready.
-bool SoakFleet::poll(Place &Gateway) {
-  test::Call Probe = readinessCall(Gateway.m_At);
-  Probe.m_Limit = 500ms;
-  Gateway.m_TakesCalls = m_Probe.call(Probe).m_Status == 200;
-  return Gateway.m_TakesCalls;
+bool SoakFleet::probeReadiness(GatewayNode &Gateway) {
+  test::Call Probe = readinessCall(Gateway.m_Settings);
+  Probe.m_Timeout = 500ms;
+  Gateway.m_IsReady = m_ReadinessProbe.call(Probe).m_Status == 200;
+  return Gateway.m_IsReady;
 }
 
-void SoakFleet::startUpstream(Seat &Upstream) {
+void SoakFleet::startUpstream(UpstreamNode &Upstream) {
   const std::string Name = "u-" + std::to_string(Upstream.m_Number) + "-" +
-                           std::to_string(++Upstream.m_Lifetime);
-  Upstream.m_Upstream = std::make_unique<SoakUpstream>(
-      Name, Upstream.m_Real, m_Ledger, m_Clock, m_Random(),
+                           std::to_string(++Upstream.m_Incarnation);
+  Upstream.m_Server = std::make_unique<SoakUpstream>(
+      Name, Upstream.m_ListenAddress, m_Ledger, m_Clock, m_Random(),
       [this, &Upstream, Name] {
-        later(CrashTime, [this, &Upstream, Name] {
-          if (Upstream.m_Upstream != nullptr &&
-              Upstream.m_Upstream->name() == Name)
-            crash(Upstream);
+        runAfter(CrashTime, [this, &Upstream, Name] {
+          if (Upstream.m_Server != nullptr && Upstream.m_Server->name() == Name)
+            crashUpstream(Upstream);
         });
       });
-  list(Upstream, "ready");
+  putUpstreamRow(Upstream, "ready");
 }
 
-void SoakFleet::list(const Seat &Upstream, const std::string &State) {
-  m_Store.put("servers", Upstream.m_Upstream->name(),
+void SoakFleet::putUpstreamRow(const UpstreamNode &Upstream,
+                               const std::string &State) {
+  m_Store.put("servers", Upstream.m_Server->name(),
               State.empty()
                   ? ""
-                  : test::upstreamRow(Upstream.m_Way->address(), 64, State));
+                  : test::upstreamRow(Upstream.m_Relay->address(), 64, State));
 }
 
 void SoakFleet::putTable() {
@@ -162,181 +165,181 @@
   Table["routes"].push_back(
       routeJson(tablePath(m_TableVersion), "idempotent", 2000, false));
   m_Store.put("op", "config", Table.dump());
-  m_Ledger.tableChanged(m_TableVersion, m_Clock.fresh());
+  m_Ledger.recordTableChange(m_TableVersion, m_Clock.readNow());
 }
 
 // Load
 
-void SoakFleet::callOnce() {
-  std::vector<Place *> Ready;
-  for (Place &Gateway : m_Places)
-    if (Gateway.m_TakesCalls)
+void SoakFleet::sendRequest() {
+  std::vector<GatewayNode *> Ready;
+  for (GatewayNode &Gateway : m_Gateways)
+    if (Gateway.m_IsReady)
       Ready.push_back(&Gateway);
   if (Ready.empty())
     return;
-  Place &Gateway = *Ready.at(m_Random() % Ready.size());
-  const std::string Id = "call-" + std::to_string(++m_LastCall);
+  GatewayNode &Gateway = *Ready.at(m_Random() % Ready.size());
+  const std::string Id = "call-" + std::to_string(++m_LastRequestNumber);
   constexpr std::uint64_t TableProbeEvery = 8;
   const RouteRow &Route = Routes.at(m_Random() % Routes.size());
-  Asked Record;
+  RequestRecord Record;
   Record.m_Kind = Route.m_Kind;
   Record.m_Gateway = Gateway.m_Number;
-  Record.m_Lifetime = Gateway.m_Lifetime;
-  Record.m_At = m_Clock.now();
+  Record.m_Incarnation = Gateway.m_Incarnation;
+  Record.m_SentAt = m_Clock.now();
   test::Call Request;
   Request.m_Path = Route.m_Path + Id;
   if (m_Random() % TableProbeEvery == 0) {
     // The newest table's own route, or the previous one's, which it removed.
     Record.m_TableVersion =
         std::max(1U, m_TableVersion - static_cast<unsigned>(m_Random() % 2));
-    Record.m_Kind = Kind::Again;
+    Record.m_Kind = RequestKind::Idempotent;
     Request.m_Path = tablePath(Record.m_TableVersion) + Id;
   }
-  Request.m_Where = Gateway.m_At.m_Listen;
+  Request.m_Address = Gateway.m_Settings.m_ListenAddress;
   Request.m_Body = "{}";
-  Request.m_KeepsOpen = m_Random() % 2 == 0;
-  Request.m_Limit = 6s;
+  Request.m_KeepAlive = m_Random() % 2 == 0;
+  Request.m_Timeout = 6s;
   Request.m_Headers = {
       {"Host", "h.example"}, {"X-Attempt-Id", Id}, {"X-Deadline-Ms", "5000"}};
-  Record.m_Told = m_Callers.start(Request);
-  m_Ledger.asked(Id, std::move(Record));
+  Record.m_Result = m_Caller.start(Request);
+  m_Ledger.recordRequest(Id, std::move(Record));
 }
 
 /// Sends the same request each time, to the gateway that the number of requests
 /// so far selects; sends none while that gateway isn't ready.
-void SoakFleet::sendCrashing() {
+void SoakFleet::sendCrashingRequest() {
   const auto Target = std::find_if(
-      m_Places.begin(), m_Places.end(), [this](const Place &Gateway) {
-        return Gateway.m_TakesCalls &&
+      m_Gateways.begin(), m_Gateways.end(), [this](const GatewayNode &Gateway) {
+        return Gateway.m_IsReady &&
                Gateway.m_Number ==
-                   static_cast<int>(m_LastCall % m_Places.size());
+                   static_cast<int>(m_LastRequestNumber % m_Gateways.size());
       });
-  if (Target == m_Places.end())
+  if (Target == m_Gateways.end())
     return;
-  const std::string Id = "crash-" + std::to_string(++m_LastCall);
-  Asked Record;
-  Record.m_Kind = Kind::Again;
+  const std::string Id = "crash-" + std::to_string(++m_LastRequestNumber);
+  RequestRecord Record;
+  Record.m_Kind = RequestKind::Idempotent;
   Record.m_Gateway = Target->m_Number;
-  Record.m_Lifetime = Target->m_Lifetime;
-  Record.m_At = m_Clock.now();
-  Record.m_Crashing = true;
-  Record.m_GatewayStart = Target->m_StartedAt;
+  Record.m_Incarnation = Target->m_Incarnation;
+  Record.m_SentAt = m_Clock.now();
+  Record.m_IsCrashing = true;
+  Record.m_GatewayStartedAt = Target->m_StartedAt;
   test::Call Request;
   Request.m_Path = "/again/crash";
-  Request.m_Where = Target->m_At.m_Listen;
+  Request.m_Address = Target->m_Settings.m_ListenAddress;
   Request.m_Body = CrashingBody;
-  Request.m_Limit = 6s;
+  Request.m_Timeout = 6s;
   Request.m_Headers = {
       {"Host", "h.example"}, {"X-Attempt-Id", Id}, {"X-Deadline-Ms", "5000"}};
-  Record.m_Told = m_Callers.start(Request);
-  m_Ledger.asked(Id, std::move(Record));
+  Record.m_Result = m_Caller.start(Request);
+  m_Ledger.recordRequest(Id, std::move(Record));
 }
 
-void SoakFleet::crash(Seat &Upstream) {
-  m_Ledger.crashed(m_Clock.now() + CrashedRowTime);
-  takeDown(Upstream, CrashedRowTime, 2 * CrashedRowTime);
+void SoakFleet::crashUpstream(UpstreamNode &Upstream) {
+  m_Ledger.recordCrash(m_Clock.now() + CrashedRowTime);
+  stopUpstream(Upstream, CrashedRowTime, 2 * CrashedRowTime);
 }
 
 /// Stops an upstream without draining. Its row stays for a while, as that of an
 /// engine that has crashed.
-void SoakFleet::takeDown(Seat &Upstream, Duration RowTime,
-                         Duration RestartTime) {
-  const std::string Name = Upstream.m_Upstream->name();
-  Upstream.m_Upstream = nullptr;
-  later(RowTime, [this, Name] { m_Store.put("servers", Name, ""); });
-  later(RestartTime, [this, &Upstream] {
-    if (Upstream.m_Upstream == nullptr)
+void SoakFleet::stopUpstream(UpstreamNode &Upstream, Duration RowTime,
+                             Duration RestartTime) {
+  const std::string Name = Upstream.m_Server->name();
+  Upstream.m_Server = nullptr;
+  runAfter(RowTime, [this, Name] { m_Store.put("servers", Name, ""); });
+  runAfter(RestartTime, [this, &Upstream] {
+    if (Upstream.m_Server == nullptr)
       startUpstream(Upstream);
   });
 }
 
-void SoakFleet::reapAll() {
-  for (Place &Gateway : m_Places) {
-    if (Gateway.m_Process == nullptr || Gateway.m_Process->running())
+void SoakFleet::restartExitedGateways() {
+  for (GatewayNode &Gateway : m_Gateways) {
+    if (Gateway.m_Process == nullptr || Gateway.m_Process->isRunning())
       continue;
-    Gateway.m_TakesCalls = false;
+    Gateway.m_IsReady = false;
     Gateway.m_Process = nullptr;
-    later(200ms, [this, &Gateway] { startGateway(Gateway); });
+    runAfter(200ms, [this, &Gateway] { startGateway(Gateway); });
   }
 }
 
-void SoakFleet::later(Duration After, std::function<void()> Job) {
-  m_Timers.after(After, std::move(Job));
+void SoakFleet::runAfter(Duration After, std::function<void()> Job) {
+  m_Timers.runAfter(After, std::move(Job));
 }
 
 /// The store and the operator run in the driver's process: while that gets no
 /// processor time on a busy machine, the store answers nobody.
-void SoakFleet::noteStall(TimePoint LastStep) {
+void SoakFleet::recordStall(TimePoint LastStep) {
   if (m_Clock.now() - LastStep > DriverSlack)
-    m_Ledger.stalled(LastStep, m_Clock.now());
+    m_Ledger.recordDriverStall(LastStep, m_Clock.now());
 }
 
 void SoakFleet::play(const std::vector<Fault> &Faults, Duration Length) {
   Duration End = Length;
   for (const Fault &Played : Faults) {
-    later(Played.m_At, [this, Played] { apply(Played); });
-    End = std::max(End, Played.m_At + Played.m_Span);
+    runAfter(Played.m_Start, [this, Played] { apply(Played); });
+    End = std::max(End, Played.m_Start + Played.m_Duration);
   }
   Timer LoadTimer(m_Timers);
   Timer ProbeTimer(m_Timers);
   TimePoint LastStep = m_Clock.now();
   std::function<void()> SendLoad = [&] {
     LoadTimer.start(LoadStep, SendLoad);
-    noteStall(std::exchange(LastStep, m_Clock.now()));
-    const double Expected = m_Plan.m_CallsPerSecond *
+    recordStall(std::exchange(LastStep, m_Clock.now()));
+    const double Expected = m_Plan.m_RequestsPerSecond *
                             std::chrono::duration<double>(LoadStep).count();
     for (int I = 0; I < static_cast<int>(Expected); ++I)
-      callOnce();
-    m_Ledger.judge();
-    reapAll();
+      sendRequest();
+    m_Ledger.checkEndedRequests();
+    restartExitedGateways();
   };
   // The platform removes a gateway after two failed probes and adds it again
   // after one answer. Here one failed probe is enough.
   std::function<void()> ProbeAll = [&] {
     ProbeTimer.start(500ms, ProbeAll);
-    for (Place &Gateway : m_Places) {
-      test::Call Probe = readinessCall(Gateway.m_At);
-      Probe.m_Limit = 400ms;
-      const auto Result = m_Probe.start(Probe);
-      later(450ms, [&Gateway, Result] {
-        Gateway.m_TakesCalls = Result->m_Status == 200;
+    for (GatewayNode &Gateway : m_Gateways) {
+      test::Call Probe = readinessCall(Gateway.m_Settings);
+      Probe.m_Timeout = 400ms;
+      const auto Result = m_ReadinessProbe.start(Probe);
+      runAfter(450ms, [&Gateway, Result] {
+        Gateway.m_IsReady = Result->m_Status == 200;
       });
     }
   };
   Timer CrashTimer(m_Timers);
   std::function<void()> SendCrashing = [&] {
     CrashTimer.start(CrashingInterval, SendCrashing);
-    sendCrashing();
+    sendCrashingRequest();
   };
   if (hasCrashingRequest(m_Plan.m_Seed))
     SendCrashing();
   SendLoad();
   ProbeAll();
   test::runFor(End);
-  const TimePoint FaultsEnded = m_Clock.fresh();
+  const TimePoint FaultsEnded = m_Clock.readNow();
   const bool Recovered = test::runUntil(
       [&] {
         // Requests get 1.5 s to end.
-        const TimePoint To = m_Clock.fresh() - 1500ms;
+        const TimePoint To = m_Clock.readNow() - 1500ms;
         return To - RecoveryWindow > FaultsEnded &&
                m_Ledger.servedShare(To - RecoveryWindow, To) > RecoveredShare;
       },
       RecoveryLimit + RecoveryWindow + 1500ms);
-  m_Ledger.judgeRecovery(Recovered);
+  m_Ledger.checkRecovery(Recovered);
   LoadTimer.stop();
   CrashTimer.stop();
-  test::runFor(6s - std::min<Duration>(4s, m_Clock.fresh() - FaultsEnded));
+  test::runFor(6s - std::min<Duration>(4s, m_Clock.readNow() - FaultsEnded));
   ProbeTimer.stop();
   test::runFor(500ms);
 }
 
-void SoakFleet::keepLogs() const {
-  if (m_Plan.m_Keep.empty())
+void SoakFleet::copyLogs() const {
+  if (m_Plan.m_LogFolder.empty())
     return;
-  std::filesystem::create_directories(m_Plan.m_Keep);
+  std::filesystem::create_directories(m_Plan.m_LogFolder);
   for (const auto &File : std::filesystem::directory_iterator(m_Folder.path()))
     std::filesystem::copy(File.path(),
-                          std::filesystem::path(m_Plan.m_Keep) /
+                          std::filesystem::path(m_Plan.m_LogFolder) /
                               File.path().filename(),
                           std::filesystem::copy_options::overwrite_existing);
 }
--- a/tests/soak/soak_fleet.h
+++ b/tests/soak/soak_fleet.h
@@ -16,11 +16,11 @@
 
 /// Size of the fleet, and its seed.
 struct FleetPlan {
-  std::uint64_t m_Seed = 1;   ///< Of all random draws.
-  int m_Gateways = 4;         ///< Processes.
-  int m_Upstreams = 5;        ///< Stand-ins.
-  int m_CallsPerSecond = 150; ///< Requests of all callers.
-  std::string m_Keep;         ///< For logs after a violation; may be empty.
+  std::uint64_t m_Seed = 1;      ///< Of all random draws.
+  int m_GatewayCount = 4;        ///< Processes.
+  int m_UpstreamCount = 5;       ///< Stand-ins.
+  int m_RequestsPerSecond = 150; ///< Requests of all callers.
+  std::string m_LogFolder;       ///< For logs after a violation; may be empty.
 };
 
 class SoakFleet {
@@ -40,67 +40,68 @@
   [[nodiscard]] Ledger &ledger() { return m_Ledger; }
 
   /// Copies the gateways' settings and logs to the plan's folder.
-  void keepLogs() const;
+  void copyLogs() const;
 
 private:
   /// One gateway, over all incarnations of its process.
-  struct Place {
-    int m_Number = 0;                         ///< From 0.
-    test::GatewayPlace m_At;                  ///< Addresses and limits.
-    std::unique_ptr<test::Relay> m_ToStore;   ///< In front of the store.
-    std::unique_ptr<test::Process> m_Process; ///< Null while down.
-    unsigned m_Lifetime = 0;                  ///< Starts so far.
-    bool m_TakesCalls = false;                ///< Callers send requests to it.
-    bool m_Stopping = false;                  ///< After SIGTERM.
-    bool m_Frozen = false;                    ///< After SIGSTOP.
-    TimePoint m_StartedAt;                    ///< Of m_Process.
+  struct GatewayNode {
+    int m_Number = 0;                          ///< From 0.
+    test::GatewayConfig m_Settings;            ///< Addresses and limits.
+    std::unique_ptr<test::Relay> m_StoreRelay; ///< In front of the store.
+    std::unique_ptr<test::Process> m_Process;  ///< Null while down.
+    unsigned m_Incarnation = 0;                ///< Starts so far.
+    bool m_IsReady = false;                    ///< Callers send requests to it.
+    bool m_Stopping = false;                   ///< After SIGTERM.
+    bool m_Frozen = false;                     ///< After SIGSTOP.
+    TimePoint m_StartedAt;                     ///< Of m_Process.
   };
 
   /// One upstream, over all its incarnations.
-  struct Seat {
-    int m_Number = 0;                         ///< From 0.
-    Address m_Real;                           ///< It listens here.
-    std::unique_ptr<test::Relay> m_Way;       ///< In front of it, for gateways.
-    std::unique_ptr<SoakUpstream> m_Upstream; ///< Null while down.
-    unsigned m_Lifetime = 0;                  ///< Starts so far.
+  struct UpstreamNode {
+    int m_Number = 0;                       ///< From 0.
+    Address m_ListenAddress;                ///< It listens here.
+    std::unique_ptr<test::Relay> m_Relay;   ///< In front of it, for gateways.
+    std::unique_ptr<SoakUpstream> m_Server; ///< Null while down.
+    unsigned m_Incarnation = 0;             ///< Starts so far.
   };
 
-  void startGateway(Place &Gateway);
-  void startUpstream(Seat &Upstream);
-  void list(const Seat &Upstream, const std::string &State);
+  void startGateway(GatewayNode &Gateway);
+  void startUpstream(UpstreamNode &Upstream);
+  void putUpstreamRow(const UpstreamNode &Upstream, const std::string &State);
   void putTable();
-  void callOnce();
-  void sendCrashing();
-  void crash(Seat &Upstream);
-  void takeDown(Seat &Upstream, Duration RowTime, Duration RestartTime);
-  void noteStall(TimePoint LastStep);
-  bool poll(Place &Gateway);
+  void sendRequest();
+  void sendCrashingRequest();
+  void crashUpstream(UpstreamNode &Upstream);
+  void stopUpstream(UpstreamNode &Upstream, Duration RowTime,
+                    Duration RestartTime);
+  void recordStall(TimePoint LastStep);
+  bool probeReadiness(GatewayNode &Gateway);
 
   void apply(const Fault &Played);
-  void applyToGateway(const Fault &Played, Place &Gateway);
-  void applyToUpstream(const Fault &Played, Seat &Upstream);
-  void applyToPath(const Fault &Played, Seat &Upstream);
-  void applyToStore(const Fault &Played, Place &Gateway);
-  void stopGateway(Place &Gateway);
-  void replace(Seat &Upstream, Duration After);
-  void later(Duration After, std::function<void()> Job);
-  void reapAll();
+  void applyToGateway(const Fault &Played, GatewayNode &Gateway);
+  void applyToUpstream(const Fault &Played, UpstreamNode &Upstream);
+  void applyToPath(const Fault &Played, UpstreamNode &Upstream);
+  void applyToStore(const Fault &Played, GatewayNode &Gateway);
+  void stopGateway(GatewayNode &Gateway);
+  void replaceUpstream(UpstreamNode &Upstream, Duration After);
+  void runAfter(Duration After, std::function<void()> Job);
+  void restartExitedGateways();
 
-  FleetPlan m_Plan;               ///< Size and seed.
-  std::mt19937_64 m_Random;       ///< For load and upstreams' seeds.
-  LoopClock m_Clock;              ///< The driver's.
-  LoopScheduler m_Timers;         ///< The driver's.
-  Ledger m_Ledger;                ///< Records and checks.
-  test::TemporaryFolder m_Folder; ///< Settings and logs.
-  standin::StoreServer m_Store;   ///< The store.
-  Address m_StoreAt;              ///< Of m_Store.
-  std::vector<Place> m_Places;    ///< By number.
-  std::vector<Seat> m_Seats;      ///< By number.
-  RawCaller m_Callers;            ///< Sends the load.
-  test::Caller m_Probe;           ///< Probes readiness.
-  unsigned m_TableVersion = 0;    ///< Newest in the store.
-  std::uint64_t m_LastCall = 0;   ///< Of request ids.
-  bool m_Calm = false;            ///< Only planned work is played.
+  FleetPlan m_Plan;                      ///< Size and seed.
+  std::mt19937_64 m_Random;              ///< For load and upstreams' seeds.
+  LoopClock m_Clock;                     ///< The driver's.
+  LoopScheduler m_Timers;                ///< The driver's.
+  Ledger m_Ledger;                       ///< Records and checks.
+  test::TemporaryFolder m_Folder;        ///< Settings and logs.
+  standin::StoreServer m_Store;          ///< The store.
+  Address m_StoreAddress;                ///< Of m_Store.
+  std::vector<GatewayNode> m_Gateways;   ///< By number.
+  std::vector<UpstreamNode> m_Upstreams; ///< By number.
+  RawCaller m_Caller;                    ///< Sends the load.
+  test::Caller m_ReadinessProbe;         ///< Probes readiness.
+  unsigned m_TableVersion = 0;           ///< Newest in the store.
+  std::uint64_t m_LastRequestNumber = 0; ///< Of request ids.
+  bool m_PlannedWorkOnly = false;        ///< Only planned work is played.
 };
 
 } // namespace crowstep::soak
--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -51,10 +51,10 @@
     Result.m_Seed = std::random_device{}();
   Result.m_TotalTime = std::chrono::seconds(Total.getValue());
   Result.m_RoundLength = std::chrono::seconds(Round.getValue());
-  Result.m_Fleet.m_Gateways = Gateways.getValue();
-  Result.m_Fleet.m_Upstreams = Upstreams.getValue();
-  Result.m_Fleet.m_CallsPerSecond = Calls.getValue();
-  Result.m_Fleet.m_Keep = Keep.getValue();
+  Result.m_Fleet.m_GatewayCount = Gateways.getValue();
+  Result.m_Fleet.m_UpstreamCount = Upstreams.getValue();
+  Result.m_Fleet.m_RequestsPerSecond = Calls.getValue();
+  Result.m_Fleet.m_LogFolder = Keep.getValue();
   return Result;
 }
 
@@ -62,28 +62,30 @@
 bool playRound(const Options &Chosen, std::uint64_t Seed) {
   FleetPlan Plan = Chosen.m_Fleet;
   Plan.m_Seed = Seed;
-  if (!Plan.m_Keep.empty())
-    Plan.m_Keep += "/" + std::to_string(Seed);
+  if (!Plan.m_LogFolder.empty())
+    Plan.m_LogFolder += "/" + std::to_string(Seed);
   const std::vector<Fault> Faults =
       makeSchedule(Seed, Chosen.m_RoundLength, Chosen.m_OnlyKind);
-  std::cout << "seed " << Seed << (isCalm(Seed) ? " (planned work)" : "")
+  std::cout << "seed " << Seed
+            << (isPlannedWorkOnly(Seed) ? " (planned work)" : "")
             << "\nfaults:";
   for (const Fault &Scheduled : Faults)
-    std::cout << "  " << std::chrono::duration<double>(Scheduled.m_At).count()
+    std::cout << "  "
+              << std::chrono::duration<double>(Scheduled.m_Start).count()
               << " s " << nameOf(Scheduled.m_Kind);
   std::cout << std::endl;
   SoakFleet Fleet(Plan);
   if (!Fleet.start()) {
     std::cout << "VIOLATION start: not all gateways became ready\n";
-    Fleet.keepLogs();
+    Fleet.copyLogs();
     return false;
   }
   Fleet.play(Faults, Chosen.m_RoundLength);
-  Fleet.ledger().judgeAll();
-  Fleet.ledger().report();
+  Fleet.ledger().checkAll();
+  Fleet.ledger().printReport();
   const bool Passed = Fleet.ledger().violations().empty();
   if (!Passed)
-    Fleet.keepLogs();
+    Fleet.copyLogs();
   return Passed;
 }
 
@@ -92,7 +94,7 @@
 int main(int Argc, char **Argv) try {
   const Options Chosen = parse(Argc, Argv);
   const LoopClock Time;
-  const TimePoint Begin = Time.fresh();
+  const TimePoint Begin = Time.readNow();
   int Rounds = 0;
   int FailedRounds = 0;
   for (std::uint64_t Seed = Chosen.m_Seed;; ++Seed) {
@@ -101,7 +103,7 @@
       ++FailedRounds;
       std::cout << "soak: seed " << Seed << " broke a promise\n";
     }
-    if (Time.fresh() - Begin >= Chosen.m_TotalTime)
+    if (Time.readNow() - Begin >= Chosen.m_TotalTime)
       break;
   }
   std::cout << "soak: " << Rounds << " rounds, " << FailedRounds << " broken\n";
--- a/tests/soak/soak_upstream.cpp
+++ b/tests/soak/soak_upstream.cpp
@@ -21,16 +21,16 @@
 } // namespace
 
 /// An answer that is being sent.
-struct SoakUpstream::Answer {
-  explicit Answer(SoupServerMessage *Message) : m_Held(Message) {}
-
-  SoakUpstream *m_Owner = nullptr;   ///< Outlives it.
-  HeldAnswer m_Held;                 ///< Towards the gateway.
-  std::string m_Id;                  ///< X-Attempt-Id of the request.
-  bool m_Stream = false;             ///< Events; else one body.
-  int m_Next = 1;                    ///< Id of the next event.
-  int m_Steps = 0;                   ///< Steps done.
-  Trouble m_Trouble = Trouble::None; ///< That affects it.
+struct SoakUpstream::OpenAnswer {
+  explicit OpenAnswer(SoupServerMessage *Message) : m_Deferred(Message) {}
+
+  SoakUpstream *m_Owner = nullptr;             ///< Outlives it.
+  DeferredAnswer m_Deferred;                   ///< Towards the gateway.
+  std::string m_AttemptId;                     ///< X-Attempt-Id of the request.
+  bool m_IsStream = false;                     ///< Events; else one body.
+  int m_NextEvent = 1;                         ///< Id of the next event.
+  int m_StepCount = 0;                         ///< Steps done.
+  UpstreamFault m_Fault = UpstreamFault::None; ///< That affects it.
 };
 
 SoakUpstream::SoakUpstream(std::string Name, Address Listen, Ledger &Runs,
@@ -44,42 +44,44 @@
 }
 
 SoakUpstream::~SoakUpstream() {
-  for (const auto &[Open, Timer] : m_Open) {
+  for (const auto &[Open, Timer] : m_OpenAnswers) {
     g_source_remove(Timer);
     delete Open;
   }
 }
 
-bool SoakUpstream::happens() { return m_Random() % FaultEvery == 0; }
+bool SoakUpstream::drawFault() { return m_Random() % FaultEvery == 0; }
 
 void SoakUpstream::handle(SoupServerMessage *Message, const std::string &Path) {
   const std::string Id = requestHeader(Message, "X-Attempt-Id");
-  m_Ledger.arrived(Id, m_Clock.now());
+  m_Ledger.recordArrival(Id, m_Clock.now());
   if (requestHeader(Message, "X-Expect-Instance") != m_Name) {
-    refuse(Message, HttpMisdirected);
+    answerNotExecuted(Message, HttpMisdirected);
     return;
   }
-  if (m_Trouble == Trouble::Busy && happens()) {
-    refuse(Message, HttpUnavailable);
+  if (m_Fault == UpstreamFault::Busy && drawFault()) {
+    answerNotExecuted(Message, HttpUnavailable);
     return;
   }
   const std::string LastEventId = requestHeader(Message, "Last-Event-Id");
-  m_Ledger.ran(Id, {m_Name, m_Clock.now(), !LastEventId.empty()});
-  auto *Open = new Answer(Message);
+  m_Ledger.recordRun(Id, {m_Name, m_Clock.now(), !LastEventId.empty()});
+  auto *Open = new OpenAnswer(Message);
   Open->m_Owner = this;
-  Open->m_Id = Id;
-  Open->m_Stream = Path.find("stream") != std::string::npos;
-  Open->m_Next = std::atoi(LastEventId.c_str()) + 1;
-  if (m_Trouble != Trouble::None && m_Trouble != Trouble::Busy && happens())
-    Open->m_Trouble = m_Trouble;
+  Open->m_AttemptId = Id;
+  Open->m_IsStream = Path.find("stream") != std::string::npos;
+  Open->m_NextEvent = std::atoi(LastEventId.c_str()) + 1;
+  if (m_Fault != UpstreamFault::None && m_Fault != UpstreamFault::Busy &&
+      drawFault())
+    Open->m_Fault = m_Fault;
   if (requestBody(Message) == CrashingBody) {
-    Open->m_Trouble = Trouble::Mute;
+    Open->m_Fault = UpstreamFault::Mute;
     m_OnCrash();
   }
-  m_Open[Open] = g_timeout_add(StepIntervalMs, onTick, Open);
+  m_OpenAnswers[Open] = g_timeout_add(StepIntervalMs, onTick, Open);
 }
 
-void SoakUpstream::refuse(SoupServerMessage *Message, unsigned Status) const {
+void SoakUpstream::answerNotExecuted(SoupServerMessage *Message,
+                                     unsigned Status) const {
   SoupMessageHeaders *Headers =
       soup_server_message_get_response_headers(Message);
   soup_message_headers_replace(Headers, "X-Not-Executed", "1");
@@ -89,64 +91,65 @@
 }
 
 int SoakUpstream::onTick(void *Data) {
-  auto *Open = static_cast<Answer *>(Data);
+  auto *Open = static_cast<OpenAnswer *>(Data);
   SoakUpstream &Owner = *Open->m_Owner;
-  if (Open->m_Held.open() && !Owner.step(*Open))
+  if (Open->m_Deferred.isOpen() && !Owner.continueAnswer(*Open))
     return G_SOURCE_CONTINUE;
-  Owner.m_Open.erase(Open);
+  Owner.m_OpenAnswers.erase(Open);
   delete Open;
   return G_SOURCE_REMOVE;
 }
 
 /// Sends the next piece of an answer; returns whether the answer has ended.
-bool SoakUpstream::step(Answer &Open) {
-  if (Open.m_Trouble == Trouble::Mute)
+bool SoakUpstream::continueAnswer(OpenAnswer &Open) {
+  if (Open.m_Fault == UpstreamFault::Mute)
     return false; // Stays open until the caller closes.
-  if (Open.m_Trouble == Trouble::AnswerLost) {
-    Open.m_Held.cut();
+  if (Open.m_Fault == UpstreamFault::AnswerLost) {
+    Open.m_Deferred.closeConnection();
     return true;
   }
-  if (Open.m_Steps++ == 0) {
+  if (Open.m_StepCount++ == 0) {
     fillHeaders(Open);
-    if (Open.m_Trouble == Trouble::Errors) {
-      Open.m_Held.answer(HttpError, "text/plain", "error");
+    if (Open.m_Fault == UpstreamFault::Errors) {
+      Open.m_Deferred.answer(HttpError, "text/plain", "error");
       return true;
     }
-    Open.m_Held.beginStream(HttpOk,
-                            Open.m_Stream ? "text/event-stream" : "text/plain");
+    Open.m_Deferred.beginStream(HttpOk, Open.m_IsStream ? "text/event-stream"
+                                                        : "text/plain");
   }
-  return sendNext(Open);
+  return sendNextPiece(Open);
 }
 
 /// Sends an event or a body, or closes the connection; returns whether the
 /// answer has ended.
-bool SoakUpstream::sendNext(Answer &Open) {
+bool SoakUpstream::sendNextPiece(OpenAnswer &Open) {
   // Closing later than the first piece leaves time for it to be written.
   constexpr int StepsBeforeClose = 2;
-  const bool Cuts = Open.m_Trouble == Trouble::Cuts;
-  if (Cuts && Open.m_Steps > StepsBeforeClose) {
-    Open.m_Held.cut();
+  const bool Cuts = Open.m_Fault == UpstreamFault::Cuts;
+  if (Cuts && Open.m_StepCount > StepsBeforeClose) {
+    Open.m_Deferred.closeConnection();
     return true;
   }
-  if (Open.m_Stream && Open.m_Next <= EventsOfStream) {
-    const std::string Id = std::to_string(Open.m_Next++);
-    Open.m_Held.append("id: " + Id + "\ndata: " + Open.m_Id + " " + m_Name +
-                       "\n\n");
-  } else if (!Open.m_Stream && Open.m_Steps == 1) {
-    Open.m_Held.append(Open.m_Id + (Cuts ? " wh" : " whole"));
+  if (Open.m_IsStream && Open.m_NextEvent <= EventsPerStream) {
+    const std::string Id = std::to_string(Open.m_NextEvent++);
+    Open.m_Deferred.append("id: " + Id + "\ndata: " + Open.m_AttemptId + " " +
+                           m_Name + "\n\n");
+  } else if (!Open.m_IsStream && Open.m_StepCount == 1) {
+    Open.m_Deferred.append(Open.m_AttemptId + (Cuts ? " wh" : " whole"));
   }
-  if (Cuts || (Open.m_Stream && Open.m_Next <= EventsOfStream))
+  if (Cuts || (Open.m_IsStream && Open.m_NextEvent <= EventsPerStream))
     return false;
-  Open.m_Held.endStream();
+  Open.m_Deferred.endStream();
   return true;
 }
 
-void SoakUpstream::fillHeaders(const Answer &Open) const {
+void SoakUpstream::fillHeaders(const OpenAnswer &Open) const {
   SoupMessageHeaders *Headers =
-      soup_server_message_get_response_headers(Open.m_Held.message());
-  soup_message_headers_replace(Headers, "X-Attempt-Id", Open.m_Id.c_str());
+      soup_server_message_get_response_headers(Open.m_Deferred.message());
+  soup_message_headers_replace(Headers, "X-Attempt-Id",
+                               Open.m_AttemptId.c_str());
   soup_message_headers_replace(Headers, "X-Server-Signature", m_Name.c_str());
-  if (m_Leaving)
+  if (m_Draining)
     soup_message_headers_replace(Headers, "Connection", "close");
 }
 
--- a/tests/soak/soak_upstream.h
+++ b/tests/soak/soak_upstream.h
@@ -13,7 +13,7 @@
 namespace crowstep::soak {
 
 /// Faults of an upstream. Each but None affects a random share of its requests.
-enum class Trouble : std::uint8_t {
+enum class UpstreamFault : std::uint8_t {
   None,       ///< Works as it should.
   Busy,       ///< Answers 503, marked as not executed.
   Errors,     ///< Runs the request and answers 500.
@@ -36,33 +36,33 @@
   SoakUpstream(const SoakUpstream &) = delete;
   SoakUpstream &operator=(const SoakUpstream &) = delete;
 
-  void setTrouble(Trouble Next) { m_Trouble = Next; }
+  void setFault(UpstreamFault Next) { m_Fault = Next; }
 
   /// Answers with Connection: close from now on.
-  void leave() { m_Leaving = true; }
+  void startDraining() { m_Draining = true; }
 
   [[nodiscard]] const std::string &name() const { return m_Name; }
 
 private:
-  struct Answer;
+  struct OpenAnswer;
 
   void handle(SoupServerMessage *Message, const std::string &Path);
-  void refuse(SoupServerMessage *Message, unsigned Status) const;
+  void answerNotExecuted(SoupServerMessage *Message, unsigned Status) const;
   static int onTick(void *Data);
-  bool step(Answer &Open);
-  bool sendNext(Answer &Open);
-  void fillHeaders(const Answer &Open) const;
-  bool happens();
+  bool continueAnswer(OpenAnswer &Open);
+  bool sendNextPiece(OpenAnswer &Open);
+  void fillHeaders(const OpenAnswer &Open) const;
+  bool drawFault();
 
-  std::string m_Name;                  ///< Of this incarnation.
-  Ledger &m_Ledger;                    ///< Outlives it.
-  const Clock &m_Clock;                ///< Outlives it.
-  std::mt19937_64 m_Random;            ///< Decides about faults.
-  Trouble m_Trouble = Trouble::None;   ///< Currently.
-  bool m_Leaving = false;              ///< See startDraining().
-  std::map<Answer *, unsigned> m_Open; ///< With their timers.
-  std::function<void()> m_OnCrash;     ///< Never empty.
-  HttpServer m_Server;                 ///< Towards gateways.
+  std::string m_Name;                             ///< Of this incarnation.
+  Ledger &m_Ledger;                               ///< Outlives it.
+  const Clock &m_Clock;                           ///< Outlives it.
+  std::mt19937_64 m_Random;                       ///< Decides about faults.
+  UpstreamFault m_Fault = UpstreamFault::None;    ///< Currently.
+  bool m_Draining = false;                        ///< See startDraining().
+  std::map<OpenAnswer *, unsigned> m_OpenAnswers; ///< With their timers.
+  std::function<void()> m_OnCrash;                ///< Never empty.
+  HttpServer m_Server;                            ///< Towards gateways.
 };
 
 } // namespace crowstep::soak
--- a/tests/standin/completion.cpp
+++ b/tests/standin/completion.cpp
@@ -17,10 +17,10 @@
 
 } // namespace
 
-json Completion::frame(json Choice) const {
+json Completion::envelope(json Choice) const {
   Choice["index"] = 0;
   const char *Object = "text_completion";
-  if (m_Chat)
+  if (m_IsChat)
     Object = m_Stream ? "chat.completion.chunk" : "chat.completion";
   return {{"id", "cmpl-" + m_RequestId},
           {"object", Object},
@@ -32,36 +32,36 @@
                              const std::string &BodyText) {
   const json Body = json::parse(BodyText);
   Completion Result;
-  Result.m_Chat = Path == "/v1/chat/completions";
+  Result.m_IsChat = Path == "/v1/chat/completions";
   Result.m_Stream = Body.value("stream", false);
   Result.m_RequestId = Body.value("request_id", "");
   Result.m_Model = Body.value("model", "");
   Result.m_Prompt = load::promptOf(Body);
-  Result.m_Hash = load::promptHashOf(Result.m_Prompt);
+  Result.m_PromptHash = load::promptHashOf(Result.m_Prompt);
   Result.m_Priority = Body.value("priority", 0);
   Result.m_PromptTokens =
       (Result.m_Prompt.size() + CharactersPerToken - 1) / CharactersPerToken;
-  Result.m_From = Body.value("resume_tokens", std::uint64_t{0});
+  Result.m_ResumeTokens = Body.value("resume_tokens", std::uint64_t{0});
   Result.m_MaxTokens = Body.value("max_tokens", std::uint64_t{0});
-  const json Choice = Result.m_Chat
+  const json Choice = Result.m_IsChat
                           ? json{{"delta", {{"content", TextPlaceholder}}}}
                           : json{{"text", TextPlaceholder}};
-  json Envelope = Result.frame(Choice);
+  json Envelope = Result.envelope(Choice);
   Envelope["choices"][0]["finish_reason"] = nullptr;
   const std::string Event = "data: " + Envelope.dump() + "\n\n";
   const std::size_t TextStart = Event.rfind(TextPlaceholder);
-  Result.m_Before = Event.substr(0, TextStart);
-  Result.m_After =
+  Result.m_EventHead = Event.substr(0, TextStart);
+  Result.m_EventTail =
       Event.substr(TextStart + std::string(TextPlaceholder).size());
   return Result;
 }
 
 std::string Completion::tokenEvent(const std::string &Text) const {
   std::string Result;
-  Result.reserve(m_Before.size() + Text.size() + m_After.size());
-  Result += m_Before;
+  Result.reserve(m_EventHead.size() + Text.size() + m_EventTail.size());
+  Result += m_EventHead;
   Result += Text;
-  Result += m_After;
+  Result += m_EventTail;
   return Result;
 }
 
@@ -74,11 +74,11 @@
 std::string Completion::endEvents(const std::string &Reason,
                                   std::uint64_t Tokens) const {
   json Choice = {{"finish_reason", Reason}};
-  if (m_Chat)
+  if (m_IsChat)
     Choice["delta"] = json::object();
   else
     Choice["text"] = "";
-  json Envelope = frame(std::move(Choice));
+  json Envelope = envelope(std::move(Choice));
   Envelope["usage"] = usage(Tokens);
   return "data: " + Envelope.dump() + "\n\ndata: [DONE]\n\n";
 }
@@ -87,11 +87,11 @@
                                   const std::string &Reason,
                                   std::uint64_t Tokens) const {
   json Choice = {{"finish_reason", Reason}};
-  if (m_Chat)
+  if (m_IsChat)
     Choice["message"] = {{"role", "assistant"}, {"content", Text}};
   else
     Choice["text"] = Text;
-  json Envelope = frame(std::move(Choice));
+  json Envelope = envelope(std::move(Choice));
   Envelope["usage"] = usage(Tokens);
   return Envelope.dump();
 }
--- a/tests/standin/completion.h
+++ b/tests/standin/completion.h
@@ -10,15 +10,15 @@
 
 /// One completion request, as read from its body.
 struct Completion {
-  bool m_Chat = true;               ///< Chat format; false: text format.
+  bool m_IsChat = true;             ///< Chat format; false: text format.
   bool m_Stream = false;            ///< Server-sent events.
   std::string m_RequestId;          ///< Set by the router, or empty.
   std::string m_Model;              ///< Requested model, or empty.
   std::string m_Prompt;             ///< All contents, joined.
-  std::uint32_t m_Hash = 0;         ///< Part of each token's text.
+  std::uint32_t m_PromptHash = 0;   ///< Part of each token's text.
   int m_Priority = 0;               ///< 0 is the most urgent.
   std::uint64_t m_PromptTokens = 0; ///< One for four characters.
-  std::uint64_t m_From = 0;         ///< Tokens the caller already has.
+  std::uint64_t m_ResumeTokens = 0; ///< Tokens the caller already has.
   std::uint64_t m_MaxTokens = 0;    ///< 0: no limit given.
 
   /// Parses a body. \throws nlohmann::json::exception.
@@ -37,11 +37,11 @@
                                       std::uint64_t Tokens) const;
 
 private:
-  [[nodiscard]] nlohmann::json frame(nlohmann::json Choice) const;
+  [[nodiscard]] nlohmann::json envelope(nlohmann::json Choice) const;
   [[nodiscard]] nlohmann::json usage(std::uint64_t Tokens) const;
 
-  std::string m_Before; ///< Of an event, before the token's text.
-  std::string m_After;  ///< Of an event, after the token's text.
+  std::string m_EventHead; ///< Of an event, before the token's text.
+  std::string m_EventTail; ///< Of an event, after the token's text.
 };
 
 } // namespace crowstep::standin
--- a/tests/standin/engine_batch.cpp
+++ b/tests/standin/engine_batch.cpp
@@ -47,13 +47,13 @@
   while (!m_Waiting.empty() && m_Running.size() < m_Settings.m_Slots) {
     auto Next = m_Waiting.extract(m_Waiting.begin());
     Sequence &Work = Next.mapped();
-    const std::uint64_t Cached =
-        m_Cache.use(Work.m_Prefixes) * PrefixCharacters / CharactersPerToken;
+    const std::uint64_t Cached = m_Cache.matchAndInsert(Work.m_Prefixes) *
+                                 CharactersPerBlock / CharactersPerToken;
     // A resumed sequence prefills the tokens that the caller has, too.
-    const std::uint64_t Total = Work.m_PromptTokens + Work.m_Next;
+    const std::uint64_t Total = Work.m_PromptTokens + Work.m_NextToken;
     const std::uint64_t Uncached = Total - std::min(Total, Cached);
-    const double Cost = static_cast<double>(Uncached) * m_Factor;
-    Work.m_Decodes = Now + scaled(m_Settings.m_PrefillPerToken, Cost);
+    const double Cost = static_cast<double>(Uncached) * m_Slowdown;
+    Work.m_PrefillEnd = Now + scaled(m_Settings.m_PrefillPerToken, Cost);
     m_Running.emplace(Next.key().second, std::move(Work));
   }
 }
@@ -61,15 +61,15 @@
 TimePoint EngineBatch::stepEnd(TimePoint Now) const {
   TimePoint EarliestDecode = TimePoint::max();
   for (const auto &[Id, Work] : m_Running)
-    EarliestDecode = std::min(EarliestDecode, Work.m_Decodes);
+    EarliestDecode = std::min(EarliestDecode, Work.m_PrefillEnd);
   if (EarliestDecode > Now) // Prefill only: ends with the first.
     return EarliestDecode;
   const auto Others = static_cast<double>(m_Running.size() - 1);
   const double Scale = 1 + m_Settings.m_BatchPenalty * Others;
-  return Now + scaled(m_Settings.m_TokenTime, Scale * m_Factor);
+  return Now + scaled(m_Settings.m_TokenTime, Scale * m_Slowdown);
 }
 
-std::optional<TimePoint> EngineBatch::begin(TimePoint Now) {
+std::optional<TimePoint> EngineBatch::beginStep(TimePoint Now) {
   if (m_StepEnd)
     return m_StepEnd;
   admit(Now);
@@ -80,17 +80,17 @@
   return m_StepEnd;
 }
 
-std::vector<Generated> EngineBatch::finish() {
+std::vector<GeneratedToken> EngineBatch::finishStep() {
   m_StepEnd.reset();
-  std::vector<Generated> Result;
+  std::vector<GeneratedToken> Result;
   for (auto Item = m_Running.begin(); Item != m_Running.end();) {
     Sequence &Work = Item->second;
-    if (Work.m_Decodes > m_StepStart) {
+    if (Work.m_PrefillEnd > m_StepStart) {
       ++Item;
       continue;
     }
-    const bool Last = Work.m_Next + 1 >= Work.m_Length;
-    Result.push_back({Item->first, Work.m_Next++, Last});
+    const bool Last = Work.m_NextToken + 1 >= Work.m_TotalTokens;
+    Result.push_back({Item->first, Work.m_NextToken++, Last});
     Item = Last ? m_Running.erase(Item) : std::next(Item);
   }
   return Result;
--- a/tests/standin/engine_batch.h
+++ b/tests/standin/engine_batch.h
@@ -20,16 +20,16 @@
   int m_Priority = 0;                    ///< 0 is the most urgent.
   std::uint64_t m_PromptTokens = 0;      ///< Prompt length.
   std::vector<std::uint64_t> m_Prefixes; ///< Hashes, for the prefix cache.
-  std::uint64_t m_Next = 0;              ///< Index of the next token.
-  std::uint64_t m_Length = 1; ///< Answer length, resumed part included.
-  TimePoint m_Decodes;        ///< Decodes from then on.
+  std::uint64_t m_NextToken = 0;         ///< Index of the next token.
+  std::uint64_t m_TotalTokens = 1; ///< Answer length, resumed part included.
+  TimePoint m_PrefillEnd;          ///< Decodes from then on.
 };
 
 /// One token of one sequence.
-struct Generated {
+struct GeneratedToken {
   SequenceId m_Sequence;     ///< Sequence that it belongs to.
   std::uint64_t m_Index = 0; ///< Position in the answer, from 0.
-  bool m_Last = false;       ///< The sequence is complete and removed.
+  bool m_IsLast = false;     ///< The sequence is complete and removed.
 };
 
 /// Runs sequences in steps; a step makes one token for each that decodes.
@@ -44,17 +44,17 @@
 
   /// Multiplies the time of steps and prefills by \p Factor from the next step
   /// on.
-  void setFactor(double Factor) { m_Factor = Factor; }
+  void setSlowdown(double Factor) { m_Slowdown = Factor; }
 
   /// Begins a step unless one runs; returns its end, or nothing when there is
   /// no work.
-  std::optional<TimePoint> begin(TimePoint Now);
+  std::optional<TimePoint> beginStep(TimePoint Now);
 
   /// Ends the step and returns its tokens.
-  std::vector<Generated> finish();
+  std::vector<GeneratedToken> finishStep();
 
-  [[nodiscard]] std::size_t running() const { return m_Running.size(); }
-  [[nodiscard]] std::size_t waiting() const { return m_Waiting.size(); }
+  [[nodiscard]] std::size_t runningCount() const { return m_Running.size(); }
+  [[nodiscard]] std::size_t waitingCount() const { return m_Waiting.size(); }
   [[nodiscard]] std::size_t freeBlocks() const { return m_Cache.freeBlocks(); }
 
 private:
@@ -64,7 +64,7 @@
   const EngineSettings &m_Settings; ///< Outlives the batch.
   PrefixCache m_Cache;              ///< Prefixes that need no prefill.
   std::uint64_t m_LastId = 0;       ///< Ids start at 1.
-  double m_Factor = 1;              ///< 1: normal speed; 10 makes a straggler.
+  double m_Slowdown = 1;            ///< 1: normal speed; 10 makes a straggler.
   std::map<std::pair<int, SequenceId>, Sequence>
       m_Waiting;                            ///< By priority, then arrival.
   std::map<SequenceId, Sequence> m_Running; ///< At most `slots`.
--- a/tests/standin/engine_settings.cpp
+++ b/tests/standin/engine_settings.cpp
@@ -55,7 +55,7 @@
   Target.m_CacheBlocks = static_cast<std::size_t>(
       File.integer(Section, "cache_blocks", 0, MaxValue,
                    static_cast<std::int64_t>(Target.m_CacheBlocks)));
-  Target.m_Resumes = File.boolean(Section, "resume", Target.m_Resumes);
+  Target.m_CanResume = File.boolean(Section, "resume", Target.m_CanResume);
   Target.m_ChecksFencing =
       File.boolean(Section, "fencing", Target.m_ChecksFencing);
 }
--- a/tests/standin/engine_settings.h
+++ b/tests/standin/engine_settings.h
@@ -33,7 +33,7 @@
   double m_Sigma = 0.8;              ///< Of the log-normal answer lengths.
   std::uint64_t m_MaxTokens = 4096;  ///< Longest answer.
   std::set<std::string> m_Models;    ///< Loaded models; empty: any.
-  bool m_Resumes = true;             ///< Can resume a stream.
+  bool m_CanResume = true;           ///< Can resume a stream.
   bool m_ChecksFencing = true; ///< Rejects orders with old fencing numbers.
 };
 
--- a/tests/standin/exchange.cpp
+++ b/tests/standin/exchange.cpp
@@ -10,25 +10,25 @@
 } // namespace
 
 void Exchange::onClosed(std::function<void()> Job) {
-  if (m_Held.open())
-    m_Held.onGone(std::move(Job));
+  if (m_Deferred.isOpen())
+    m_Deferred.onClosed(std::move(Job));
   else
     Job();
 }
 
 void Exchange::answer(unsigned Status, const std::string &Body,
                       std::chrono::seconds RetryAfter) {
-  if (!m_Held.open())
+  if (!m_Deferred.isOpen())
     return;
   if (RetryAfter.count() > 0)
     soup_message_headers_replace(
-        soup_server_message_get_response_headers(m_Held.message()),
+        soup_server_message_get_response_headers(m_Deferred.message()),
         "Retry-After", std::to_string(RetryAfter.count()).c_str());
-  m_Held.answer(Status, "application/json", Body);
+  m_Deferred.answer(Status, "application/json", Body);
 }
 
 void Exchange::beginStream() {
-  m_Held.beginStream(HttpOk, "text/event-stream");
+  m_Deferred.beginStream(HttpOk, "text/event-stream");
 }
 
 } // namespace crowstep::standin
--- a/tests/standin/exchange.h
+++ b/tests/standin/exchange.h
@@ -15,7 +15,7 @@
 class Exchange {
 public:
   /// Pauses \p Message until it is answered.
-  explicit Exchange(SoupServerMessage *Message) : m_Held(Message) {}
+  explicit Exchange(SoupServerMessage *Message) : m_Deferred(Message) {}
 
   /// Runs \p Job once when the caller closes before the answer is complete, or
   /// at once if the answer is not open any more.
@@ -27,16 +27,16 @@
 
   /// Sends the headers of a stream of server-sent events.
   void beginStream();
-  void append(const std::string &Events) { m_Held.append(Events); }
-  void endStream() { m_Held.endStream(); }
+  void append(const std::string &Events) { m_Deferred.append(Events); }
+  void endStream() { m_Deferred.endStream(); }
 
   /// Closes the connection at once without sending anything more.
-  void cut() { m_Held.cut(); }
+  void closeConnection() { m_Deferred.closeConnection(); }
 
-  [[nodiscard]] bool open() const { return m_Held.open(); }
+  [[nodiscard]] bool isOpen() const { return m_Deferred.isOpen(); }
 
 private:
-  HeldAnswer m_Held; ///< libsoup's message.
+  DeferredAnswer m_Deferred; ///< libsoup's message.
 };
 
 using ExchangePtr = std::shared_ptr<Exchange>;
--- a/tests/standin/fault.cpp
+++ b/tests/standin/fault.cpp
@@ -32,15 +32,15 @@
   Fault Result;
   Result.m_Mode = Found->second;
   Result.m_Delay = std::chrono::milliseconds(Body.value("delay_ms", 0));
-  Result.m_Factor = Body.value("factor", 10.0);
+  Result.m_Slowdown = Body.value("factor", 10.0);
   Result.m_AfterTokens = Body.value("after_tokens", 1U);
-  Result.m_Left = Body.value("count", 0U);
+  Result.m_CallsLeft = Body.value("count", 0U);
   return Result;
 }
 
-Fault Fault::take() {
+Fault Fault::takeForCall() {
   const Fault Current = *this;
-  if (m_Left > 0 && --m_Left == 0)
+  if (m_CallsLeft > 0 && --m_CallsLeft == 0)
     *this = Fault();
   return Current;
 }
--- a/tests/standin/fault.h
+++ b/tests/standin/fault.h
@@ -37,15 +37,15 @@
 struct Fault {
   FaultMode m_Mode = FaultMode::None; ///< None: no fault.
   Duration m_Delay{};                 ///< For mode Delay.
-  double m_Factor = 10;               ///< For mode Slow.
+  double m_Slowdown = 10;             ///< For mode Slow.
   std::uint64_t m_AfterTokens = 1;    ///< For mode CrashMidStream.
-  std::uint64_t m_Left = 0; ///< 0: applies until the fault is changed.
+  std::uint64_t m_CallsLeft = 0; ///< 0: applies until the fault is changed.
 
   /// Parses the body of POST /faults. \throws FaultError.
   static Fault parse(const nlohmann::json &Body);
 
   /// Returns the fault to apply to one call and counts that call.
-  Fault take();
+  Fault takeForCall();
 };
 
 } // namespace crowstep::standin
--- a/tests/standin/fleet_model.cpp
+++ b/tests/standin/fleet_model.cpp
@@ -29,7 +29,7 @@
   const ModelClass *m_Class;           ///< Not null.
   std::size_t m_Gateway;               ///< Index of the gateway that placed it.
   TicketId m_Ticket;                   ///< Of that gateway's balancer.
-  PromptSize m_Prompt;                 ///< As in the placement query.
+  PromptInfo m_Prompt;                 ///< As in the placement query.
   TimePoint m_ArrivedAt;               ///< Arrival of the request.
   TimePoint m_LastEventAt{};           ///< Time of the newest event.
   std::uint32_t m_PrefillTokens = 0;   ///< Prompt tokens left to prefill.
@@ -69,7 +69,7 @@
     if (m_Running.empty())
       return std::nullopt;
     m_Stepping = true;
-    std::uint32_t Left = m_Model.m_Chunk;
+    std::uint32_t Left = m_Model.m_PrefillChunk;
     m_Decoding.clear();
     for (const CallPtr &Active : m_Running) {
       if (Active->m_PrefillTokens == 0) {
@@ -82,10 +82,10 @@
       if (Prefilled > 0 && Active->m_PrefillTokens == 0)
         m_Decoding.push_back(Active);
     }
-    return microseconds(m_Model.m_StepUs +
-                        m_Model.m_SlotUs *
-                            static_cast<double>(m_Running.size()) +
-                        m_Model.m_ReadUs * (m_Model.m_Chunk - Left));
+    return microseconds(
+        m_Model.m_BaseStepUs +
+        m_Model.m_RunningCallUs * static_cast<double>(m_Running.size()) +
+        m_Model.m_PrefillTokenUs * (m_Model.m_PrefillChunk - Left));
   }
 
   /// Ends the step; returns the calls that generated a token in it.
@@ -124,15 +124,15 @@
     while (!m_Waiting.empty() && m_Running.size() < m_Model.m_Slots) {
       const CallPtr Next = m_Waiting.front();
       m_Waiting.erase(m_Waiting.begin());
-      const std::vector<PromptPart> &Segments = Next->m_Prompt.m_Parts;
-      const std::uint32_t Cached = m_Cache.kept(m_Id, Segments);
+      const std::vector<PrefixSegment> &Segments = Next->m_Prompt.m_Segments;
+      const std::uint32_t Cached = m_Cache.cachedTokens(m_Id, Segments);
       Next->m_PrefillTokens =
           std::max(1U, Next->m_Prompt.m_PromptTokens - Cached);
-      for (const PromptPart &Segment : Segments) {
-        if (m_Cache.kept(m_Id, {Segment}) == 0 &&
+      for (const PrefixSegment &Segment : Segments) {
+        if (m_Cache.cachedTokens(m_Id, {Segment}) == 0 &&
             !computedSegments().insert(Segment.m_Id).second)
           m_RepeatedPrefillTokens += Segment.m_Tokens;
-        m_Cache.placed(m_Id, Segment, m_Model.m_CacheTokens);
+        m_Cache.recordPlacement(m_Id, Segment, m_Model.m_CacheTokens);
       }
       m_Running.push_back(Next);
       m_Used = true;
@@ -161,14 +161,14 @@
       addEngine("engine-" + std::to_string(I));
     Duration MinPause{};
     for (const ModelClass &Class : Load.m_Classes)
-      if (Class.m_LongestPause > Duration::zero() &&
-          (MinPause == Duration::zero() || Class.m_LongestPause < MinPause))
-        MinPause = Class.m_LongestPause;
+      if (Class.m_MaxPause > Duration::zero() &&
+          (MinPause == Duration::zero() || Class.m_MaxPause < MinPause))
+        MinPause = Class.m_MaxPause;
     for (std::size_t I = 0; I < Load.m_Gateways; ++I) {
       m_Gateways.emplace_back(AvailabilityZone{"a"}, Load.m_Seed * 1000 + I);
       m_Gateways.back().setUpstreams(m_Listed);
-      m_Gateways.back().setCacheTokens(ServiceName, Load.m_CacheTokens);
-      m_Gateways.back().setTightestPauses({{ServiceName, MinPause}});
+      m_Gateways.back().setCacheCapacity(ServiceName, Load.m_CacheTokens);
+      m_Gateways.back().setMinPauses({{ServiceName, MinPause}});
     }
   }
 
@@ -185,7 +185,7 @@
       Next.m_Job();
     }
     for (const auto &[Id, Simulated] : m_Engines) {
-      m_Result.m_ReadAgain += Simulated.repeatedPrefillTokens();
+      m_Result.m_RepeatedPrefillTokens += Simulated.repeatedPrefillTokens();
       m_Result.m_EnginesUsed += Simulated.hasServed() ? 1 : 0;
     }
     return std::move(m_Result);
@@ -206,14 +206,16 @@
     m_Events.push({m_Now + Delay, ++m_Order, std::move(Job)});
   }
 
-  [[nodiscard]] bool isOver() const { return m_Now - Start > m_Model.m_Length; }
+  [[nodiscard]] bool isOver() const {
+    return m_Now - Start > m_Model.m_ArrivalPeriod;
+  }
 
   double rateOf(std::size_t Class) const {
-    double Result = m_Model.m_Classes[Class].m_PerSecond;
+    double Result = m_Model.m_Classes[Class].m_ArrivalRate;
     for (const ModelBurst &Burst : m_Model.m_Bursts)
-      if (Burst.m_Class == Class && m_Now - Start >= Burst.m_From &&
-          m_Now - Start < Burst.m_To)
-        Result *= Burst.m_Factor;
+      if (Burst.m_ClassIndex == Class && m_Now - Start >= Burst.m_Start &&
+          m_Now - Start < Burst.m_End)
+        Result *= Burst.m_RateFactor;
     return Result;
   }
 
@@ -236,7 +238,7 @@
 
   void crashEngines(const ModelCrash &Loss) {
     const auto Count = static_cast<std::size_t>(
-        Loss.m_Share * static_cast<double>(m_Listed.size()));
+        Loss.m_EngineShare * static_cast<double>(m_Listed.size()));
     std::shuffle(m_Listed.begin(), m_Listed.end(), m_Random);
     for (std::size_t I = 0; I < Count; ++I) {
       for (const CallPtr &Affected :
@@ -247,7 +249,7 @@
       m_Listed.pop_back();
     }
     updateGateways();
-    schedule(Loss.m_For, [this, Count] {
+    schedule(Loss.m_OutageTime, [this, Count] {
       for (std::size_t I = 0; I < Count; ++I)
         addEngine("later-" + std::to_string(m_Engines.size()));
       updateGateways();
@@ -265,34 +267,35 @@
     });
   }
 
-  PromptSize promptFor(const ModelClass &Class) {
+  PromptInfo promptFor(const ModelClass &Class) {
     const auto Name = std::hash<std::string>()(Class.m_Name);
-    PromptSize Result;
+    PromptInfo Result;
     std::uint64_t Depth = 0;
-    for (const ModelPart &Shared : Class.m_Shared)
-      Result.m_Parts.push_back(
-          {Name + (++Depth << 32U) + m_Random() % Shared.m_Count,
+    for (const ModelSegment &Shared : Class.m_SharedSegments)
+      Result.m_Segments.push_back(
+          {Name + (++Depth << 32U) + m_Random() % Shared.m_VariantCount,
            Shared.m_Tokens});
     // From 0.5 to 1.5 times the mean.
-    const auto UniqueTokens = static_cast<std::uint32_t>(
-        Class.m_OwnTokens / 2 + m_Random() % (Class.m_OwnTokens + 1));
-    Result.m_Parts.push_back({++m_LastUniqueSegment, UniqueTokens});
-    for (const PromptPart &Segment : Result.m_Parts)
+    const auto UniqueTokens =
+        static_cast<std::uint32_t>(Class.m_MeanUniqueTokens / 2 +
+                                   m_Random() % (Class.m_MeanUniqueTokens + 1));
+    Result.m_Segments.push_back({++m_LastUniqueSegment, UniqueTokens});
+    for (const PrefixSegment &Segment : Result.m_Segments)
       Result.m_PromptTokens += Segment.m_Tokens;
-    Result.m_MaxOutput = Class.m_Output;
-    Result.m_ExpectedOutput = Class.m_Output;
+    Result.m_MaxOutputTokens = Class.m_OutputTokens;
+    Result.m_ExpectedOutputTokens = Class.m_OutputTokens;
     return Result;
   }
 
   void startRequest(const ModelClass &Class) {
-    ++m_Result.m_Classes[Class.m_Name].m_Asked;
+    ++m_Result.m_Classes[Class.m_Name].m_Requests;
     PlacementQuery Query;
     Query.m_Service = ServiceName;
     Query.m_Urgency = Class.m_Urgency;
-    Query.m_Target = Class.m_Target;
-    Query.m_LongestPause = Class.m_LongestPause;
+    Query.m_LatencyTarget = Class.m_LatencyTarget;
+    Query.m_MaxPause = Class.m_MaxPause;
     Query.m_Prompt = promptFor(Class);
-    Query.m_MayWait = m_Model.m_WaitShare > 0;
+    Query.m_MayWait = m_Model.m_MaxWaitShare > 0;
     place(Class, Query, m_Random() % m_Gateways.size(), m_Now);
   }
 
@@ -301,8 +304,8 @@
     const PlacementResult Answer = m_Gateways[Gateway].place(Query, m_Now);
     const bool KeepsWaiting =
         m_Now - ArrivedAt <
-        microseconds(m_Model.m_WaitShare *
-                     static_cast<double>(Class.m_Target.count()));
+        microseconds(m_Model.m_MaxWaitShare *
+                     static_cast<double>(Class.m_LatencyTarget.count()));
     if (std::holds_alternative<MustWait>(Answer) && KeepsWaiting) {
       schedule(WaitPollInterval, [this, &Class, Query, Gateway, ArrivedAt] {
         place(Class, Query, Gateway, ArrivedAt);
@@ -312,7 +315,7 @@
     if (std::holds_alternative<MustWait>(Answer)) {
       PlacementQuery Final = Query;
       Final.m_MayWait = false;
-      Final.m_WaitedInVain = true;
+      Final.m_WaitTimedOut = true;
       place(Class, Final, Gateway, ArrivedAt);
       return;
     }
@@ -345,7 +348,8 @@
 
   void endCall(const CallPtr &Target, CallOutcome Outcome) {
     Target->m_Running = false;
-    m_Gateways[Target->m_Gateway].ended(Target->m_Ticket, Outcome, m_Now);
+    m_Gateways[Target->m_Gateway].recordCallEnd(Target->m_Ticket, Outcome,
+                                                m_Now);
   }
 
   void startStep(UpstreamId Engine) {
@@ -366,14 +370,15 @@
   void addToken(const CallPtr &Target, UpstreamId Engine) {
     const ModelClass &Class = *Target->m_Class;
     ++Target->m_GeneratedTokens;
-    const bool Last = Target->m_GeneratedTokens >= Class.m_Output;
-    if (Target->m_GeneratedTokens % m_Model.m_Stride != 1 % m_Model.m_Stride &&
+    const bool Last = Target->m_GeneratedTokens >= Class.m_OutputTokens;
+    if (Target->m_GeneratedTokens % m_Model.m_TokensPerEvent !=
+            1 % m_Model.m_TokensPerEvent &&
         !Last)
       return;
     if (Target->m_GeneratedTokens == 1) {
-      m_Gateways[Target->m_Gateway].answered(Target->m_Ticket, m_Now);
-      Target->m_InTime = m_Now - Target->m_ArrivedAt <= Class.m_Target;
-    } else if (m_Now - Target->m_LastEventAt > Class.m_LongestPause) {
+      m_Gateways[Target->m_Gateway].recordFirstEvent(Target->m_Ticket, m_Now);
+      Target->m_InTime = m_Now - Target->m_ArrivedAt <= Class.m_LatencyTarget;
+    } else if (m_Now - Target->m_LastEventAt > Class.m_MaxPause) {
       Target->m_InTime = false;
     }
     Target->m_LastEventAt = m_Now;
@@ -393,10 +398,10 @@
     m_ZoneSums.resize(m_Model.m_Zones);
     for (std::size_t From = 0; From < m_Gateways.size(); ++From) {
       const LoadDigest Digest = m_Gateways[From].takeDigest(m_Now);
-      m_ZoneSums[zoneOf(From)].take(InstanceId(From + 1), Digest, m_Now);
+      m_ZoneSums[zoneOf(From)].add(InstanceId(From + 1), Digest, m_Now);
       for (std::size_t To = 0; To < m_Gateways.size(); ++To)
         if (To != From && zoneOf(To) == zoneOf(From))
-          m_Gateways[To].peerSaid(InstanceId(From + 1), Digest, m_Now);
+          m_Gateways[To].applyPeerDigest(InstanceId(From + 1), Digest, m_Now);
     }
     if (m_Model.m_Zones > 1 && ++m_DigestIntervals % 2 == 0)
       sendZoneSums();
@@ -409,8 +414,8 @@
       const LoadDigest Sum = m_ZoneSums[From].takeSum(m_Now);
       for (std::size_t To = 0; To < m_Gateways.size(); ++To)
         if (zoneOf(To) != From)
-          m_Gateways[To].peerSaid(InstanceId(m_Gateways.size() + 1 + From), Sum,
-                                  m_Now);
+          m_Gateways[To].applyPeerDigest(
+              InstanceId(m_Gateways.size() + 1 + From), Sum, m_Now);
     }
   }
 
@@ -432,6 +437,8 @@
 
 } // namespace
 
-FleetResult play(const FleetModel &Load) { return FleetSimulation(Load).run(); }
+FleetResult simulate(const FleetModel &Load) {
+  return FleetSimulation(Load).run();
+}
 
 } // namespace crowstep::standin
--- a/tests/standin/fleet_model.h
+++ b/tests/standin/fleet_model.h
@@ -15,37 +15,39 @@
 namespace crowstep::standin {
 
 /// A prefix segment that prompts of a class share.
-struct ModelPart {
-  std::uint32_t m_Tokens = 0; ///< Size of each variant.
-  std::uint64_t m_Count = 1;  ///< Different segments to draw from.
+struct ModelSegment {
+  std::uint32_t m_Tokens = 0;       ///< Size of each variant.
+  std::uint64_t m_VariantCount = 1; ///< Different segments to draw from.
 };
 
 /// One class of requests.
 struct ModelClass {
-  std::string m_Name;               ///< Key of the results.
-  double m_PerSecond = 1;           ///< Per second; Poisson process.
-  balance::Urgency m_Urgency = 0;   ///< 0 is the most urgent.
-  Duration m_Target{};              ///< Limit for the first event.
-  Duration m_LongestPause{};        ///< Limit between events.
-  Duration m_Deadline{};            ///< The caller then gives up.
-  std::vector<ModelPart> m_Shared;  ///< In order; variants drawn at random.
-  std::uint32_t m_OwnTokens = 1000; ///< Drawn from 0.5 to 1.5 times this.
-  std::uint32_t m_Output = 50;      ///< Length of the answer.
+  std::string m_Name;             ///< Key of the results.
+  double m_ArrivalRate = 1;       ///< Per second; Poisson process.
+  balance::Urgency m_Urgency = 0; ///< 0 is the most urgent.
+  Duration m_LatencyTarget{};     ///< Limit for the first event.
+  Duration m_MaxPause{};          ///< Limit between events.
+  Duration m_Deadline{};          ///< The caller then gives up.
+  std::vector<ModelSegment>
+      m_SharedSegments; ///< In order; variants drawn at random.
+  std::uint32_t m_MeanUniqueTokens =
+      1000;                          ///< Drawn from 0.5 to 1.5 times this.
+  std::uint32_t m_OutputTokens = 50; ///< Length of the answer.
 };
 
 /// A period in which the arrival rate of one class is changed.
 struct ModelBurst {
-  std::size_t m_Class = 0; ///< Index among the classes.
-  Duration m_From{};       ///< Since the start.
-  Duration m_To{};         ///< Since the start.
-  double m_Factor = 1;     ///< Multiplies the arrival rate.
+  std::size_t m_ClassIndex = 0; ///< Index among the classes.
+  Duration m_Start{};           ///< Since the start.
+  Duration m_End{};             ///< Since the start.
+  double m_RateFactor = 1;      ///< Multiplies the arrival rate.
 };
 
 /// A loss of engines with their calls and caches; others replace them later.
 struct ModelCrash {
-  Duration m_At{};    ///< Since the start.
-  Duration m_For{};   ///< Until the replacements start.
-  double m_Share = 0; ///< Share of the engines lost.
+  Duration m_At{};          ///< Since the start.
+  Duration m_OutageTime{};  ///< Until the replacements start.
+  double m_EngineShare = 0; ///< Share of the engines lost.
 };
 
 /// A fleet and its load. The engines' defaults are those of a large dense
@@ -61,13 +63,13 @@
   std::size_t m_Engines = 12;
   std::uint32_t m_Slots = 64;
   std::uint64_t m_CacheTokens = 290000;
-  std::uint32_t m_Chunk = 2048; ///< Prefill tokens in one step.
-  std::uint32_t m_Stride = 3;   ///< Tokens in one event.
-  double m_StepUs = 6000;       ///< Step time without calls or prefill.
-  double m_SlotUs = 45;         ///< Added for each running call.
-  double m_ReadUs = 22;         ///< Added for each prefill token.
-  double m_WaitShare = 0.4;     ///< Of the target, for a slot; 0: no wait.
-  Duration m_Length = std::chrono::seconds(20);
+  std::uint32_t m_PrefillChunk = 2048; ///< Prefill tokens in one step.
+  std::uint32_t m_TokensPerEvent = 3;  ///< Tokens in one event.
+  double m_BaseStepUs = 6000;          ///< Step time without calls or prefill.
+  double m_RunningCallUs = 45;         ///< Added for each running call.
+  double m_PrefillTokenUs = 22;        ///< Added for each prefill token.
+  double m_MaxWaitShare = 0.4; ///< Of the target, for a slot; 0: no wait.
+  Duration m_ArrivalPeriod = std::chrono::seconds(20);
   std::uint64_t m_Seed = 1;
   std::vector<ModelClass> m_Classes;
   std::vector<ModelBurst> m_Bursts;
@@ -76,7 +78,7 @@
 
 /// Outcomes of the requests of one class.
 struct ModelResult {
-  int m_Asked = 0;
+  int m_Requests = 0;
   int m_InTime = 0; ///< First event and all pauses in time, and complete.
   int m_Late = 0;   ///< Complete, but not in time.
   int m_Refused = 0;
@@ -84,21 +86,22 @@
   int m_Lost = 0;       ///< Their engine crashed.
 
   /// Returns the share of requests answered in time.
-  [[nodiscard]] double inTime() const {
-    return m_Asked == 0 ? 1 : static_cast<double>(m_InTime) / m_Asked;
+  [[nodiscard]] double inTimeShare() const {
+    return m_Requests == 0 ? 1 : static_cast<double>(m_InTime) / m_Requests;
   }
 };
 
 /// Result of a simulation.
 struct FleetResult {
   std::map<std::string, ModelResult> m_Classes; ///< By name.
-  std::uint64_t m_ReadAgain = 0; ///< Prefill tokens of segments that some
+  std::uint64_t m_RepeatedPrefillTokens =
+      0;                         ///< Prefill tokens of segments that some
                                  ///< engine had computed before.
   std::size_t m_EnginesUsed = 0; ///< Engines with at least one call.
 };
 
 /// Simulates a load to its end.
-FleetResult play(const FleetModel &Load);
+FleetResult simulate(const FleetModel &Load);
 
 } // namespace crowstep::standin
 
--- a/tests/standin/held_answer.cpp
+++ b/tests/standin/held_answer.cpp
@@ -10,7 +10,7 @@
 
 namespace crowstep {
 
-HeldAnswer::HeldAnswer(SoupServerMessage *Message)
+DeferredAnswer::DeferredAnswer(SoupServerMessage *Message)
     : m_Message(SOUP_SERVER_MESSAGE(g_object_ref(Message))) {
   soup_server_message_pause(m_Message);
   g_signal_connect(m_Message, "finished", G_CALLBACK(onFinished), this);
@@ -20,19 +20,19 @@
   // its slot to the end.
   if (GSocket *Socket = soup_server_message_get_socket(m_Message)) {
     m_Watch.emplace(g_socket_get_fd(Socket), *this);
-    m_Watch->watchFor({.m_Read = true, .m_HungUp = true});
+    m_Watch->setEvents({.m_Read = true, .m_HungUp = true});
   }
 }
 
-HeldAnswer::~HeldAnswer() {
-  cut();
+DeferredAnswer::~DeferredAnswer() {
+  closeConnection();
   m_Watch.reset();
   g_signal_handlers_disconnect_by_data(m_Message, this);
   g_object_unref(m_Message);
 }
 
-void HeldAnswer::answer(unsigned Status, const std::string &ContentType,
-                        const std::string &Body) {
+void DeferredAnswer::answer(unsigned Status, const std::string &ContentType,
+                            const std::string &Body) {
   if (!m_Open)
     return;
   m_Open = false;
@@ -41,7 +41,8 @@
   soup_server_message_unpause(m_Message);
 }
 
-void HeldAnswer::beginStream(unsigned Status, const std::string &ContentType) {
+void DeferredAnswer::beginStream(unsigned Status,
+                                 const std::string &ContentType) {
   if (!m_Open || m_Streaming)
     return;
   m_Streaming = true;
@@ -56,7 +57,7 @@
   soup_server_message_unpause(m_Message);
 }
 
-void HeldAnswer::append(const std::string &Bytes) {
+void DeferredAnswer::append(const std::string &Bytes) {
   if (!m_Open || !m_Streaming || Bytes.empty())
     return;
   m_Backlog += Bytes.size();
@@ -65,7 +66,7 @@
   soup_server_message_unpause(m_Message);
 }
 
-void HeldAnswer::endStream() {
+void DeferredAnswer::endStream() {
   if (!m_Open || !m_Streaming)
     return;
   m_Open = false;
@@ -74,7 +75,7 @@
   soup_server_message_unpause(m_Message);
 }
 
-void HeldAnswer::cut() {
+void DeferredAnswer::closeConnection() {
   if (!m_Open)
     return;
   m_Open = false;
@@ -92,28 +93,28 @@
   soup_server_message_unpause(m_Message);
 }
 
-bool HeldAnswer::hasLeft() const {
+bool DeferredAnswer::isClosedByCaller() const {
   GSocket *Socket =
       m_Finished ? nullptr : soup_server_message_get_socket(m_Message);
-  return Socket == nullptr || closedByPeer(Socket);
+  return Socket == nullptr || isClosedByPeer(Socket);
 }
 
-void HeldAnswer::onFinished(SoupServerMessage *, void *Self) {
-  auto *Owner = static_cast<HeldAnswer *>(Self);
+void DeferredAnswer::onFinished(SoupServerMessage *, void *Self) {
+  auto *Owner = static_cast<DeferredAnswer *>(Self);
   Owner->m_Finished = true;
-  Owner->gone();
+  Owner->handleClosed();
 }
 
-void HeldAnswer::onWrote(SoupServerMessage *, unsigned Size, void *Self) {
-  auto *Owner = static_cast<HeldAnswer *>(Self);
+void DeferredAnswer::onWrote(SoupServerMessage *, unsigned Size, void *Self) {
+  auto *Owner = static_cast<DeferredAnswer *>(Self);
   Owner->m_Backlog -= std::min<std::size_t>(Size, Owner->m_Backlog);
-  if (Owner->m_Drained)
-    Owner->m_Drained();
+  if (Owner->m_OnDrained)
+    Owner->m_OnDrained();
 }
 
-void HeldAnswer::socketReady(SocketEvents Events) {
+void DeferredAnswer::socketReady(SocketEvents Events) {
   if (Events.m_HungUp) {
-    gone();
+    handleClosed();
     return;
   }
   char Byte = 0;
@@ -123,18 +124,18 @@
   if (Received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
     return;
   if (Received > 0) // Next request on a keep-alive connection.
-    m_Watch->watchFor({.m_HungUp = true});
+    m_Watch->setEvents({.m_HungUp = true});
   else
-    gone();
+    handleClosed();
 }
 
-void HeldAnswer::gone() {
+void DeferredAnswer::handleClosed() {
   m_Watch.reset();
   if (!m_Open)
     return;
-  cut();
-  const std::function<void()> Job = std::move(m_Gone);
-  m_Gone = nullptr;
+  closeConnection();
+  const std::function<void()> Job = std::move(m_OnClosed);
+  m_OnClosed = nullptr;
   if (Job)
     Job();
 }
--- a/tests/standin/held_answer.h
+++ b/tests/standin/held_answer.h
@@ -16,15 +16,15 @@
 
 namespace crowstep {
 
-class HeldAnswer final : public SocketListener {
+class DeferredAnswer final : public SocketListener {
 public:
   /// Pauses \p Message and keeps a reference to it.
-  explicit HeldAnswer(SoupServerMessage *Message);
+  explicit DeferredAnswer(SoupServerMessage *Message);
 
   /// Closes the connection if the answer is still open.
-  ~HeldAnswer() override;
-  HeldAnswer(const HeldAnswer &) = delete;
-  HeldAnswer &operator=(const HeldAnswer &) = delete;
+  ~DeferredAnswer() override;
+  DeferredAnswer(const DeferredAnswer &) = delete;
+  DeferredAnswer &operator=(const DeferredAnswer &) = delete;
 
   /// Returns the message, to set further headers before the answer begins.
   [[nodiscard]] SoupServerMessage *message() const { return m_Message; }
@@ -40,35 +40,35 @@
 
   /// Closes the connection without an answer, or in mid-stream, so that the
   /// caller detects that the answer is incomplete.
-  void cut();
+  void closeConnection();
 
   /// Returns whether the answer can still be given or continued.
-  [[nodiscard]] bool open() const { return m_Open; }
+  [[nodiscard]] bool isOpen() const { return m_Open; }
 
   /// Returns whether beginStream() was called.
-  [[nodiscard]] bool streaming() const { return m_Streaming; }
+  [[nodiscard]] bool isStreaming() const { return m_Streaming; }
 
   /// Checks the socket and returns whether the caller has closed it.
-  [[nodiscard]] bool hasLeft() const;
+  [[nodiscard]] bool isClosedByCaller() const;
 
   /// Returns the number of bytes appended and not yet written.
   [[nodiscard]] std::size_t backlog() const { return m_Backlog; }
 
   /// Sets the jobs to run when the caller closes before its answer is complete,
   /// and after each write.
-  void onGone(std::function<void()> Job) { m_Gone = std::move(Job); }
-  void onDrained(std::function<void()> Job) { m_Drained = std::move(Job); }
+  void onClosed(std::function<void()> Job) { m_OnClosed = std::move(Job); }
+  void onDrained(std::function<void()> Job) { m_OnDrained = std::move(Job); }
 
 private:
   static void onFinished(SoupServerMessage *Message, void *Self);
   static void onWrote(SoupServerMessage *Message, unsigned Size, void *Self);
   void socketReady(SocketEvents Events) override;
-  void gone();
+  void handleClosed();
 
   SoupServerMessage *m_Message;       ///< Owned reference.
   std::optional<SocketWatch> m_Watch; ///< Detects a close by the caller.
-  std::function<void()> m_Gone;       ///< Empty once it has run.
-  std::function<void()> m_Drained;    ///< May be empty.
+  std::function<void()> m_OnClosed;   ///< Empty once it has run.
+  std::function<void()> m_OnDrained;  ///< May be empty.
   std::size_t m_Backlog = 0;          ///< Bytes appended, not yet written.
   bool m_Open = true;                 ///< Until answered or closed.
   bool m_Finished = false;            ///< By libsoup's signal "finished".
--- a/tests/standin/member_main.cpp
+++ b/tests/standin/member_main.cpp
@@ -35,13 +35,13 @@
                     });
     m_Membership.onChange([this] { recordDeaths(); });
     m_Membership.start();
-    m_Membership.seed(m_Hints);
+    m_Membership.setHints(m_Hints);
   }
 
   void stop(std::function<void()> Done) override {
     m_Membership.leave();
     // The notification of leaving is sent at the end of this loop iteration.
-    m_Scheduler.after(std::chrono::milliseconds(50), std::move(Done));
+    m_Scheduler.runAfter(std::chrono::milliseconds(50), std::move(Done));
   }
 
   void linkUp(link::LinkId Link, const link::Peer &Peer) override {
--- a/tests/standin/platform_server.cpp
+++ b/tests/standin/platform_server.cpp
@@ -34,16 +34,16 @@
 
 PlatformServer::PlatformServer(Settings &File) {
   m_Settings.m_Listen = File.address("platform", "listen");
-  m_Settings.m_Seed = File.text("platform", "seed", "");
-  m_Settings.m_WeightReads = File.integer("platform", "weight_reads_per_s", 1,
-                                          1000000, DefaultWeightReads);
+  m_Settings.m_SeedFile = File.text("platform", "seed", "");
+  m_Settings.m_MaxWeightReads = File.integer("platform", "weight_reads_per_s",
+                                             1, 1000000, DefaultWeightReads);
 }
 
 void PlatformServer::start() {
-  if (!m_Settings.m_Seed.empty()) {
-    std::ifstream File(m_Settings.m_Seed);
+  if (!m_Settings.m_SeedFile.empty()) {
+    std::ifstream File(m_Settings.m_SeedFile);
     if (!File)
-      throw SettingsFileError(m_Settings.m_Seed, "can't be read");
+      throw SettingsFileError(m_Settings.m_SeedFile, "can't be read");
     const json Seed = json::parse(File);
     m_Store.seed(Seed.value("tables", json::object()));
     if (Seed.contains("instances"))
@@ -62,33 +62,33 @@
   const Call Request{soup_server_message_get_method(Message), Path,
                      queryValue(Message, "prefix"), requestBody(Message)};
   const auto Answer = std::make_shared<Exchange>(Message);
-  Fault Active = m_Faults[serviceOf(Path)].take();
+  Fault Active = m_Faults[serviceOf(Path)].takeForCall();
   // A fault of writes only, so that a test can drop the answer to a commit.
   if (Active.m_Mode == FaultMode::None && Path.ends_with("/write"))
-    Active = m_Faults["table_writes"].take();
+    Active = m_Faults["table_writes"].takeForCall();
   switch (Active.m_Mode) {
   case FaultMode::Hang:
   case FaultMode::Freeze:
-    m_Hung.push_back(Answer);
+    m_UnansweredCalls.push_back(Answer);
     return;
   case FaultMode::Refuse:
     Answer->answer(503, R"({"error":"refused"})");
     return;
   case FaultMode::CloseBeforeByte:
-    Answer->cut();
+    Answer->closeConnection();
     return;
   case FaultMode::Delay:
-    m_Scheduler.after(Active.m_Delay, [this, Request, Answer] {
-      finish(Request, Answer, FaultMode::None);
+    m_Scheduler.runAfter(Active.m_Delay, [this, Request, Answer] {
+      sendReply(Request, Answer, FaultMode::None);
     });
     return;
   default:
-    finish(Request, Answer, Active.m_Mode);
+    sendReply(Request, Answer, Active.m_Mode);
   }
 }
 
-void PlatformServer::finish(const Call &Request, const ExchangePtr &Answer,
-                            FaultMode Mode) {
+void PlatformServer::sendReply(const Call &Request, const ExchangePtr &Answer,
+                               FaultMode Mode) {
   Reply Result;
   try {
     Result = serve(Request);
@@ -96,7 +96,7 @@
     Result = {400, json{{"error", Failure.what()}}.dump()};
   }
   if (Mode == FaultMode::DropAnswer)
-    Answer->cut();
+    Answer->closeConnection();
   else
     Answer->answer(Result.m_Status, Result.m_Body, Result.m_RetryAfter);
 }
@@ -104,17 +104,17 @@
 PlatformServer::Reply PlatformServer::serve(const Call &Request) {
   const std::string Service = serviceOf(Request.m_Path);
   if (Service == "tables")
-    return tables(Request);
+    return handleTables(Request);
   if (Service == "objects")
-    return objects(Request);
+    return handleObjects(Request);
   if (Service == "instances")
-    return instances(Request);
+    return handleInstances(Request);
   if (Service == "weights")
-    return weights();
-  return control(Request);
+    return handleWeights();
+  return handleControl(Request);
 }
 
-PlatformServer::Reply PlatformServer::control(const Call &Request) {
+PlatformServer::Reply PlatformServer::handleControl(const Call &Request) {
   if (Request.m_Path == "/stats")
     return {200, m_Store.stats().dump()};
   if (Request.m_Path != "/faults")
@@ -122,11 +122,11 @@
   const json Body = json::parse(Request.m_Body);
   const auto Target = Body.at("target").get<std::string>();
   m_Faults[Target] = Fault::parse(Body);
-  m_Hung.clear();
+  m_UnansweredCalls.clear();
   return {200, "{}"};
 }
 
-PlatformServer::Reply PlatformServer::tables(const Call &Request) {
+PlatformServer::Reply PlatformServer::handleTables(const Call &Request) {
   // /v1/tables/T/write, /v1/tables/T/rows and /v1/tables/T/rows/KEY
   const std::size_t NameStart = std::string("/v1/tables/").size();
   const std::size_t NameEnd = Request.m_Path.find('/', NameStart);
@@ -145,7 +145,7 @@
   return {404, R"({"error":"no such path"})"};
 }
 
-PlatformServer::Reply PlatformServer::objects(const Call &Request) {
+PlatformServer::Reply PlatformServer::handleObjects(const Call &Request) {
   const std::string Name =
       Request.m_Path.substr(std::string("/v1/objects/").size());
   if (Request.m_Method == "PUT") {
@@ -158,7 +158,7 @@
   return {200, Found->second};
 }
 
-PlatformServer::Reply PlatformServer::instances(const Call &Request) {
+PlatformServer::Reply PlatformServer::handleInstances(const Call &Request) {
   if (Request.m_Method == "GET")
     return {200, m_Listing.visible(m_Clock.now()).dump()};
   const json Body = json::parse(Request.m_Body);
@@ -169,7 +169,7 @@
   return {200, "{}"};
 }
 
-PlatformServer::Reply PlatformServer::weights() {
+PlatformServer::Reply PlatformServer::handleWeights() {
   const std::int64_t Second =
       std::chrono::floor<std::chrono::seconds>(m_Clock.now().time_since_epoch())
           .count();
@@ -177,7 +177,7 @@
     m_WeightSecond = Second;
     m_WeightCount = 0;
   }
-  if (++m_WeightCount > m_Settings.m_WeightReads)
+  if (++m_WeightCount > m_Settings.m_MaxWeightReads)
     return {429, R"({"error":"rate limited"})", std::chrono::seconds(1)};
   return {200, R"({"size":1024})"};
 }
--- a/tests/standin/platform_server.h
+++ b/tests/standin/platform_server.h
@@ -13,9 +13,9 @@
 
 /// Settings of the platform stand-in.
 struct PlatformSettings {
-  Address m_Listen;             ///< One server for all services.
-  std::string m_Seed;           ///< JSON file with initial contents, or empty.
-  std::int64_t m_WeightReads{}; ///< Weight reads a second; more get 429.
+  Address m_Listen;       ///< One server for all services.
+  std::string m_SeedFile; ///< JSON file with initial contents, or empty.
+  std::int64_t m_MaxWeightReads{}; ///< Weight reads a second; more get 429.
 };
 
 /// Table service, object store, instance list and weight store in one server.
@@ -39,13 +39,14 @@
   };
 
   void handle(SoupServerMessage *Message, const std::string &Path);
-  void finish(const Call &Request, const ExchangePtr &Answer, FaultMode Mode);
+  void sendReply(const Call &Request, const ExchangePtr &Answer,
+                 FaultMode Mode);
   Reply serve(const Call &Request);
-  Reply control(const Call &Request);
-  Reply tables(const Call &Request);
-  Reply objects(const Call &Request);
-  Reply instances(const Call &Request);
-  Reply weights();
+  Reply handleControl(const Call &Request);
+  Reply handleTables(const Call &Request);
+  Reply handleObjects(const Call &Request);
+  Reply handleInstances(const Call &Request);
+  Reply handleWeights();
 
   PlatformSettings m_Settings; ///< Read at construction.
   LoopClock m_Clock;           ///< For call rates and the listing's lag.
@@ -57,7 +58,7 @@
   std::map<std::string, Fault> m_Faults; ///< By service, or "table_writes".
   std::int64_t m_WeightSecond = 0;       ///< Second being counted.
   std::int64_t m_WeightCount = 0;        ///< Weight reads in it.
-  std::vector<ExchangePtr> m_Hung;       ///< Held until a fault is set.
+  std::vector<ExchangePtr> m_UnansweredCalls; ///< Held until a fault is set.
 };
 
 } // namespace crowstep::standin
--- a/tests/standin/platform_store.cpp
+++ b/tests/standin/platform_store.cpp
@@ -14,15 +14,15 @@
 
 } // namespace
 
-void RatePeak::count(TimePoint Now) {
+void RateCounter::recordCall(TimePoint Now) {
   const std::int64_t Second =
       std::chrono::floor<std::chrono::seconds>(Now.time_since_epoch()).count();
-  if (Second != m_Second) {
-    m_Second = Second;
-    m_Present = 0;
+  if (Second != m_CurrentSecond) {
+    m_CurrentSecond = Second;
+    m_CurrentCount = 0;
   }
   ++m_Total;
-  m_Peak = std::max(m_Peak, ++m_Present);
+  m_Peak = std::max(m_Peak, ++m_CurrentCount);
 }
 
 json PlatformStore::writeRow(Table &Target, const json &Write) {
@@ -47,8 +47,8 @@
 json PlatformStore::write(const std::string &TableName, const json &Body,
                           TimePoint Now) {
   Table &Target = m_Tables[TableName];
-  m_Writes.count(Now);
-  Target.m_Writes.count(Now);
+  m_Writes.recordCall(Now);
+  Target.m_Writes.recordCall(Now);
   json Outcomes = json::array();
   for (const json &Write : Body.at("writes"))
     Outcomes.push_back(writeRow(Target, Write));
@@ -58,8 +58,8 @@
 json PlatformStore::read(const std::string &TableName, const std::string &Key,
                          TimePoint Now) {
   Table &Source = m_Tables[TableName];
-  m_Reads.count(Now);
-  Source.m_Reads.count(Now);
+  m_Reads.recordCall(Now);
+  Source.m_Reads.recordCall(Now);
   json Rows = json::array();
   const auto Found = Source.m_Rows.find(Key);
   if (Found != Source.m_Rows.end())
@@ -71,8 +71,8 @@
 json PlatformStore::list(const std::string &TableName,
                          const std::string &Prefix, TimePoint Now) {
   Table &Source = m_Tables[TableName];
-  m_Reads.count(Now);
-  Source.m_Reads.count(Now);
+  m_Reads.recordCall(Now);
+  Source.m_Reads.recordCall(Now);
   json Rows = json::array();
   for (auto Row = Source.m_Rows.lower_bound(Prefix);
        Row != Source.m_Rows.end() && Row->first.starts_with(Prefix); ++Row)
@@ -88,7 +88,7 @@
 }
 
 json PlatformStore::stats() const {
-  const auto Counts = [](const RatePeak &Reads, const RatePeak &Writes) {
+  const auto Counts = [](const RateCounter &Reads, const RateCounter &Writes) {
     return json{{"reads", Reads.total()},
                 {"writes", Writes.total()},
                 {"peak_reads_per_s", Reads.peak()},
--- a/tests/standin/platform_store.h
+++ b/tests/standin/platform_store.h
@@ -12,17 +12,17 @@
 namespace crowstep::standin {
 
 /// Counts calls, in all and in the busiest second.
-class RatePeak {
+class RateCounter {
 public:
-  void count(TimePoint Now);
+  void recordCall(TimePoint Now);
   [[nodiscard]] std::uint64_t total() const { return m_Total; }
   [[nodiscard]] std::uint64_t peak() const { return m_Peak; }
 
 private:
-  std::int64_t m_Second = 0;   ///< Second being counted.
-  std::uint64_t m_Present = 0; ///< Calls in that second.
-  std::uint64_t m_Peak = 0;    ///< Most calls in one second.
-  std::uint64_t m_Total = 0;   ///< Calls since the start.
+  std::int64_t m_CurrentSecond = 0; ///< Second being counted.
+  std::uint64_t m_CurrentCount = 0; ///< Calls in that second.
+  std::uint64_t m_Peak = 0;         ///< Most calls in one second.
+  std::uint64_t m_Total = 0;        ///< Calls since the start.
 };
 
 /// Table service: rows with versions, conditional writes and call counts.
@@ -49,14 +49,14 @@
   struct Table {
     std::map<std::string, StoredRow> m_Rows; ///< By key.
     std::uint64_t m_LastVersion = 0; ///< Grows with each write of a value.
-    RatePeak m_Reads;                ///< Read calls.
-    RatePeak m_Writes;               ///< Write calls.
+    RateCounter m_Reads;             ///< Read calls.
+    RateCounter m_Writes;            ///< Write calls.
   };
   static nlohmann::json writeRow(Table &Target, const nlohmann::json &Write);
 
   std::map<std::string, Table> m_Tables; ///< By name.
-  RatePeak m_Reads;                      ///< Of all tables.
-  RatePeak m_Writes;                     ///< Of all tables.
+  RateCounter m_Reads;                   ///< Of all tables.
+  RateCounter m_Writes;                  ///< Of all tables.
 };
 
 /// An instance list of which readers get an old version.
--- a/tests/standin/prefix_cache.cpp
+++ b/tests/standin/prefix_cache.cpp
@@ -7,15 +7,16 @@
 
 std::vector<std::uint64_t> prefixHashes(const std::string &Prompt) {
   std::vector<std::uint64_t> Result;
-  for (std::size_t End = PrefixCharacters; End <= Prompt.size();
-       End += PrefixCharacters)
+  for (std::size_t End = CharactersPerBlock; End <= Prompt.size();
+       End += CharactersPerBlock)
     Result.push_back(XXH3_64bits(Prompt.data(), End));
   return Result;
 }
 
-std::size_t PrefixCache::use(const std::vector<std::uint64_t> &Prefixes) {
+std::size_t
+PrefixCache::matchAndInsert(const std::vector<std::uint64_t> &Prefixes) {
   std::size_t Cached = 0;
-  while (Cached < Prefixes.size() && m_Where.contains(Prefixes[Cached]))
+  while (Cached < Prefixes.size() && m_Index.contains(Prefixes[Cached]))
     ++Cached;
   // The first block is inserted last and so evicted last: without it the later
   // blocks are of no use.
@@ -25,21 +26,21 @@
 }
 
 void PrefixCache::insert(std::uint64_t Prefix) {
-  const auto Found = m_Where.find(Prefix);
-  if (Found != m_Where.end()) {
-    m_Order.splice(m_Order.begin(), m_Order, Found->second);
+  const auto Found = m_Index.find(Prefix);
+  if (Found != m_Index.end()) {
+    m_LruOrder.splice(m_LruOrder.begin(), m_LruOrder, Found->second);
     return;
   }
-  if (m_Blocks == 0)
+  if (m_Capacity == 0)
     return;
-  if (m_Order.size() == m_Blocks) {
-    const std::uint64_t Evicted = m_Order.back();
-    m_Order.pop_back();
-    m_Where.erase(Evicted);
+  if (m_LruOrder.size() == m_Capacity) {
+    const std::uint64_t Evicted = m_LruOrder.back();
+    m_LruOrder.pop_back();
+    m_Index.erase(Evicted);
     m_OnChange(Evicted, false);
   }
-  m_Order.push_front(Prefix);
-  m_Where[Prefix] = m_Order.begin();
+  m_LruOrder.push_front(Prefix);
+  m_Index[Prefix] = m_LruOrder.begin();
   m_OnChange(Prefix, true);
 }
 
--- a/tests/standin/prefix_cache.h
+++ b/tests/standin/prefix_cache.h
@@ -12,7 +12,7 @@
 namespace crowstep::standin {
 
 /// Prompt characters in one block of the cache.
-inline constexpr std::size_t PrefixCharacters = 256;
+inline constexpr std::size_t CharactersPerBlock = 256;
 
 /// Returns the hashes of the first 256, 512, ... characters of \p Prompt.
 std::vector<std::uint64_t> prefixHashes(const std::string &Prompt);
@@ -23,24 +23,24 @@
   using Listener = std::function<void(std::uint64_t Prefix, bool Added)>;
 
   PrefixCache(std::size_t Blocks, Listener OnChange)
-      : m_Blocks(Blocks), m_OnChange(std::move(OnChange)) {}
+      : m_Capacity(Blocks), m_OnChange(std::move(OnChange)) {}
 
   /// Returns how many leading blocks of a prompt are cached, then inserts all
   /// its blocks; of a prompt beyond the capacity the first blocks stay.
-  std::size_t use(const std::vector<std::uint64_t> &Prefixes);
+  std::size_t matchAndInsert(const std::vector<std::uint64_t> &Prefixes);
 
   [[nodiscard]] std::size_t freeBlocks() const {
-    return m_Blocks - m_Order.size();
+    return m_Capacity - m_LruOrder.size();
   }
 
 private:
   void insert(std::uint64_t Prefix);
 
-  std::size_t m_Blocks;             ///< In blocks.
-  Listener m_OnChange;              ///< Called on each insertion and eviction.
-  std::list<std::uint64_t> m_Order; ///< Most recently used first.
+  std::size_t m_Capacity; ///< In blocks.
+  Listener m_OnChange;    ///< Called on each insertion and eviction.
+  std::list<std::uint64_t> m_LruOrder; ///< Most recently used first.
   std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator>
-      m_Where; ///< Position of each block in m_LruOrder.
+      m_Index; ///< Position of each block in m_LruOrder.
 };
 
 } // namespace crowstep::standin
--- a/tests/standin/service_server.cpp
+++ b/tests/standin/service_server.cpp
@@ -10,61 +10,61 @@
 ServiceServer::ServiceServer(UpstreamSettings Config)
     : m_Settings(std::move(Config)),
       m_Server(m_Settings,
-               {[this](UpstreamCall Call) { work(std::move(Call)); },
+               {[this](UpstreamCall Call) { handleWork(std::move(Call)); },
                 [](const UpstreamCall &) { return false; },
                 [this](const Fault &NewFault) {
-                  m_Factor = NewFault.m_Mode == FaultMode::Slow
-                                 ? NewFault.m_Factor
-                                 : 1;
+                  m_Slowdown = NewFault.m_Mode == FaultMode::Slow
+                                   ? NewFault.m_Slowdown
+                                   : 1;
                 },
                 [this] { return m_Waiting.size(); }}) {}
 
-void ServiceServer::work(UpstreamCall Call) {
+void ServiceServer::handleWork(UpstreamCall Call) {
   m_Waiting.push_back(std::move(Call));
-  proceed();
+  startWaitingCalls();
 }
 
-void ServiceServer::proceed() {
-  while (!m_Waiting.empty() && m_Running < m_Settings.m_Slots) {
-    run(m_Waiting.front());
+void ServiceServer::startWaitingCalls() {
+  while (!m_Waiting.empty() && m_RunningCount < m_Settings.m_Slots) {
+    startCall(m_Waiting.front());
     m_Waiting.pop_front();
   }
   LoadSnapshot Current;
-  Current.m_When = m_Server.clock().now();
-  Current.m_Running = m_Running;
+  Current.m_TakenAt = m_Server.clock().now();
+  Current.m_Running = m_RunningCount;
   Current.m_Waiting = m_Waiting.size();
-  m_Server.reports().note(Current);
+  m_Server.reports().addSnapshot(Current);
 }
 
-void ServiceServer::run(const UpstreamCall &Call) {
-  ++m_Running;
+void ServiceServer::startCall(const UpstreamCall &Call) {
+  ++m_RunningCount;
   const json Body = json::parse(Call.m_Body, nullptr, false);
   CallRecord Record;
-  Record.m_Key = Call.m_Key;
+  Record.m_IdempotencyKey = Call.m_IdempotencyKey;
   if (Body.is_object()) {
     Record.m_RequestId = Body.value("request_id", "");
     Record.m_Priority = Body.value("priority", 0);
   }
   const std::size_t Index = m_Server.records().add(std::move(Record));
   const auto WorkTime =
-      std::chrono::round<Duration>(m_Settings.m_ServiceTime * m_Factor);
-  m_Server.scheduler().after(WorkTime,
-                             [this, Call, Index] { finished(Call, Index); });
+      std::chrono::round<Duration>(m_Settings.m_ServiceTime * m_Slowdown);
+  m_Server.scheduler().runAfter(
+      WorkTime, [this, Call, Index] { finishCall(Call, Index); });
 }
 
-void ServiceServer::finished(const UpstreamCall &Call, std::size_t Record) {
-  --m_Running;
+void ServiceServer::finishCall(const UpstreamCall &Call, std::size_t Record) {
+  --m_RunningCount;
   m_Server.records().at(Record).m_Finished = true;
   const json Answer = {
       {"service", m_Settings.m_Service},
       {"path", Call.m_Path},
-      {"call", ++m_Calls},
+      {"call", ++m_FinishedCalls},
       {"body_hash", XXH3_64bits(Call.m_Body.data(), Call.m_Body.size())}};
   if (Call.m_Fault.m_Mode == FaultMode::DropAnswer)
-    Call.m_Answer->cut();
+    Call.m_Answer->closeConnection();
   else
     Call.m_Answer->answer(200, Answer.dump());
-  proceed();
+  startWaitingCalls();
 }
 
 } // namespace crowstep::standin
--- a/tests/standin/service_server.h
+++ b/tests/standin/service_server.h
@@ -14,17 +14,17 @@
   void start() { m_Server.start(); }
 
 private:
-  void work(UpstreamCall Call);
-  void proceed();
-  void run(const UpstreamCall &Call);
-  void finished(const UpstreamCall &Call, std::size_t Record);
+  void handleWork(UpstreamCall Call);
+  void startWaitingCalls();
+  void startCall(const UpstreamCall &Call);
+  void finishCall(const UpstreamCall &Call, std::size_t Record);
 
   UpstreamSettings m_Settings;        ///< Used by m_Server, too.
   UpstreamServer m_Server;            ///< HTTP, admission, faults, reports.
   std::deque<UpstreamCall> m_Waiting; ///< For a slot, in the order of arrival.
-  std::size_t m_Running = 0;          ///< At most `slots`.
-  std::uint64_t m_Calls = 0;          ///< Numbers the answers.
-  double m_Factor = 1; ///< 1: normal speed; 10 makes a straggler.
+  std::size_t m_RunningCount = 0;     ///< At most `slots`.
+  std::uint64_t m_FinishedCalls = 0;  ///< Numbers the answers.
+  double m_Slowdown = 1; ///< 1: normal speed; 10 makes a straggler.
 };
 
 } // namespace crowstep::standin
--- a/tests/standin/step_timer.cpp
+++ b/tests/standin/step_timer.cpp
@@ -33,7 +33,7 @@
   g_source_unref(m_Source);
 }
 
-void StepTimer::wakeAt(TimePoint Due) {
+void StepTimer::startAt(TimePoint Due) {
   g_source_set_ready_time(m_Source, Due.time_since_epoch().count());
 }
 
--- a/tests/standin/step_timer.h
+++ b/tests/standin/step_timer.h
@@ -18,7 +18,7 @@
   StepTimer(const StepTimer &) = delete;
   StepTimer &operator=(const StepTimer &) = delete;
 
-  void wakeAt(TimePoint Due);
+  void startAt(TimePoint Due);
   void stop();
 
 private:
--- a/tests/standin/store_server.cpp
+++ b/tests/standin/store_server.cpp
@@ -41,19 +41,19 @@
 void StoreServer::put(const std::string &Table, const std::string &Key,
                       const std::string &Value) {
   m_Tables[Table][Key] = {Value, ++m_Version};
-  answerWaiting();
+  answerLongPolls();
 }
 
 void StoreServer::dropHistory() {
   // The version grows as by a change of another table, so that every long poll
   // is behind the oldest version.
-  m_Oldest = ++m_Version;
-  answerWaiting();
+  m_OldestVersion = ++m_Version;
+  answerLongPolls();
 }
 
-void StoreServer::serveOldCopy(bool Enabled) {
-  m_Copy = Enabled ? m_Tables : std::map<std::string, Table>();
-  m_CopyVersion = Enabled ? m_Version : 0;
+void StoreServer::serveStaleCopy(bool Enabled) {
+  m_StaleCopy = Enabled ? m_Tables : std::map<std::string, Table>();
+  m_StaleVersion = Enabled ? m_Version : 0;
 }
 
 void StoreServer::handle(SoupServerMessage *Message, const std::string &Path) {
@@ -68,13 +68,13 @@
   }
   const std::string Name = queryValue(Message, "table");
   if (Path == "/rows-get")
-    read(Message, Name);
+    handleRead(Message, Name);
   else if (Path == "/rows-feed")
-    follow(Message, Name,
-           std::strtoull(queryValue(Message, "after").c_str(), nullptr, 10),
-           queryValue(Message, "waitMs") != "0");
+    handleFeed(Message, Name,
+               std::strtoull(queryValue(Message, "after").c_str(), nullptr, 10),
+               queryValue(Message, "waitMs") != "0");
   else
-    transact(Message);
+    handleTransaction(Message);
 }
 
 void StoreServer::answer(SoupServerMessage *Message, Json Body,
@@ -84,10 +84,11 @@
   respond(Message, HttpOk, "application/json", Body.dump());
 }
 
-void StoreServer::read(SoupServerMessage *Message, const std::string &Name) {
-  const bool Stale = m_CopyVersion != 0;
+void StoreServer::handleRead(SoupServerMessage *Message,
+                             const std::string &Name) {
+  const bool Stale = m_StaleVersion != 0;
   Json Rows = Json::array();
-  for (const auto &[Key, Row] : Stale ? m_Copy[Name] : m_Tables[Name])
+  for (const auto &[Key, Row] : Stale ? m_StaleCopy[Name] : m_Tables[Name])
     if (!Row.m_Value.empty())
       Rows.push_back({{"table", Name},
                       {"part", ""},
@@ -95,7 +96,7 @@
                       {"value", base64Encoded(Row.m_Value)},
                       {"schemaVersion", Row.m_Version}});
   answer(Message, {{"rows", Rows}, {"hasMore", false}},
-         Stale ? m_CopyVersion : m_Version);
+         Stale ? m_StaleVersion : m_Version);
 }
 
 Json StoreServer::changes(const std::string &Name, std::uint64_t After) {
@@ -119,9 +120,10 @@
   return Rows;
 }
 
-void StoreServer::follow(SoupServerMessage *Message, const std::string &Name,
-                         std::uint64_t After, bool MayWait) {
-  if (After < m_Oldest) {
+void StoreServer::handleFeed(SoupServerMessage *Message,
+                             const std::string &Name, std::uint64_t After,
+                             bool MayWait) {
+  if (After < m_OldestVersion) {
     respond(Message, HttpGone, "text/plain", "");
     return;
   }
@@ -131,20 +133,20 @@
     return;
   }
   soup_server_message_pause(Message);
-  m_Waiting.push_back(
+  m_LongPolls.push_back(
       {SOUP_SERVER_MESSAGE(g_object_ref(Message)), Name, After});
 }
 
-void StoreServer::answerWaiting() {
-  std::vector<Waiting> Remaining;
-  for (const Waiting &Poll : m_Waiting) {
-    const Json Rows = changes(Poll.m_Table, Poll.m_After);
-    if (Rows.empty() && Poll.m_After >= m_Oldest) {
+void StoreServer::answerLongPolls() {
+  std::vector<LongPoll> Remaining;
+  for (const LongPoll &Poll : m_LongPolls) {
+    const Json Rows = changes(Poll.m_Table, Poll.m_AfterVersion);
+    if (Rows.empty() && Poll.m_AfterVersion >= m_OldestVersion) {
       Remaining.push_back(Poll);
       continue;
     }
     if (soup_server_message_get_socket(Poll.m_Message) != nullptr) {
-      if (Poll.m_After < m_Oldest)
+      if (Poll.m_AfterVersion < m_OldestVersion)
         respond(Poll.m_Message, HttpGone, "text/plain", "");
       else
         answer(Poll.m_Message, {{"rows", Rows}}, m_Version);
@@ -152,10 +154,10 @@
     }
     g_object_unref(Poll.m_Message);
   }
-  m_Waiting = std::move(Remaining);
+  m_LongPolls = std::move(Remaining);
 }
 
-void StoreServer::transact(SoupServerMessage *Message) {
+void StoreServer::handleTransaction(SoupServerMessage *Message) {
   const Json Body = Json::parse(requestBody(Message));
   for (const Json &Expected : Body.at("expectedRevision")) {
     const Row &Current = m_Tables[Expected.at("table")][Expected.at("key")];
--- a/tests/standin/store_server.h
+++ b/tests/standin/store_server.h
@@ -32,7 +32,7 @@
 
   /// Answers reads from a copy of the present tables until called with false.
   /// A copy of a store without any change is not served.
-  void serveOldCopy(bool Enabled);
+  void serveStaleCopy(bool Enabled);
 
   /// Drops the history of changes: feed requests for an earlier version get
   /// 410.
@@ -46,30 +46,30 @@
   using Table = std::map<std::string, Row>;
 
   /// A feed request that waits for changes.
-  struct Waiting {
+  struct LongPoll {
     SoupServerMessage *m_Message; ///< Paused; a reference is held.
     std::string m_Table;          ///< Name of the table.
-    std::uint64_t m_After;        ///< Waits for later versions.
+    std::uint64_t m_AfterVersion; ///< Waits for later versions.
   };
 
   void handle(SoupServerMessage *Message, const std::string &Path);
-  void read(SoupServerMessage *Message, const std::string &Name);
-  void follow(SoupServerMessage *Message, const std::string &Name,
-              std::uint64_t After, bool MayWait);
-  void transact(SoupServerMessage *Message);
-  void answerWaiting();
+  void handleRead(SoupServerMessage *Message, const std::string &Name);
+  void handleFeed(SoupServerMessage *Message, const std::string &Name,
+                  std::uint64_t After, bool MayWait);
+  void handleTransaction(SoupServerMessage *Message);
+  void answerLongPolls();
   nlohmann::json changes(const std::string &Name, std::uint64_t After);
   void answer(SoupServerMessage *Message, nlohmann::json Body,
               std::uint64_t Version) const;
 
-  HttpServer m_Server;                   ///< Serves the gateways.
-  std::map<std::string, Table> m_Tables; ///< By name.
-  std::vector<Waiting> m_Waiting;        ///< Paused feed requests.
-  std::map<std::string, Table> m_Copy;   ///< See serveStaleCopy().
-  std::uint64_t m_CopyVersion = 0; ///< Version of the copy; 0: none is served.
-  std::uint64_t m_Version = 0;     ///< Version of the newest change.
-  std::uint64_t m_Oldest = 0;      ///< Feeds from earlier versions get 410.
-  Mode m_Mode = Mode::Up;          ///< See Mode.
+  HttpServer m_Server;                      ///< Serves the gateways.
+  std::map<std::string, Table> m_Tables;    ///< By name.
+  std::vector<LongPoll> m_LongPolls;        ///< Paused feed requests.
+  std::map<std::string, Table> m_StaleCopy; ///< See serveStaleCopy().
+  std::uint64_t m_StaleVersion = 0; ///< Version of the copy; 0: none is served.
+  std::uint64_t m_Version = 0;      ///< Version of the newest change.
+  std::uint64_t m_OldestVersion = 0; ///< Feeds from earlier versions get 410.
+  Mode m_Mode = Mode::Up;            ///< See Mode.
 };
 
 } // namespace crowstep::standin
--- a/tests/standin/upstream_server.cpp
+++ b/tests/standin/upstream_server.cpp
@@ -26,7 +26,7 @@
                   });
 }
 
-bool UpstreamServer::frozen() const {
+bool UpstreamServer::isFrozen() const {
   return m_Fault.m_Mode == FaultMode::Freeze;
 }
 
@@ -36,7 +36,7 @@
                     requestBody(Message), std::make_shared<Exchange>(Message),
                     Fault()};
   try {
-    if (control(Call))
+    if (handleControl(Call))
       return;
     serve(Call);
   } catch (const std::exception &Failure) {
@@ -47,13 +47,13 @@
   }
 }
 
-bool UpstreamServer::control(const UpstreamCall &Call) {
+bool UpstreamServer::handleControl(const UpstreamCall &Call) {
   if (Call.m_Path == "/faults")
     setFault(json::parse(Call.m_Body));
   else if (Call.m_Path == "/record")
-    Call.m_Answer->answer(200, m_Records.all().dump());
+    Call.m_Answer->answer(200, m_Records.allJson().dump());
   else if (Call.m_Path == "/record/sums")
-    Call.m_Answer->answer(200, m_Records.sums().dump());
+    Call.m_Answer->answer(200, m_Records.sumsJson().dump());
   else
     return false;
   Call.m_Answer->answer(200, "{}");
@@ -67,41 +67,42 @@
   if (!Body.contains("mode"))
     return;
   m_Fault = Fault::parse(Body);
-  m_Hooks.m_FaultSet(m_Fault);
-  if (frozen())
+  m_Hooks.m_OnFault(m_Fault);
+  if (isFrozen())
     return;
   // As with the socket buffers of a stopped process, calls that arrived in the
   // meantime are handled now, even if the caller has closed.
-  for (UpstreamCall &Call : std::exchange(m_Held, {}))
+  for (UpstreamCall &Call : std::exchange(m_HeldCalls, {}))
     serve(Call);
 }
 
 void UpstreamServer::serve(const UpstreamCall &Call) {
-  if (frozen()) {
-    m_Held.push_back(Call);
+  if (isFrozen()) {
+    m_HeldCalls.push_back(Call);
     return;
   }
   if (m_Fault.m_Mode == FaultMode::Crash) {
-    Call.m_Answer->cut();
+    Call.m_Answer->closeConnection();
     return;
   }
   if (isWorkPath(Call.m_Path)) {
-    m_Scheduler.after(m_Settings.m_ClientDelay, [this, Call] { admit(Call); });
+    m_Scheduler.runAfter(m_Settings.m_ClientDelay,
+                         [this, Call] { admit(Call); });
     return;
   }
   if (Call.m_Path == "/v1/load") {
-    Call.m_Answer->answer(200,
-                          m_Reports.visible(m_Clock.now(), m_Leaving).dump());
+    Call.m_Answer->answer(
+        200, m_Reports.visibleReport(m_Clock.now(), m_Draining).dump());
   } else if (Call.m_Path == "/v1/drain") {
-    m_Leaving = json::parse(Call.m_Body).at("leaving").get<bool>();
+    m_Draining = json::parse(Call.m_Body).at("leaving").get<bool>();
     Call.m_Answer->answer(200, "{}");
-  } else if (!m_Hooks.m_Other(Call)) {
+  } else if (!m_Hooks.m_HandleOther(Call)) {
     Call.m_Answer->answer(404, R"({"error":{"type":"unknown_path"}})");
   }
 }
 
 void UpstreamServer::admit(UpstreamCall Call) {
-  const Fault Active = m_Fault.take();
+  const Fault Active = m_Fault.takeForCall();
   Call.m_Fault = Active;
   switch (Active.m_Mode) {
   case FaultMode::Refuse:
@@ -109,25 +110,26 @@
     return;
   case FaultMode::Crash:
   case FaultMode::CloseBeforeByte:
-    Call.m_Answer->cut();
+    Call.m_Answer->closeConnection();
     return;
   case FaultMode::Freeze:
   case FaultMode::Hang:
-    m_Held.push_back(Call);
+    m_HeldCalls.push_back(Call);
     return;
   case FaultMode::Delay:
     Call.m_Fault = Fault();
-    m_Scheduler.after(Active.m_Delay, [this, Call] { m_Hooks.m_Work(Call); });
+    m_Scheduler.runAfter(Active.m_Delay,
+                         [this, Call] { m_Hooks.m_HandleWork(Call); });
     return;
   default:
     break;
   }
-  if (m_Leaving)
+  if (m_Draining)
     refuse(Call, "leaving");
-  else if (m_Hooks.m_Waiting() >= m_Settings.m_QueueLimit)
+  else if (m_Hooks.m_WaitingCount() >= m_Settings.m_QueueLimit)
     refuse(Call, "busy");
   else
-    m_Hooks.m_Work(std::move(Call));
+    m_Hooks.m_HandleWork(std::move(Call));
 }
 
 void UpstreamServer::refuse(const UpstreamCall &Call, const std::string &Code) {
--- a/tests/standin/upstream_server.h
+++ b/tests/standin/upstream_server.h
@@ -15,23 +15,23 @@
 
 /// A received call.
 struct UpstreamCall {
-  std::string m_Path;   ///< Decoded, without the query.
-  std::string m_Key;    ///< Idempotency-Key, or empty.
-  std::string m_Body;   ///< Request body.
-  ExchangePtr m_Answer; ///< The open answer.
-  Fault m_Fault;        ///< The hooks apply DropAnswer, CrashMidStream.
+  std::string m_Path;           ///< Decoded, without the query.
+  std::string m_IdempotencyKey; ///< Idempotency-Key, or empty.
+  std::string m_Body;           ///< Request body.
+  ExchangePtr m_Answer;         ///< The open answer.
+  Fault m_Fault;                ///< The hooks apply DropAnswer, CrashMidStream.
 };
 
 /// Behaviour that depends on the kind of upstream.
 struct UpstreamHooks {
   /// Executes an admitted call.
-  std::function<void(UpstreamCall)> m_Work;
+  std::function<void(UpstreamCall)> m_HandleWork;
   /// Answers other paths, such as orders; returns false for an unknown path.
-  std::function<bool(const UpstreamCall &)> m_Other;
+  std::function<bool(const UpstreamCall &)> m_HandleOther;
   /// Called on each change of the fault.
-  std::function<void(const Fault &)> m_FaultSet;
+  std::function<void(const Fault &)> m_OnFault;
   /// Returns the number of calls that wait for a slot.
-  std::function<std::size_t()> m_Waiting;
+  std::function<std::size_t()> m_WaitingCount;
 };
 
 /// HTTP server of one upstream.
@@ -46,26 +46,26 @@
   [[nodiscard]] Scheduler &scheduler() { return m_Scheduler; }
   [[nodiscard]] CallRecords &records() { return m_Records; }
   [[nodiscard]] LoadReports &reports() { return m_Reports; }
-  [[nodiscard]] bool frozen() const;
+  [[nodiscard]] bool isFrozen() const;
 
 private:
   void handle(SoupServerMessage *Message, const std::string &Path);
-  bool control(const UpstreamCall &Call);
+  bool handleControl(const UpstreamCall &Call);
   void setFault(const nlohmann::json &Body);
   void serve(const UpstreamCall &Call);
   void admit(UpstreamCall Call);
   void refuse(const UpstreamCall &Call, const std::string &Code);
 
-  const UpstreamSettings &m_Settings; ///< Outlives the server.
-  UpstreamHooks m_Hooks;              ///< Of engine or service.
-  LoopClock m_Clock;                  ///< For steps and reports.
-  LoopScheduler m_Scheduler;          ///< For delays of calls.
-  HttpServer m_Server;                ///< Listens for this upstream.
-  CallRecords m_Records;              ///< Calls that ran, for tests.
-  LoadReports m_Reports;              ///< Load reports, late by the lag.
-  Fault m_Fault;                      ///< Fault in force.
-  bool m_Leaving = false;             ///< Refuses new work.
-  std::vector<UpstreamCall> m_Held;   ///< By Freeze or Hang.
+  const UpstreamSettings &m_Settings;    ///< Outlives the server.
+  UpstreamHooks m_Hooks;                 ///< Of engine or service.
+  LoopClock m_Clock;                     ///< For steps and reports.
+  LoopScheduler m_Scheduler;             ///< For delays of calls.
+  HttpServer m_Server;                   ///< Listens for this upstream.
+  CallRecords m_Records;                 ///< Calls that ran, for tests.
+  LoadReports m_Reports;                 ///< Load reports, late by the lag.
+  Fault m_Fault;                         ///< Fault in force.
+  bool m_Draining = false;               ///< Refuses new work.
+  std::vector<UpstreamCall> m_HeldCalls; ///< By Freeze or Hang.
 };
 
 } // namespace crowstep::standin
--- a/tests/standin/upstream_state.cpp
+++ b/tests/standin/upstream_state.cpp
@@ -28,7 +28,7 @@
   return m_Calls.size() - 1;
 }
 
-json CallRecords::sums() const {
+json CallRecords::sumsJson() const {
   std::uint64_t Generated = 0;
   std::uint64_t Finished = 0;
   std::uint64_t Cancelled = 0;
@@ -43,49 +43,49 @@
           {"cancelled", Cancelled}};
 }
 
-json CallRecords::all() const {
-  json Result = sums();
+json CallRecords::allJson() const {
+  json Result = sumsJson();
   Result["calls"] = json::array();
   for (const CallRecord &Call : m_Calls)
     Result["calls"].push_back({{"request_id", Call.m_RequestId},
-                               {"key", Call.m_Key},
+                               {"key", Call.m_IdempotencyKey},
                                {"priority", Call.m_Priority},
                                {"generated", Call.m_Generated},
-                               {"from", Call.m_From},
+                               {"from", Call.m_FirstToken},
                                {"finished", Call.m_Finished},
                                {"cancelled", Call.m_Cancelled}});
   return Result;
 }
 
-void LoadReports::note(LoadSnapshot Snapshot) {
+void LoadReports::addSnapshot(LoadSnapshot Snapshot) {
   Snapshot.m_Sequence = ++m_LastSnapshot;
   // Keeps only the last of several snapshots close together; otherwise the
   // history of a busy engine with a long lag would grow large.
   const std::size_t Kept = m_Snapshots.size();
   if (Kept > 1 &&
-      Snapshot.m_When - m_Snapshots[Kept - 2].m_When < SnapshotInterval)
+      Snapshot.m_TakenAt - m_Snapshots[Kept - 2].m_TakenAt < SnapshotInterval)
     m_Snapshots.pop_back();
   m_Snapshots.push_back(Snapshot);
 }
 
-void LoadReports::cacheChanged(std::uint64_t Prefix, bool Added,
-                               TimePoint Now) {
+void LoadReports::addCacheEvent(std::uint64_t Prefix, bool Added,
+                                TimePoint Now) {
   m_Events.push_back({Now, ++m_LastEvent, Prefix, Added});
   if (m_Events.size() > MaxKeptEvents)
     m_Events.pop_front();
 }
 
-json LoadReports::visible(TimePoint Now, bool Draining) {
+json LoadReports::visibleReport(TimePoint Now, bool Draining) {
   const TimePoint Newest = Now - m_Lag;
-  while (m_Snapshots.size() > 1 && m_Snapshots[1].m_When <= Newest)
+  while (m_Snapshots.size() > 1 && m_Snapshots[1].m_TakenAt <= Newest)
     m_Snapshots.pop_front();
   LoadSnapshot Visible;
-  if (!m_Snapshots.empty() && m_Snapshots.front().m_When <= Newest)
+  if (!m_Snapshots.empty() && m_Snapshots.front().m_TakenAt <= Newest)
     Visible = m_Snapshots.front();
   json Events = json::array();
   for (auto Event = m_Events.rbegin();
        Event != m_Events.rend() && Events.size() < MaxReportedEvents; ++Event)
-    if (Event->m_When <= Newest)
+    if (Event->m_ChangedAt <= Newest)
       Events.push_back({{"sequence", Event->m_Sequence},
                         {"prefix", hexOf(Event->m_Prefix)},
                         {"added", Event->m_Added}});
--- a/tests/standin/upstream_state.h
+++ b/tests/standin/upstream_state.h
@@ -13,13 +13,13 @@
 
 /// One call that ran, with which tests compare what callers got.
 struct CallRecord {
-  std::string m_RequestId;       ///< Set by the router, or empty.
-  std::string m_Key;             ///< Idempotency-Key, or empty.
-  int m_Priority = 0;            ///< Set by the router.
-  std::uint64_t m_From = 0;      ///< Index of the first token.
-  std::uint64_t m_Generated = 0; ///< Tokens that this call computed.
-  bool m_Finished = false;       ///< Ran to completion.
-  bool m_Cancelled = false;      ///< Ended early by the caller.
+  std::string m_RequestId;        ///< Set by the router, or empty.
+  std::string m_IdempotencyKey;   ///< Idempotency-Key, or empty.
+  int m_Priority = 0;             ///< Set by the router.
+  std::uint64_t m_FirstToken = 0; ///< Index of the first token.
+  std::uint64_t m_Generated = 0;  ///< Tokens that this call computed.
+  bool m_Finished = false;        ///< Ran to completion.
+  bool m_Cancelled = false;       ///< Ended early by the caller.
 };
 
 /// Records of all calls, in the order in which they were added.
@@ -30,10 +30,10 @@
   CallRecord &at(std::size_t Index) { return m_Calls[Index]; }
 
   /// Returns {"calls":[...], "count", "generated", "finished", "cancelled"}.
-  [[nodiscard]] nlohmann::json all() const;
+  [[nodiscard]] nlohmann::json allJson() const;
 
   /// Returns allJson() without "calls".
-  [[nodiscard]] nlohmann::json sums() const;
+  [[nodiscard]] nlohmann::json sumsJson() const;
 
 private:
   std::vector<CallRecord> m_Calls; ///< Never shrinks.
@@ -41,7 +41,7 @@
 
 /// Load of an upstream at one time.
 struct LoadSnapshot {
-  TimePoint m_When;             ///< Time of the snapshot.
+  TimePoint m_TakenAt;          ///< Time of the snapshot.
   std::uint64_t m_Sequence = 0; ///< Grows with each snapshot.
   std::size_t m_Running = 0;    ///< Running calls.
   std::size_t m_Waiting = 0;    ///< Calls that wait for a slot.
@@ -55,16 +55,16 @@
   explicit LoadReports(Duration Lag) : m_Lag(Lag) {}
 
   void setLag(Duration Lag) { m_Lag = Lag; }
-  void note(LoadSnapshot Snapshot);
-  void cacheChanged(std::uint64_t Prefix, bool Added, TimePoint Now);
+  void addSnapshot(LoadSnapshot Snapshot);
+  void addCacheEvent(std::uint64_t Prefix, bool Added, TimePoint Now);
 
   /// Returns the report to give at \p Now, of the state as long ago as the lag.
   /// Drops the snapshots before it, so time must not go back.
-  [[nodiscard]] nlohmann::json visible(TimePoint Now, bool Draining);
+  [[nodiscard]] nlohmann::json visibleReport(TimePoint Now, bool Draining);
 
 private:
   struct CacheEvent {
-    TimePoint m_When;             ///< Time of the change.
+    TimePoint m_ChangedAt;        ///< Time of the change.
     std::uint64_t m_Sequence = 0; ///< Grows with each event.
     std::uint64_t m_Prefix = 0;   ///< Hash of the prefix.
     bool m_Added = false;         ///< False: evicted.
--- a/tests/unit/answer_end_test.cpp
+++ b/tests/unit/answer_end_test.cpp
@@ -44,15 +44,15 @@
   BrokenUpstream Upstream(Answer, Pieces, MaxGap);
   LoopClock Clock;
   LoopScheduler Timers;
-  HttpUpstreamCaller Caller(Clock, Timers);
+  HttpUpstreamClient Caller(Clock, Timers);
   EndCounts Result;
   for (int Run = 0; Run < RunCount; ++Run) {
     Listener CallListener;
-    UpstreamSend Request;
-    Request.m_Where = Upstream.m_Address;
+    UpstreamRequest Request;
+    Request.m_Address = Upstream.m_Address;
     Request.m_Path = "/x";
     Request.m_Body = "b";
-    Request.m_SendBefore = Clock.fresh() + 10s;
+    Request.m_SendDeadline = Clock.readNow() + 10s;
     const auto Call = Caller.send(Request, CallListener);
     pumpUntil([&] { return CallListener.m_End.has_value(); });
     if (CallListener.m_End == TransportEnd::Complete) {
--- a/tests/unit/attachment_test.cpp
+++ b/tests/unit/attachment_test.cpp
@@ -14,7 +14,7 @@
 class FakeLinks final : public link::Links {
 public:
   void dial(const Address &) override {}
-  void hangUp(const Address &) override {}
+  void disconnect(const Address &) override {}
   wire::FrameT &outbox(link::LinkId Link) override { return m_Out[Link]; }
   void close(link::LinkId) override {}
 
@@ -32,8 +32,8 @@
 
   AttachmentSource source() {
     AttachmentSource Result;
-    Result.m_RightToServe = [] { return true; };
-    Result.m_Draining = [] { return false; };
+    Result.m_HasRightToServe = [] { return true; };
+    Result.m_IsDraining = [] { return false; };
     Result.m_Members = [this] { return std::cref(m_Members); };
     Result.m_Upstreams = [this] { return std::cref(m_Upstreams); };
     Result.m_Workspaces = [this] { return std::cref(m_Workspaces); };
@@ -63,7 +63,7 @@
   }
 
   std::uint64_t lowestHeldVersion() const {
-    return m_Attached.heldByAll(TableVersion(99)).value();
+    return m_Attached.lowestHeldVersion(TableVersion(99)).value();
   }
 };
 
--- a/tests/unit/balance_test.cpp
+++ b/tests/unit/balance_test.cpp
@@ -44,14 +44,14 @@
                      SharedTokens + UniqueTokens,
                      200,
                      100};
-  Result.m_Target = 2s;
+  Result.m_LatencyTarget = 2s;
   return Result;
 }
 
 PlacementQuery plainCall() {
   PlacementQuery Result;
   Result.m_Service = "desk";
-  Result.m_Target = 100ms;
+  Result.m_LatencyTarget = 100ms;
   return Result;
 }
 
@@ -65,7 +65,7 @@
     for (int I = 0; I < Engines; ++I)
       List.push_back(engine(I));
     m_Balancer.setUpstreams(List);
-    m_Balancer.setCacheTokens("writer", 1000000);
+    m_Balancer.setCacheCapacity("writer", 1000000);
   }
   Placed placeOrFail(const PlacementQuery &Query) {
     const PlacementResult Result = m_Balancer.place(Query, m_Now);
@@ -75,8 +75,8 @@
   /// Places and serves a call at once.
   Placed placeAndServe(const PlacementQuery &Query) {
     Placed Result = placeOrFail(Query);
-    m_Balancer.answered(Result.m_Ticket, m_Now);
-    m_Balancer.ended(Result.m_Ticket, CallOutcome::Served, m_Now);
+    m_Balancer.recordFirstEvent(Result.m_Ticket, m_Now);
+    m_Balancer.recordCallEnd(Result.m_Ticket, CallOutcome::Served, m_Now);
     return Result;
   }
 };
@@ -96,14 +96,14 @@
       BOOST_TEST(
           (Instance.placeAndServe(longCall(Prefix, 2000 + I)).m_Upstream ==
            First.m_Upstream));
-    Other.m_Balancer.peerSaid(InstanceId(1),
-                              Instance.m_Balancer.takeDigest(Instance.m_Now),
-                              Other.m_Now);
+    Other.m_Balancer.applyPeerDigest(
+        InstanceId(1), Instance.m_Balancer.takeDigest(Instance.m_Now),
+        Other.m_Now);
     BOOST_TEST((Other.placeAndServe(longCall(Prefix, 3000)).m_Upstream ==
                 First.m_Upstream));
-    Instance.m_Balancer.peerSaid(InstanceId(2),
-                                 Other.m_Balancer.takeDigest(Other.m_Now),
-                                 Instance.m_Now);
+    Instance.m_Balancer.applyPeerDigest(
+        InstanceId(2), Other.m_Balancer.takeDigest(Other.m_Now),
+        Instance.m_Now);
   }
 }
 
@@ -114,13 +114,12 @@
   TestInstance Restarted(9);
   for (std::uint64_t Prefix = 1; Prefix <= 30; ++Prefix)
     Instance.placeAndServe(longCall(Prefix, 1000 + Prefix));
-  Restarted.m_Balancer.peerSaid(InstanceId(1),
-                                Instance.m_Balancer.wholeDigest(Instance.m_Now),
-                                Restarted.m_Now);
+  Restarted.m_Balancer.applyPeerDigest(
+      InstanceId(1), Instance.m_Balancer.fullDigest(Instance.m_Now),
+      Restarted.m_Now);
   for (std::uint64_t Prefix = 1; Prefix <= 30; ++Prefix)
-    BOOST_TEST(
-        Restarted.placeAndServe(longCall(Prefix, 2000)).m_Why.m_MissingTokens ==
-        UniqueTokens);
+    BOOST_TEST(Restarted.placeAndServe(longCall(Prefix, 2000))
+                   .m_Inputs.m_UncachedTokens == UniqueTokens);
 }
 
 /// Guards against one busy engine, and prefixes that are prefilled twice, while
@@ -144,7 +143,7 @@
   for (std::uint64_t I = 0; I < Prefixes * CallsEach; ++I) {
     const std::uint64_t Prefix = 100 + I % Prefixes;
     PlacementQuery Query = longCall(1, 0);
-    Query.m_Prompt.m_Parts = {{1, 2520}, {Prefix, 3780}, {1000 + I, 2890}};
+    Query.m_Prompt.m_Segments = {{1, 2520}, {Prefix, 3780}, {1000 + I, 2890}};
     Query.m_Prompt.m_PromptTokens = 2520 + 3780 + 2890;
     const Placed Placement = All[I % Instances].placeOrFail(Query);
     ++ByEngine[Placement.m_Upstream];
@@ -215,7 +214,7 @@
   for (int I = 0; I < Instances; ++I) {
     Balancer Gateway({"a"}, static_cast<std::uint64_t>(I));
     Gateway.setUpstreams(List);
-    Gateway.peerSaid(InstanceId(1), Known, TimePoint(1s));
+    Gateway.applyPeerDigest(InstanceId(1), Known, TimePoint(1s));
     PlacementQuery Query = longCall(static_cast<std::uint64_t>(I) + 1, 5000);
     const auto Result = Gateway.place(Query, TimePoint(1s));
     ++Chosen[std::get<Placed>(Result).m_Upstream];
@@ -237,7 +236,7 @@
   const auto Choose = [&](const PlacementQuery &Query,
                           const EngineOption &First,
                           const EngineOption &Second) {
-    const bool LatencySensitive = isTight(Query, Duration::zero());
+    const bool LatencySensitive = isLatencySensitive(Query, Duration::zero());
     return chooseEngine(Query, LatencySensitive, {First, Second}, Random)
         .m_State;
   };
@@ -281,14 +280,14 @@
 /// still count.
 BOOST_AUTO_TEST_CASE(AnEndFromBeforeTakesNothingFromOthers) {
   CallLoad Load;
-  Load.begin(1, {100, 200, true});
-  Load.read(0, 500);
-  Load.end(0, {500, 700, true});
-  BOOST_TEST(Load.running() == 1U);
-  BOOST_TEST(Load.tight() == 1U);
-  BOOST_TEST(Load.held() == 200U);
-  BOOST_TEST(Load.unreadAfter(0) == 100U);
-  BOOST_TEST(Load.unreadBefore(1) == 100U);
+  Load.addCall(1, {100, 200, true});
+  Load.finishPrefill(0, 500);
+  Load.removeCall(0, {500, 700, true});
+  BOOST_TEST(Load.runningCalls() == 1U);
+  BOOST_TEST(Load.latencySensitiveCalls() == 1U);
+  BOOST_TEST(Load.heldTokens() == 200U);
+  BOOST_TEST(Load.prefillAfter(0) == 100U);
+  BOOST_TEST(Load.prefillBefore(1) == 100U);
 }
 
 /// Guards against choices by own calls alone: nine instances that each receive
@@ -298,7 +297,7 @@
   const Placed First = Instance.placeAndServe(longCall(1, 2));
   LoadDigest Digest;
   Digest.m_Loads.push_back({First.m_Upstream, 0, 30, 400000, 0, 0});
-  Instance.m_Balancer.peerSaid(InstanceId(7), Digest, Instance.m_Now);
+  Instance.m_Balancer.applyPeerDigest(InstanceId(7), Digest, Instance.m_Now);
   // The prefix is prefilled elsewhere, as the wait would be ten seconds.
   BOOST_TEST(
       (Instance.placeAndServe(longCall(1, 3)).m_Upstream != First.m_Upstream));
@@ -306,11 +305,11 @@
   Digest.m_Loads.push_back(Digest.m_Loads.front());
   Digest.m_Loads.back().m_Upstream =
       upstreamIdOf(First.m_Name == "engine-0" ? "engine-1" : "engine-0");
-  Instance.m_Balancer.peerSaid(InstanceId(7), Digest, Instance.m_Now);
+  Instance.m_Balancer.applyPeerDigest(InstanceId(7), Digest, Instance.m_Now);
   BOOST_TEST(std::holds_alternative<NotPlaced>(
       Instance.m_Balancer.place(longCall(1, 4), Instance.m_Now)));
   // The digest of the other instance expires.
-  Instance.m_Now += PeerLoads::DigestLife + 1ms;
+  Instance.m_Now += PeerLoads::DigestLifetime + 1ms;
   BOOST_TEST(std::holds_alternative<Placed>(
       Instance.m_Balancer.place(longCall(1, 5), Instance.m_Now)));
 }
@@ -324,7 +323,7 @@
   Query.m_Urgency = 5;
   std::optional<NotPlaced> Refused;
   for (std::uint64_t I = 0; I < 200 && !Refused; ++I) {
-    Query.m_Prompt.m_Parts = {{I, SharedTokens}, {1000 + I, UniqueTokens}};
+    Query.m_Prompt.m_Segments = {{I, SharedTokens}, {1000 + I, UniqueTokens}};
     const auto Result = Instance.m_Balancer.place(Query, Instance.m_Now);
     if (const auto *Refusal = std::get_if<NotPlaced>(&Result))
       Refused = *Refusal;
@@ -341,14 +340,15 @@
 /// its stream: the calls at it stay below the share of its memory for calls.
 BOOST_AUTO_TEST_CASE(CallsFitIntoAnEnginesMemory) {
   TestInstance Instance(2);
-  Instance.m_Balancer.setCacheTokens("writer", 100000);
+  Instance.m_Balancer.setCacheCapacity("writer", 100000);
   std::map<UpstreamId, std::uint64_t> Held;
   for (std::uint64_t I = 0; I < 50; ++I) {
     const auto Result =
         Instance.m_Balancer.place(longCall(I, 1000 + I), Instance.m_Now);
     if (const auto *Placement = std::get_if<Placed>(&Result)) {
-      Instance.m_Balancer.answered(Placement->m_Ticket,
-                                   Instance.m_Now); // Prefilled, still runs.
+      Instance.m_Balancer.recordFirstEvent(
+          Placement->m_Ticket,
+          Instance.m_Now); // Prefilled, still runs.
       Held[Placement->m_Upstream] += SharedTokens + UniqueTokens + 100;
     }
   }
@@ -366,7 +366,7 @@
   Instance.m_Balancer.setUpstreams(List);
   const Placed Waiting = Instance.placeOrFail(plainCall());
   for (Upstream &Desk : List)
-    Desk.m_Leaving = Desk.m_Id == Waiting.m_Upstream;
+    Desk.m_Draining = Desk.m_Id == Waiting.m_Upstream;
   Instance.m_Balancer.setUpstreams(List);
   BOOST_TEST(!Instance.m_Balancer.mayBegin(Waiting.m_Ticket, Instance.m_Now));
   for (int I = 0; I < 20; ++I)
@@ -374,8 +374,8 @@
         (Instance.placeOrFail(plainCall()).m_Upstream != Waiting.m_Upstream));
   // The other one answers that it is draining.
   const Placed Last = Instance.placeOrFail(plainCall());
-  Instance.m_Balancer.ended(Last.m_Ticket, CallOutcome::Leaving,
-                            Instance.m_Now);
+  Instance.m_Balancer.recordCallEnd(Last.m_Ticket, CallOutcome::Draining,
+                                    Instance.m_Now);
   BOOST_TEST(std::holds_alternative<NotPlaced>(
       Instance.m_Balancer.place(plainCall(), Instance.m_Now)));
 }
@@ -395,10 +395,10 @@
       Open.push_back(Instance.placeOrFail(plainCall()));
     for (const Placed &Call : Open) {
       ++Count[Call.m_Upstream];
-      Instance.m_Balancer.ended(Call.m_Ticket,
-                                Fails(Call.m_Upstream) ? CallOutcome::Failed
-                                                       : CallOutcome::Served,
-                                Instance.m_Now);
+      Instance.m_Balancer.recordCallEnd(
+          Call.m_Ticket,
+          Fails(Call.m_Upstream) ? CallOutcome::Failed : CallOutcome::Served,
+          Instance.m_Now);
     }
     return Count;
   };
@@ -422,13 +422,13 @@
   Restarted.m_Id = upstreamIdOf(Before.m_Name + "@2");
   Instance.m_Balancer.setUpstreams({Restarted});
   const Placed After = Instance.placeOrFail(longCall(1, 3));
-  BOOST_TEST(After.m_Why.m_Calls == 0);
-  BOOST_TEST(After.m_Why.m_MissingTokens == SharedTokens + UniqueTokens);
-  Instance.m_Balancer.ended(Before.m_Ticket, CallOutcome::Failed,
-                            Instance.m_Now);
-  Instance.m_Balancer.ended(After.m_Ticket, CallOutcome::Served,
-                            Instance.m_Now);
-  BOOST_TEST(Instance.placeOrFail(longCall(1, 4)).m_Why.m_Calls == 0);
+  BOOST_TEST(After.m_Inputs.m_Calls == 0);
+  BOOST_TEST(After.m_Inputs.m_UncachedTokens == SharedTokens + UniqueTokens);
+  Instance.m_Balancer.recordCallEnd(Before.m_Ticket, CallOutcome::Failed,
+                                    Instance.m_Now);
+  Instance.m_Balancer.recordCallEnd(After.m_Ticket, CallOutcome::Served,
+                                    Instance.m_Now);
+  BOOST_TEST(Instance.placeOrFail(longCall(1, 4)).m_Inputs.m_Calls == 0);
 }
 
 /// Guards against plain calls that leave their zone although an upstream in
@@ -453,9 +453,9 @@
   Instance.m_Balancer.setInstances(InstanceId(1), {InstanceId(1)},
                                    Instance.m_Now - 10s);
   const auto StateLimit = [&](const Placed &Call, RateLimit Limit) {
-    Instance.m_Balancer.stated(Call.m_Ticket, Limit, Instance.m_Now);
-    Instance.m_Balancer.ended(Call.m_Ticket, CallOutcome::Served,
-                              Instance.m_Now);
+    Instance.m_Balancer.recordRateLimit(Call.m_Ticket, Limit, Instance.m_Now);
+    Instance.m_Balancer.recordCallEnd(Call.m_Ticket, CallOutcome::Served,
+                                      Instance.m_Now);
   };
   const Placed First = Instance.placeOrFail(plainCall());
   const Placed Second = Instance.placeOrFail(plainCall());
@@ -481,31 +481,31 @@
 BOOST_AUTO_TEST_CASE(TheSplitFollowsTheWork) {
   RoleSplit Split;
   TimePoint Now{100s};
-  BOOST_TEST(Split.shortEngines(1) == 0U);
+  BOOST_TEST(Split.latencySensitiveEngineCount(1) == 0U);
   for (int I = 0; I < 100; ++I) {
     Now += 100ms;
     Split.add({1500, 100000}, Now);
   }
-  BOOST_TEST(Split.shortEngines(9) == 1U);
+  BOOST_TEST(Split.latencySensitiveEngineCount(9) == 1U);
   for (int I = 0; I < 100; ++I) {
     Now += 100ms;
     Split.add({100000, 3000}, Now);
   }
-  BOOST_TEST(Split.shortEngines(9) == 8U);
+  BOOST_TEST(Split.latencySensitiveEngineCount(9) == 8U);
   for (int I = 0; I < 400; ++I) {
     Now += 100ms;
     Split.add({100000, 0}, Now);
   }
-  BOOST_TEST(Split.shortEngines(9) == 9U);
+  BOOST_TEST(Split.latencySensitiveEngineCount(9) == 9U);
   for (int I = 0; I < 400; ++I) {
     Now += 100ms;
     Split.add({0, 100000}, Now);
   }
-  BOOST_TEST(Split.shortEngines(9) == 0U);
+  BOOST_TEST(Split.latencySensitiveEngineCount(9) == 0U);
   // After an hour without work the sums are zero.
   Now += 1h;
   Split.add({}, Now);
-  BOOST_TEST(Split.shortEngines(10) == 3U);
+  BOOST_TEST(Split.latencySensitiveEngineCount(10) == 3U);
 }
 
 /// The cache model evicts the least recently used segments, and a segment
@@ -514,11 +514,12 @@
   CacheModel Model;
   const UpstreamId Engine = upstreamIdOf("e");
   for (std::uint64_t I = 0; I < 10; ++I)
-    Model.placed(Engine, {I, 1000}, 10000); // Room for six.
-  BOOST_TEST(Model.kept(Engine, {{9, 1000}}) == 1000U);
-  BOOST_TEST(Model.kept(Engine, {{0, 1000}}) == 0U);
-  BOOST_TEST(Model.kept(Engine, {{0, 1000}, {9, 1000}}) == 0U);
-  BOOST_TEST(Model.kept(Engine, {{9, 1000}, {8, 1000}, {77, 5}}) == 2000U);
+    Model.recordPlacement(Engine, {I, 1000}, 10000); // Room for six.
+  BOOST_TEST(Model.cachedTokens(Engine, {{9, 1000}}) == 1000U);
+  BOOST_TEST(Model.cachedTokens(Engine, {{0, 1000}}) == 0U);
+  BOOST_TEST(Model.cachedTokens(Engine, {{0, 1000}, {9, 1000}}) == 0U);
+  BOOST_TEST(Model.cachedTokens(Engine, {{9, 1000}, {8, 1000}, {77, 5}}) ==
+             2000U);
   Model.keepOnly({});
-  BOOST_TEST(Model.kept(Engine, {{9, 1000}}) == 0U);
+  BOOST_TEST(Model.cachedTokens(Engine, {{9, 1000}}) == 0U);
 }
--- a/tests/unit/broken_upstream.h
+++ b/tests/unit/broken_upstream.h
@@ -43,7 +43,7 @@
         continue;
       std::string Request;
       char Buffer[4096];
-      while (!FakeUpstream::whole(Request)) {
+      while (!FakeUpstream::isWholeRequest(Request)) {
         const ssize_t Size = recv(Fd, Buffer, sizeof(Buffer), 0);
         if (Size <= 0)
           break;
--- a/tests/unit/claim_test.cpp
+++ b/tests/unit/claim_test.cpp
@@ -101,7 +101,7 @@
     for (std::size_t Index = 0; Index < m_Attempts.size(); ++Index)
       if (!m_Attempts[Index].m_Owned || m_Attempts[Index].m_Released) {
         m_Attempts[Index].m_Released = true;
-        sendOperation(Index, NotRunWanted{m_Attempts[Index].m_Id});
+        sendOperation(Index, NotRunOperation{m_Attempts[Index].m_Id});
         runWithoutFaults();
       }
   }
@@ -142,20 +142,21 @@
   std::size_t below(std::size_t Limit) { return m_Random() % Limit; }
   bool chance(std::size_t OneIn) { return below(OneIn) == 0; }
 
-  void sendOperation(std::size_t Index, Wanted Operation) {
+  void sendOperation(std::size_t Index, RowOperation Operation) {
     const RequestNumber Number(++m_LastNumber);
     m_AttemptOfRequest[Number] = Index;
-    handle(below(2), RequestCame{Number, "key", std::move(Operation), {}, 7});
+    handle(below(2),
+           RequestReceived{Number, "key", std::move(Operation), {}, 7});
   }
   void sendClaim(std::size_t Index) {
-    sendOperation(Index, ClaimWanted{m_Attempts[Index].m_Id, 7});
+    sendOperation(Index, ClaimOperation{m_Attempts[Index].m_Id, 7});
   }
   void runOne() {
     for (std::size_t Index = 0; Index < m_Attempts.size(); ++Index)
       if (m_Attempts[Index].m_Owned && !m_Attempts[Index].m_Released) {
         m_Attempts[Index].m_Ran = true;
         return sendOperation(
-            Index, RanWanted{m_Attempts[Index].m_Id, {200, "t", "done"}});
+            Index, RanOperation{m_Attempts[Index].m_Id, {200, "t", "done"}});
       }
   }
   void releaseOne() {
@@ -165,7 +166,7 @@
     if (m_Attempts[Index].m_Ran)
       return;
     m_Attempts[Index].m_Released = true;
-    sendOperation(Index, NotRunWanted{m_Attempts[Index].m_Id});
+    sendOperation(Index, NotRunOperation{m_Attempts[Index].m_Id});
   }
 
   /// Ends the write in flight by \p Fault: 1 refused, 2 answer lost after the
@@ -196,11 +197,11 @@
       else if (const auto *Read = std::get_if<StartRead>(&Action))
         handle(Home, ReadEnded{Read->m_Key, m_Table.read(Read->m_Key)});
       else
-        onReply(std::get<Reply>(Action));
+        onReply(std::get<SendReply>(Action));
     }
   }
 
-  void onReply(const Reply &Action) {
+  void onReply(const SendReply &Action) {
     Attempt &Requester = m_Attempts[m_AttemptOfRequest.at(Action.m_Number)];
     Requester.m_LastOutcome = Action.m_Outcome;
     if (Action.m_Outcome.m_Status == ClaimStatus::Owned &&
@@ -255,10 +256,10 @@
 
 BOOST_AUTO_TEST_CASE(RepeatedKeyGetsKeptAnswerAndOtherBodyIsRefused) {
   const ClaimRow Ran{ClaimState::Ran, "a", 7, {200, "application/json", "{}"}};
-  const RowVerdict SameBody = judge(ClaimWanted{"b", 7}, Ran);
+  const RowDecision SameBody = decideRow(ClaimOperation{"b", 7}, Ran);
   BOOST_TEST((std::get<ClaimOutcome>(SameBody).m_Status == ClaimStatus::Ran));
   BOOST_TEST((std::get<ClaimOutcome>(SameBody).m_Answer == Ran.m_Answer));
-  const RowVerdict OtherBody = judge(ClaimWanted{"b", 8}, Ran);
+  const RowDecision OtherBody = decideRow(ClaimOperation{"b", 8}, Ran);
   BOOST_TEST(
       (std::get<ClaimOutcome>(OtherBody).m_Status == ClaimStatus::OtherBody));
 }
@@ -269,20 +270,20 @@
 // released the claim must not take it again.
 BOOST_AUTO_TEST_CASE(AskingTwiceIsIdempotent) {
   const ClaimRow Claimed{ClaimState::Claimed, "a", 7, {}};
-  const RowVerdict Repeated = judge(ClaimWanted{"a", 7}, Claimed);
+  const RowDecision Repeated = decideRow(ClaimOperation{"a", 7}, Claimed);
   BOOST_TEST((std::get<ClaimOutcome>(Repeated).m_Status == ClaimStatus::Owned));
   const ClaimRow Released{ClaimState::NotRun, "a", 7, {}};
-  const RowVerdict LateCopy = judge(ClaimWanted{"a", 7}, Released);
+  const RowDecision LateCopy = decideRow(ClaimOperation{"a", 7}, Released);
   BOOST_TEST(std::holds_alternative<ClaimOutcome>(LateCopy));
-  const RowVerdict NewAttempt = judge(ClaimWanted{"b", 7}, Released);
+  const RowDecision NewAttempt = decideRow(ClaimOperation{"b", 7}, Released);
   BOOST_TEST(std::holds_alternative<RowChange>(NewAttempt));
 }
 
 BOOST_AUTO_TEST_CASE(RowsOfThisFormatAreReadBackAndNewerOnesRefused) {
   const ClaimRow Row{ClaimState::Ran, "a", 7, {201, "text/plain", "x\xff"}};
-  BOOST_TEST((readRow(writeRow(Row)).m_Attempt == "a"));
-  BOOST_CHECK_THROW(readRow("{\"format\":2}"), ClaimRowError);
-  BOOST_CHECK_THROW(readRow("nonsense"), ClaimRowError);
+  BOOST_TEST((decodeRow(encodeRow(Row)).m_Attempt == "a"));
+  BOOST_CHECK_THROW(decodeRow("{\"format\":2}"), ClaimRowError);
+  BOOST_CHECK_THROW(decodeRow("nonsense"), ClaimRowError);
 }
 
 // A thousand keyed calls within one second must cost the table service no more
@@ -295,11 +296,11 @@
   std::size_t Owned = 0;
   for (std::uint64_t Step = 0; Step < 1000; ++Step, Now += 1ms) {
     std::vector<HomeAction> Actions;
-    Home.handle(RequestCame{RequestNumber(Step),
-                            "k" + std::to_string(Step),
-                            ClaimWanted{"a" + std::to_string(Step), 7},
-                            {},
-                            0},
+    Home.handle(RequestReceived{RequestNumber(Step),
+                                "k" + std::to_string(Step),
+                                ClaimOperation{"a" + std::to_string(Step), 7},
+                                {},
+                                0},
                 Now, Actions);
     Home.handle(HomeTick(), Now, Actions);
     for (std::size_t Index = 0; Index < Actions.size(); ++Index)
@@ -307,7 +308,7 @@
         ++Calls;
         const auto Outcomes = Table.apply(Write->m_Writes);
         Home.handle(WriteEnded{Outcomes}, Now, Actions);
-      } else if (std::holds_alternative<Reply>(Actions[Index])) {
+      } else if (std::holds_alternative<SendReply>(Actions[Index])) {
         ++Owned;
       }
   }
--- a/tests/unit/contract_test.cpp
+++ b/tests/unit/contract_test.cpp
@@ -27,7 +27,7 @@
     Contract Row;
     for (const Column &Col : columns()) {
       const auto Number = *rc::gen::inRange<std::int64_t>(
-          Col.m_Least, std::min<std::int64_t>(Col.m_Greatest, 9999) + 1);
+          Col.m_Min, std::min<std::int64_t>(Col.m_Max, 9999) + 1);
       if (std::holds_alternative<std::string Contract::*>(Col.m_Field))
         setCell(Row, Col,
                 *rc::gen::container<std::string>(
--- a/tests/unit/crash_watch_test.cpp
+++ b/tests/unit/crash_watch_test.cpp
@@ -15,11 +15,11 @@
 class FakeDirectory final : public Directory {
 public:
   void start(DirectoryListener &, const PeerInstance &) override {}
-  void leave() override {}
+  void deregister() override {}
   void listQuarantined(const ContentHash &) override { ++m_Listed; }
   void unlistQuarantined(const ContentHash &) override { ++m_Unlisted; }
   void setReadingRole(ReadingRole) override {}
-  void passedOn(const DirectoryUpdate &) override {}
+  void receiveUpdate(const DirectoryUpdate &) override {}
 
   int m_Listed = 0;   ///< Writes.
   int m_Unlisted = 0; ///< Removals.
@@ -60,18 +60,18 @@
 
   /// The connection of a call of the request breaks at \p Name.
   void breakCall(const std::string &Name) {
-    m_Balancer.quarantine().callBroken(Request, upstreamIdOf(Name),
-                                       m_Clock.now());
-    m_Watch.callBroken(upstreamIdOf(Name), {1, 1});
+    m_Balancer.quarantine().recordBrokenCall(Request, upstreamIdOf(Name),
+                                             m_Clock.now());
+    m_Watch.handleBrokenCall(upstreamIdOf(Name), {1, 1});
   }
 
   void crashUpstream(const std::string &Name) {
     breakCall(Name);
-    m_Prober.m_Done.back()(ConnectOutcome::Refused);
+    m_Prober.m_Callbacks.back()(ConnectOutcome::Refused);
   }
 
   [[nodiscard]] std::size_t crashCount() {
-    return m_Balancer.quarantine().crashesOf(Request);
+    return m_Balancer.quarantine().crashCount(Request);
   }
 };
 
@@ -82,11 +82,11 @@
   TestEnv Env;
   Env.breakCall("u-1");
   Env.breakCall("u-1");
-  BOOST_TEST(Env.m_Prober.m_Done.size() == 1U);
-  Env.m_Prober.m_Done[0](ConnectOutcome::Refused);
+  BOOST_TEST(Env.m_Prober.m_Callbacks.size() == 1U);
+  Env.m_Prober.m_Callbacks[0](ConnectOutcome::Refused);
   BOOST_TEST(Env.crashCount() == 1U);
   Env.breakCall("u-1");
-  BOOST_TEST(Env.m_Prober.m_Done.size() == 2U);
+  BOOST_TEST(Env.m_Prober.m_Callbacks.size() == 2U);
 }
 
 // Guards against a crash that is missed because the upstream is up again before
@@ -94,7 +94,7 @@
 BOOST_AUTO_TEST_CASE(RemovalWithoutDrainingIsACrash) {
   TestEnv Env;
   Env.breakCall("u-1");
-  Env.m_Prober.m_Done[0](ConnectOutcome::Stands);
+  Env.m_Prober.m_Callbacks[0](ConnectOutcome::Connected);
   BOOST_TEST(Env.crashCount() == 0U);
   Env.listUpstreams({"u-2", "u-3"});
   BOOST_TEST(Env.crashCount() == 1U);
@@ -112,7 +112,7 @@
     Env.crashUpstream(Name);
   Env.m_Timers.advance(1ms);
   BOOST_TEST(Env.m_Directory.m_Listed == 1);
-  Env.m_Timers.advance(CrashWatch::ListAgainAfter);
+  Env.m_Timers.advance(CrashWatch::ListRetryInterval);
   BOOST_TEST(Env.m_Directory.m_Listed == 2);
   Env.m_Watch.quarantineChanged({Request});
   Env.m_Timers.advance(1min);
@@ -124,11 +124,11 @@
 BOOST_AUTO_TEST_CASE(ObserversOfOneCrashListTheQuarantine) {
   TestEnv Env;
   Env.crashUpstream("u-1");
-  Env.m_Balancer.quarantine().take(
+  Env.m_Balancer.quarantine().applyUpdates(
       {{Request, upstreamIdOf("u-2")}, {Request, upstreamIdOf("u-3")}},
       Env.m_Clock.now());
   BOOST_TEST(Env.m_Directory.m_Listed == 0);
-  Env.m_Timers.advance(CrashWatch::ListAfter);
+  Env.m_Timers.advance(CrashWatch::ListCheckInterval);
   BOOST_TEST(Env.m_Directory.m_Listed == 1);
 }
 
@@ -136,10 +136,10 @@
 BOOST_AUTO_TEST_CASE(AServedRequestIsUnlisted) {
   TestEnv Env;
   Env.m_Watch.quarantineChanged({Request});
-  Env.m_Balancer.quarantine().served(Request);
+  Env.m_Balancer.quarantine().recordServed(Request);
   Env.m_Timers.advance(1ms);
   BOOST_TEST(Env.m_Directory.m_Unlisted == 1);
-  Env.m_Timers.advance(CrashWatch::ListAgainAfter);
+  Env.m_Timers.advance(CrashWatch::ListRetryInterval);
   BOOST_TEST(Env.m_Directory.m_Unlisted == 2);
   Env.m_Watch.quarantineChanged({});
   Env.m_Timers.advance(1min);
--- a/tests/unit/decision_fleet_test.cpp
+++ b/tests/unit/decision_fleet_test.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-struct FourEngines : World {
+struct FourEngines : DeciderSimulation {
   explicit FourEngines(std::uint32_t Slots = 4, DeciderConfig Config = {})
-      : World(Config) {
+      : DeciderSimulation(Config) {
     setTable({row(1, 1, 1s, 10s), row(2, 3, 5s, 60s)});
     list(Slots);
   }
@@ -40,7 +40,7 @@
 
   void submitMany(int Count, Duration Gap, Duration Service) {
     for (int I = 0; I < Count; ++I) {
-      ask(static_cast<std::uint16_t>(1 + I % 2), 1, Service);
+      submit(static_cast<std::uint16_t>(1 + I % 2), 1, Service);
       advance(Gap);
     }
   }
@@ -74,15 +74,15 @@
 // slow one is not ejected, as at most one of four may be.
 BOOST_AUTO_TEST_CASE(StragglerIsEjectedProbedAndTakenBack) {
   FourEngines Sim;
-  Sim.m_Slow[UpstreamId(2)] = 10;
+  Sim.m_SlowdownFactors[UpstreamId(2)] = 10;
   Sim.submitMany(300, 50ms, 200ms);
   BOOST_TEST(Sim.m_Ejected.contains(UpstreamId(2)));
   const unsigned Before = Sim.grantsTo(2);
-  Sim.m_Slow[UpstreamId(3)] = 10;
+  Sim.m_SlowdownFactors[UpstreamId(3)] = 10;
   Sim.submitMany(300, 50ms, 200ms);
   BOOST_TEST(Sim.m_Ejected.size() == 1U);
   BOOST_TEST(Sim.grantsTo(2) <= Before + 3);
-  Sim.m_Slow.clear();
+  Sim.m_SlowdownFactors.clear();
   Sim.submitMany(800, 50ms, 200ms);
   BOOST_TEST(Sim.m_Ejected.empty());
 }
@@ -92,9 +92,9 @@
 // anything again.
 BOOST_AUTO_TEST_CASE(LeavingUpstreamGetsNothingWhateverTheListSays) {
   FourEngines Sim;
-  const RequestId First = Sim.ask(1, 1, 1s);
+  const RequestId First = Sim.submit(1, 1, 1s);
   const UpstreamId Drained = Sim.m_Running.at(First).m_Upstream;
-  Sim.end(First, WorkEnd::UpstreamLeaving);
+  Sim.end(First, WorkEnd::UpstreamDraining);
   Sim.report(Drained.value(), 3, 0);
   Sim.list(4);
   Sim.submitMany(40, 20ms, 300ms);
@@ -116,7 +116,7 @@
   Sim.submitMany(400, 50ms, 300ms);
   BOOST_TEST(Sim.grantsTo(4) <= 12U);
   for (const auto &[Id, Result] : Sim.m_Outcomes)
-    BOOST_TEST(!Result.m_Refused);
+    BOOST_TEST(!Result.m_RefusalReason);
 }
 
 // Prompts with a shared prefix go to the engine that holds it while that is
@@ -127,7 +127,7 @@
     FourEngines Sim(8);
     std::optional<RequestId> OnEngine3;
     for (int I = 0; I < 4; ++I) {
-      const RequestId Id = Sim.ask(1, 1, 30s);
+      const RequestId Id = Sim.submit(1, 1, 30s);
       if (Sim.m_Running.at(Id).m_Upstream == UpstreamId(3))
         OnEngine3 = Id;
     }
@@ -140,7 +140,7 @@
       Sim.send(CacheEvent{UpstreamId(3), 5, 99, true});
     const auto AddPrefixes = [](Bid &NewBid) { NewBid.m_Prefixes = {11, 12}; };
     for (int I = 0; I < 5; ++I)
-      Sim.ask(1, 1, 30s, AddPrefixes);
+      Sim.submit(1, 1, 30s, AddPrefixes);
     BOOST_TEST(Sim.grantsTo(3) == (HasGap ? 1U : 3U));
   }
 }
@@ -152,7 +152,7 @@
   DeciderConfig Config;
   Config.m_RebuildWindow = 1s;
   FourEngines Sim(1, Config);
-  Sim.ask(1, 1, 1s);
+  Sim.submit(1, 1, 1s);
   BOOST_TEST(Sim.m_Running.empty());
   for (std::uint64_t Id = 1; Id <= 3; ++Id) {
     Bid Known;
@@ -163,7 +163,7 @@
   }
   Sim.advance(1s);
   BOOST_TEST(Sim.m_Running.size() == 4U);
-  Sim.ask(1, 1, 1s);
+  Sim.submit(1, 1, 1s);
   BOOST_TEST(Sim.m_Running.size() == 4U);
 }
 
@@ -173,7 +173,7 @@
   FourEngines Sim(1);
   Sim.m_FirstTokenTime = 1h;
   for (int I = 0; I < 4; ++I)
-    Sim.ask(1, 1, 1s);
+    Sim.submit(1, 1, 1s);
   std::vector<Action> Actions;
   const auto Due = Sim.m_Decider.nextDeadline();
   BOOST_REQUIRE(Due.has_value());
--- a/tests/unit/decision_limits_test.cpp
+++ b/tests/unit/decision_limits_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// One class on one large engine and one of a single slot.
-struct OneClass : World {
+struct OneClass : DeciderSimulation {
   explicit OneClass(const std::function<void(Contract &)> &Change,
                     std::uint32_t Slots = 1000) {
     Contract Row = row(1, 1, 1s, 10s);
@@ -23,7 +23,7 @@
   }
 
   [[nodiscard]] std::optional<RefusalReason> refused(const RequestId &Id) {
-    return m_Outcomes[Id].m_Refused;
+    return m_Outcomes[Id].m_RefusalReason;
   }
 };
 
@@ -37,7 +37,7 @@
   std::vector<TimePoint> Admitted;
   for (const unsigned Gap : Gaps) {
     Sim.advance(std::chrono::milliseconds(Gap));
-    const RequestId Id = Sim.ask(1, 1, 1ms);
+    const RequestId Id = Sim.submit(1, 1, 1ms);
     if (!Sim.refused(Id)) {
       Admitted.push_back(Sim.m_Clock.now());
       continue;
@@ -45,9 +45,9 @@
     RC_ASSERT(Sim.refused(Id) == RefusalReason::WorkspaceRate);
     // Other workspaces are not affected, and a retry after the stated delay
     // succeeds.
-    RC_ASSERT(!Sim.refused(Sim.ask(1, 2 + Admitted.size(), 1ms)));
+    RC_ASSERT(!Sim.refused(Sim.submit(1, 2 + Admitted.size(), 1ms)));
     Sim.advance(Sim.m_Outcomes[Id].m_RetryAfter);
-    RC_ASSERT(!Sim.refused(Sim.ask(1, 1, 1ms)));
+    RC_ASSERT(!Sim.refused(Sim.submit(1, 1, 1ms)));
     Admitted.push_back(Sim.m_Clock.now());
   }
   for (std::size_t From = 0; From < Admitted.size(); ++From)
@@ -61,7 +61,7 @@
 BOOST_AUTO_TEST_CASE(TokensAreChargedAsGenerated) {
   OneClass Sim([](Contract &Row) { Row.m_MaxTokenRate = 500; });
   for (int I = 0; I < 1200; ++I) {
-    Sim.ask(1, 1, I < 100 ? 300ms : 3s);
+    Sim.submit(1, 1, I < 100 ? 300ms : 3s);
     Sim.advance(100ms);
   }
   const double Seconds = 120;
@@ -90,10 +90,10 @@
   std::vector<RequestId> Flood;
   Flood.reserve(12);
   for (int I = 0; I < 12; ++I)
-    Flood.push_back(Sim.ask(1, 1, 5s));
+    Flood.push_back(Sim.submit(1, 1, 5s));
   BOOST_TEST(!Sim.refused(Flood.back()));
-  BOOST_TEST((Sim.refused(Sim.ask(1, 1, 5s)) == RefusalReason::QueueFull));
-  BOOST_TEST(!Sim.refused(Sim.ask(1, 2, 5s)));
+  BOOST_TEST((Sim.refused(Sim.submit(1, 1, 5s)) == RefusalReason::QueueFull));
+  BOOST_TEST(!Sim.refused(Sim.submit(1, 2, 5s)));
   BOOST_TEST((Sim.refused(Flood.back()) == RefusalReason::QueueFull));
   BOOST_TEST(Sim.m_Waiting.size() == 10U);
 }
@@ -105,7 +105,7 @@
   Sim.m_OnGrant = [&Sim](const RequestId &Id) { Sim.end(Id, WorkEnd::Failed); };
   unsigned Grants = 0;
   for (int I = 0; I < 500; ++I) {
-    Sim.ask(1, 1, 1s);
+    Sim.submit(1, 1, 1s);
     Sim.advance(50ms);
   }
   for (const auto &[Id, Result] : Sim.m_Outcomes)
@@ -117,15 +117,15 @@
 // Preempted work bids again, dozens of times. As the pool caused this, neither
 // a retry budget of zero nor a rate limit may refuse it.
 BOOST_AUTO_TEST_CASE(PreemptedWorkIsChargedForNoRetry) {
-  World Sim;
+  DeciderSimulation Sim;
   Contract Batch = row(3, 5, 20s, 90s, true);
   Batch.m_RetryPercent = 0;
   Batch.m_MaxRate = 1;
   Sim.setTable({row(1, 1, 200ms, 2s), Batch});
   Sim.setUpstreams({engine(1, 1)});
-  const RequestId Long = Sim.ask(3, 1, 30s);
+  const RequestId Long = Sim.submit(3, 1, 30s);
   for (int I = 0; I < 40; ++I) {
-    Sim.ask(1, 1, 100ms);
+    Sim.submit(1, 1, 100ms);
     Sim.advance(1s);
   }
   BOOST_TEST(Sim.m_Decider.stats().m_Preempted >= 20U);
--- a/tests/unit/decision_order_test.cpp
+++ b/tests/unit/decision_order_test.cpp
@@ -34,9 +34,9 @@
 
 /// 16 slots; urgent, interactive and batch work, the last with a floor of 1.6
 /// slots.
-struct LoadedPool : World {
+struct LoadedPool : DeciderSimulation {
   explicit LoadedPool(PolicyKind Policy = PolicyKind::Crowstep)
-      : World({Policy}) {
+      : DeciderSimulation({Policy}) {
     std::vector<Contract> Rows = {row(Urgent, 1, 500ms, 2s), row(2, 2, 2s, 10s),
                                   row(Batch, 5, 10s, 120s, true)};
     Rows[0].m_Weight = 6;
@@ -58,17 +58,18 @@
     }
     const TimePoint Start = m_Clock.now();
     for (const auto &[T, Arrival] : Arrivals) {
-      advanceTo(Start + fromS(T));
+      advanceTo(Start + secondsToDuration(T));
       std::exponential_distribution<double> Service(1.0 / Arrival.m_Service);
-      ask(Arrival.m_Class, Arrival.m_Workspace, fromS(Service(Random)));
+      submit(Arrival.m_Class, Arrival.m_Workspace,
+             secondsToDuration(Service(Random)));
     }
-    advanceTo(Start + fromS(Seconds));
+    advanceTo(Start + secondsToDuration(Seconds));
   }
 
   void advanceTo(TimePoint Until) {
     while (m_NextSample < Until) {
       advance(std::max(Duration::zero(), m_NextSample - m_Clock.now()));
-      m_BatchSlots.push_back(running(ClassId(Batch)));
+      m_BatchSlots.push_back(runningCount(ClassId(Batch)));
       m_NextSample += 250ms;
     }
     advance(Until - m_Clock.now());
@@ -85,7 +86,10 @@
           (Workspace != 0 && Result.m_Workspace != WorkspaceId(Workspace)))
         continue;
       Total += 1;
-      MetCount += Result.m_First && *Result.m_First <= Result.m_Target ? 1 : 0;
+      MetCount +=
+          Result.m_FirstTokenAt && *Result.m_FirstTokenAt <= Result.m_Target
+              ? 1
+              : 0;
     }
     return MetCount / Total;
   }
@@ -128,8 +132,8 @@
   BOOST_TEST(Sim.minBatchSlots() >= 0.9 * 1.6);
   unsigned Late = 0;
   for (const auto &[Id, Result] : Sim.m_Outcomes)
-    Late += Result.m_Class == ClassId(Urgent) && Result.m_First &&
-                    *Result.m_First > Result.m_Target
+    Late += Result.m_Class == ClassId(Urgent) && Result.m_FirstTokenAt &&
+                    *Result.m_FirstTokenAt > Result.m_Target
                 ? 1
                 : 0;
   BOOST_TEST(Late <= 30U);
@@ -175,20 +179,20 @@
 // Three batch requests run, one of them on an engine that can't resume work.
 // Preemption must stop the younger of the other two, which has generated least.
 BOOST_AUTO_TEST_CASE(PreemptionStopsWhatWastesLeast) {
-  World Sim;
+  DeciderSimulation Sim;
   Sim.setTable({row(Urgent, 1, 200ms, 2s), row(Batch, 5, 10s, 90s, true)});
   Upstream Fixed = engine(1, 1);
   std::get<Engine>(Fixed.m_Kind).m_CanResume = false;
   Sim.setUpstreams({Fixed, engine(2, 1), engine(3, 1)});
   for (int I = 0; I < 3; ++I) {
-    Sim.ask(Batch, 1, 60s);
+    Sim.submit(Batch, 1, 60s);
     Sim.advance(1s);
   }
   TimePoint Youngest{};
   for (const auto &[Id, Running] : Sim.m_Running)
     if (Running.m_Upstream != UpstreamId(1))
       Youngest = std::max(Youngest, Running.m_Since);
-  Sim.ask(Urgent, 1, 1s);
+  Sim.submit(Urgent, 1, 1s);
   Sim.advance(150ms);
   BOOST_TEST(Sim.m_Decider.stats().m_Preempted == 1U);
   for (const auto &[Id, Running] : Sim.m_Running)
--- a/tests/unit/decision_property_test.cpp
+++ b/tests/unit/decision_property_test.cpp
@@ -43,7 +43,7 @@
 /// Executes a schedule: each number encodes one step.
 class SchedulePlayer {
 public:
-  explicit SchedulePlayer(World &Sim) : m_Sim(Sim) {
+  explicit SchedulePlayer(DeciderSimulation &Sim) : m_Sim(Sim) {
     Sim.setTable(makeTable(0));
     list(4);
   }
@@ -63,7 +63,7 @@
   void ask(std::uint32_t Value) {
     const auto Class = static_cast<std::uint16_t>(1 + Value % 4);
     const Duration Service = Class < 3 ? 200ms : 4s;
-    m_Sim.ask(Class, 1 + Value / 4 % 5, Service + Duration(Value % 100'000));
+    m_Sim.submit(Class, 1 + Value / 4 % 5, Service + Duration(Value % 100'000));
   }
 
   void playFault(std::uint32_t Kind, std::uint32_t Value) {
@@ -116,7 +116,7 @@
     std::vector<Upstream> All;
     for (std::uint64_t Id = 1; Id <= Count; ++Id)
       All.push_back(engine(Id, 2));
-    All.back().m_Leaving = LastLeaves;
+    All.back().m_Draining = LastLeaves;
     m_Sim.setUpstreams(All);
   }
 
@@ -130,7 +130,7 @@
     m_Sim.send(UpstreamDrained{Target, Drained});
   }
 
-  World &m_Sim; ///< Simulation that the schedule drives.
+  DeciderSimulation &m_Sim; ///< Simulation that the schedule drives.
 };
 
 std::string toText(const Action &Logged) {
@@ -153,7 +153,7 @@
 } // namespace
 
 RC_BOOST_PROP(EveryBidIsAnsweredOnceByItsLimit, ()) {
-  World Sim;
+  DeciderSimulation Sim;
   SchedulePlayer Player(Sim);
   for (const std::uint32_t Code : *schedules())
     Player.play(Code);
@@ -169,7 +169,7 @@
   const Schedule Codes = *schedules();
   std::vector<std::string> Logs;
   for (int Run = 0; Run < 2; ++Run) {
-    World Sim;
+    DeciderSimulation Sim;
     SchedulePlayer Player(Sim);
     for (const std::uint32_t Code : Codes)
       Player.play(Code);
