--- a/src/balance/balancer.h
+++ b/src/balance/balancer.h
@@ -10,9 +10,9 @@
 #include "balance/cache_model.h"
 #include "balance/engine_choice.h"
 #include "balance/peer_loads.h"
+#include "balance/prefill_speed.h"
 #include "balance/quarantine.h"
 #include "balance/rate_limits.h"
-#include "balance/reading_speed.h"
 #include "balance/upstream_state.h"
 
 #include <map>
--- a/src/balance/reading_speed.cpp
+++ b/src/balance/prefill_speed.cpp
@@ -1,5 +1,5 @@
 /// Prefill speed of engines, estimated from times to first events.
-#include "balance/reading_speed.h"
+#include "balance/prefill_speed.h"
 
 #include <algorithm>
 
--- a/src/balance/reading_speed.h
+++ b/src/balance/prefill_speed.h
@@ -1,6 +1,6 @@
 /// Prefill speed of engines, estimated from times to first events.
-#ifndef CROWSTEP_BALANCE_READING_SPEED_H
-#define CROWSTEP_BALANCE_READING_SPEED_H
+#ifndef CROWSTEP_BALANCE_PREFILL_SPEED_H
+#define CROWSTEP_BALANCE_PREFILL_SPEED_H
 
 #include "core/clock.h"
 
@@ -37,4 +37,4 @@
 
 } // namespace crowstep::balance
 
-#endif // CROWSTEP_BALANCE_READING_SPEED_H
+#endif // CROWSTEP_BALANCE_PREFILL_SPEED_H
--- a/src/contract/table_vouch.cpp
+++ b/src/contract/table_confirmation.cpp
@@ -1,5 +1,5 @@
 /// Confirmations by instances and by the table service.
-#include "contract/table_vouch.h"
+#include "contract/table_confirmation.h"
 
 #include <algorithm>
 #include <functional>
--- a/src/contract/table_vouch.h
+++ b/src/contract/table_confirmation.h
@@ -6,8 +6,8 @@
 /// probe, so that its time for a confirmation is never later than the moment at
 /// which the instance reported. A slow link or a frozen process can make a
 /// confirmation look older than it is, but never fresher.
-#ifndef CROWSTEP_CONTRACT_TABLE_VOUCH_H
-#define CROWSTEP_CONTRACT_TABLE_VOUCH_H
+#ifndef CROWSTEP_CONTRACT_TABLE_CONFIRMATION_H
+#define CROWSTEP_CONTRACT_TABLE_CONFIRMATION_H
 
 #include "contract/table_document.h"
 #include "core/clock.h"
@@ -70,4 +70,4 @@
 
 } // namespace crowstep::contract
 
-#endif // CROWSTEP_CONTRACT_TABLE_VOUCH_H
+#endif // CROWSTEP_CONTRACT_TABLE_CONFIRMATION_H
--- a/src/contract/table_document.h
+++ b/src/contract/table_document.h
@@ -33,13 +33,13 @@
 
 /// One version of the table as committed and propagated.
 struct TableDocument {
-  ContractTable m_Table;        ///< Its version is that of the document.
-  TableVersion m_EditedVersion; ///< That last changed the rows; later versions
-                                ///< only replaced voters.
-  CommitId m_Commit;                   ///< Of this version.
-  Voters m_Voters;                     ///< Of this version.
-  std::vector<Voters> m_Quorums;       ///< Voters of each earlier version
-                                       ///< that may still be in use.
+  ContractTable m_Table;         ///< Its version is that of the document.
+  TableVersion m_EditedVersion;  ///< That last changed the rows; later versions
+                                 ///< only replaced voters.
+  CommitId m_Commit;             ///< Of this version.
+  Voters m_Voters;               ///< Of this version.
+  std::vector<Voters> m_Quorums; ///< Voters of each earlier version
+                                 ///< that may still be in use.
   std::vector<CommitHeader> m_History; ///< Newest first; limited in length.
 
   [[nodiscard]] TableVersion version() const { return m_Table.m_Version; }
--- a/src/contract/table_settle.h
+++ b/src/contract/table_settle.h
@@ -6,7 +6,7 @@
 #ifndef CROWSTEP_CONTRACT_TABLE_SETTLE_H
 #define CROWSTEP_CONTRACT_TABLE_SETTLE_H
 
-#include "contract/table_vouch.h"
+#include "contract/table_confirmation.h"
 
 #include <set>
 
--- a/src/decision/fleet.h
+++ b/src/decision/fleet.h
@@ -4,7 +4,7 @@
 
 #include "decision/class_base.h"
 #include "decision/prefix_index.h"
-#include "decision/serving_base.h"
+#include "decision/upstream_state_base.h"
 
 #include <map>
 #include <set>
--- a/src/decision/serving.cpp
+++ b/src/decision/upstream_state.cpp
@@ -1,5 +1,5 @@
 /// Queries on the state of an upstream.
-#include "decision/serving_base.h"
+#include "decision/upstream_state_base.h"
 
 #include <algorithm>
 
--- a/src/decision/serving_base.h
+++ b/src/decision/upstream_state_base.h
@@ -1,6 +1,6 @@
 /// The state of one upstream in the pool: slots, load, health.
-#ifndef CROWSTEP_DECISION_SERVING_BASE_H
-#define CROWSTEP_DECISION_SERVING_BASE_H
+#ifndef CROWSTEP_DECISION_UPSTREAM_STATE_BASE_H
+#define CROWSTEP_DECISION_UPSTREAM_STATE_BASE_H
 
 #include "decision/learned.h"
 #include "upstream_type.h"
@@ -94,4 +94,4 @@
 
 } // namespace crowstep::decision
 
-#endif // CROWSTEP_DECISION_SERVING_BASE_H
+#endif // CROWSTEP_DECISION_UPSTREAM_STATE_BASE_H
--- a/src/entry/fleet.cpp
+++ b/src/entry/dispatcher_links.cpp
@@ -1,5 +1,5 @@
 /// Links of an entry to dispatchers.
-#include "entry/fleet.h"
+#include "entry/dispatcher_links.h"
 
 #include "claim/claim_client.h"
 #include "contract/contract_error.h"
--- a/src/entry/fleet.h
+++ b/src/entry/dispatcher_links.h
@@ -3,8 +3,8 @@
 /// The entry takes members, upstreams and workspaces from one of them, its home
 /// dispatcher. Every linked dispatcher waits for this entry before it considers
 /// a table version in force, so the attachments of all are acknowledged.
-#ifndef CROWSTEP_ENTRY_FLEET_H
-#define CROWSTEP_ENTRY_FLEET_H
+#ifndef CROWSTEP_ENTRY_DISPATCHER_LINKS_H
+#define CROWSTEP_ENTRY_DISPATCHER_LINKS_H
 
 #include "attachment_type.h"
 #include "core/scheduler.h"
@@ -123,4 +123,4 @@
 
 } // namespace crowstep::entry
 
-#endif // CROWSTEP_ENTRY_FLEET_H
+#endif // CROWSTEP_ENTRY_DISPATCHER_LINKS_H
--- a/src/entry/dispatcher_placement.h
+++ b/src/entry/dispatcher_placement.h
@@ -2,7 +2,7 @@
 #ifndef CROWSTEP_ENTRY_DISPATCHER_PLACEMENT_H
 #define CROWSTEP_ENTRY_DISPATCHER_PLACEMENT_H
 
-#include "entry/fleet.h"
+#include "entry/dispatcher_links.h"
 #include "entry/local_placement.h"
 #include "entry/pause_guard.h"
 #include "entry/placement.h"
--- a/src/entry/request_service.h
+++ b/src/entry/request_service.h
@@ -3,7 +3,7 @@
 #define CROWSTEP_ENTRY_REQUEST_SERVICE_H
 
 #include "entry/request.h"
-#include "http/front.h"
+#include "http/frontend.h"
 
 #include <functional>
 #include <memory>
--- a/src/gateway/reading_duty.cpp
+++ b/src/gateway/directory_read_policy.cpp
@@ -1,5 +1,5 @@
 /// When an instance reads the directory itself.
-#include "gateway/reading_duty.h"
+#include "gateway/directory_read_policy.h"
 
 #include <algorithm>
 
--- a/src/gateway/reading_duty.h
+++ b/src/gateway/directory_read_policy.h
@@ -2,8 +2,8 @@
 ///
 /// Without such rules, hundreds of instances would all call the directory for
 /// each change, and over and over during an outage of it. See ReadingRole.
-#ifndef CROWSTEP_GATEWAY_READING_DUTY_H
-#define CROWSTEP_GATEWAY_READING_DUTY_H
+#ifndef CROWSTEP_GATEWAY_DIRECTORY_READ_POLICY_H
+#define CROWSTEP_GATEWAY_DIRECTORY_READ_POLICY_H
 
 #include "core/clock.h"
 #include "gateway/directory.h"
@@ -59,4 +59,4 @@
 
 } // namespace crowstep::gateway
 
-#endif // CROWSTEP_GATEWAY_READING_DUTY_H
+#endif // CROWSTEP_GATEWAY_DIRECTORY_READ_POLICY_H
--- a/src/gateway/forwarded_request.h
+++ b/src/gateway/forwarded_request.h
@@ -15,7 +15,7 @@
 #include "gateway/admission.h"
 #include "gateway/crash_watch.h"
 #include "gateway/gateway_stats.h"
-#include "gateway/waiting_room.h"
+#include "gateway/wait_queue.h"
 #include "http/caller.h"
 #include "http/sse_splitter.h"
 #include "http/upstream_call.h"
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -12,7 +12,7 @@
 #include "gateway/directory.h"
 #include "gateway/forwarded_request.h"
 #include "gateway/gateway_settings.h"
-#include "http/front.h"
+#include "http/frontend.h"
 
 #include <random>
 #include <unordered_map>
--- a/src/gateway/waiting_room.cpp
+++ b/src/gateway/wait_queue.cpp
@@ -1,5 +1,5 @@
 /// Order in which the placement of waiting calls is retried.
-#include "gateway/waiting_room.h"
+#include "gateway/wait_queue.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/gateway/waiting_room.h
+++ b/src/gateway/wait_queue.h
@@ -10,8 +10,8 @@
 /// what it knows of all calls placed by then. Without digests it knows only its
 /// own calls and the engines' load reports; engines then get more calls than
 /// they have slots for, and queue the rest.
-#ifndef CROWSTEP_GATEWAY_WAITING_ROOM_H
-#define CROWSTEP_GATEWAY_WAITING_ROOM_H
+#ifndef CROWSTEP_GATEWAY_WAIT_QUEUE_H
+#define CROWSTEP_GATEWAY_WAIT_QUEUE_H
 
 #include "balance/balance_type.h"
 #include "core/scheduler.h"
@@ -84,4 +84,4 @@
 
 } // namespace crowstep::gateway
 
-#endif // CROWSTEP_GATEWAY_WAITING_ROOM_H
+#endif // CROWSTEP_GATEWAY_WAIT_QUEUE_H
--- a/src/http/front.cpp
+++ b/src/http/frontend.cpp
@@ -1,5 +1,5 @@
 /// Accepting and owning callers' connections.
-#include "http/front.h"
+#include "http/frontend.h"
 
 #include "core/http_server.h"
 
--- a/src/http/front.h
+++ b/src/http/frontend.h
@@ -1,6 +1,6 @@
 /// HTTP server for callers: listens and owns their connections.
-#ifndef CROWSTEP_HTTP_FRONT_H
-#define CROWSTEP_HTTP_FRONT_H
+#ifndef CROWSTEP_HTTP_FRONTEND_H
+#define CROWSTEP_HTTP_FRONTEND_H
 
 #include "http/caller_connection.h"
 #include "instance_type.h"
@@ -76,4 +76,4 @@
 
 } // namespace crowstep
 
-#endif // CROWSTEP_HTTP_FRONT_H
+#endif // CROWSTEP_HTTP_FRONTEND_H
--- a/src/link/connection.h
+++ b/src/link/connection.h
@@ -3,7 +3,7 @@
 #define CROWSTEP_LINK_CONNECTION_H
 
 #include "core/socket_watch.h"
-#include "link/frame_account.h"
+#include "link/frame_counters.h"
 #include "link/handshake.h"
 
 #include <gio/gio.h>
--- a/src/link/frame_account.cpp
+++ b/src/link/frame_counters.cpp
@@ -1,5 +1,5 @@
 /// Counts the bytes and messages of frames by mechanism.
-#include "link/frame_account.h"
+#include "link/frame_counters.h"
 
 #include <algorithm>
 
--- a/src/link/frame_account.h
+++ b/src/link/frame_counters.h
@@ -2,8 +2,8 @@
 ///
 /// One frame carries messages of several mechanisms. Their cost must be visible
 /// separately, as an instance's budget for control traffic is only a few KB/s.
-#ifndef CROWSTEP_LINK_FRAME_ACCOUNT_H
-#define CROWSTEP_LINK_FRAME_ACCOUNT_H
+#ifndef CROWSTEP_LINK_FRAME_COUNTERS_H
+#define CROWSTEP_LINK_FRAME_COUNTERS_H
 
 #include "core/metrics.h"
 #include "link/frame_codec.h"
@@ -46,4 +46,4 @@
 
 } // namespace crowstep::link
 
-#endif // CROWSTEP_LINK_FRAME_ACCOUNT_H
+#endif // CROWSTEP_LINK_FRAME_COUNTERS_H
--- a/src/link/handshake.cpp
+++ b/src/link/handshake.cpp
@@ -1,7 +1,7 @@
 /// The handshake that opens a link.
 #include "link/handshake.h"
 
-#include "link/frame_account.h"
+#include "link/frame_counters.h"
 
 #include <glib.h>
 #include <sys/random.h>
--- a/tests/benchmark/connections_benchmark.cpp
+++ b/tests/benchmark/connections_benchmark.cpp
@@ -1,6 +1,6 @@
 /// Processor time per forwarded request as a function of the number of idle
 /// open connections. docs/CAPACITY.md has the results.
-#include "http/front.h"
+#include "http/frontend.h"
 #include "http/upstream_call.h"
 #include "unit/loopback_peer.h"
 
--- a/tests/process/crashing_request_test.cpp
+++ b/tests/process/crashing_request_test.cpp
@@ -2,7 +2,7 @@
 /// between a store stand-in and upstreams in the test's own main loop.
 #define BOOST_TEST_MODULE crashing_request
 #include "process/gateway_fleet.h"
-#include "standin/held_answer.h"
+#include "standin/deferred_answer.h"
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
--- a/tests/process/gateway_place.cpp
+++ b/tests/process/gateway_config.cpp
@@ -1,5 +1,5 @@
 /// Configuration files and store rows for a gateway under test.
-#include "process/gateway_place.h"
+#include "process/gateway_config.h"
 
 #include "process/process.h"
 
--- a/tests/process/gateway_place.h
+++ b/tests/process/gateway_config.h
@@ -1,6 +1,6 @@
 /// Configuration of a gateway under test.
-#ifndef CROWSTEP_TESTS_PROCESS_GATEWAY_PLACE_H
-#define CROWSTEP_TESTS_PROCESS_GATEWAY_PLACE_H
+#ifndef CROWSTEP_TESTS_PROCESS_GATEWAY_CONFIG_H
+#define CROWSTEP_TESTS_PROCESS_GATEWAY_CONFIG_H
 
 #include "balance/retry_budget.h"
 #include "process/caller.h"
@@ -36,4 +36,4 @@
 
 } // namespace crowstep::test
 
-#endif // CROWSTEP_TESTS_PROCESS_GATEWAY_PLACE_H
+#endif // CROWSTEP_TESTS_PROCESS_GATEWAY_CONFIG_H
--- a/tests/process/gateway_test.cpp
+++ b/tests/process/gateway_test.cpp
@@ -2,9 +2,9 @@
 /// for upstreams that run in the test's own main loop.
 #define BOOST_TEST_MODULE gateway
 #include "ctl/explain.h"
-#include "process/gateway_place.h"
+#include "process/gateway_config.h"
 #include "process/process.h"
-#include "standin/held_answer.h"
+#include "standin/deferred_answer.h"
 #include "standin/store_server.h"
 #include "unit/loopback_peer.h"
 
--- a/tests/process/limited_upstream_test.cpp
+++ b/tests/process/limited_upstream_test.cpp
@@ -2,7 +2,7 @@
 /// together, with real gateways.
 #define BOOST_TEST_MODULE limited_upstream
 #include "process/gateway_fleet.h"
-#include "standin/held_answer.h"
+#include "standin/deferred_answer.h"
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
--- a/tests/soak/soak_fleet.h
+++ b/tests/soak/soak_fleet.h
@@ -4,7 +4,7 @@
 #define CROWSTEP_TESTS_SOAK_SOAK_FLEET_H
 
 #include "core/scheduler.h"
-#include "process/gateway_place.h"
+#include "process/gateway_config.h"
 #include "process/process.h"
 #include "process/relay.h"
 #include "soak/raw_caller.h"
--- a/tests/soak/soak_upstream.h
+++ b/tests/soak/soak_upstream.h
@@ -5,7 +5,7 @@
 
 #include "core/http_server.h"
 #include "soak/ledger.h"
-#include "standin/held_answer.h"
+#include "standin/deferred_answer.h"
 
 #include <functional>
 #include <random>
--- a/tests/standin/held_answer.cpp
+++ b/tests/standin/deferred_answer.cpp
@@ -1,5 +1,5 @@
 /// Pauses libsoup messages and detects that a caller closes its connection.
-#include "standin/held_answer.h"
+#include "standin/deferred_answer.h"
 
 #include "core/http_server.h"
 #include "http/socket_state.h"
--- a/tests/standin/held_answer.h
+++ b/tests/standin/deferred_answer.h
@@ -3,8 +3,8 @@
 /// The message stays paused until it is answered, streamed or closed. A close
 /// by the caller is detected also while nothing is written. Every method may
 /// be called after the caller has closed; it then does nothing.
-#ifndef CROWSTEP_STANDIN_HELD_ANSWER_H
-#define CROWSTEP_STANDIN_HELD_ANSWER_H
+#ifndef CROWSTEP_STANDIN_DEFERRED_ANSWER_H
+#define CROWSTEP_STANDIN_DEFERRED_ANSWER_H
 
 #include "core/socket_watch.h"
 
@@ -77,4 +77,4 @@
 
 } // namespace crowstep
 
-#endif // CROWSTEP_STANDIN_HELD_ANSWER_H
+#endif // CROWSTEP_STANDIN_DEFERRED_ANSWER_H
--- a/tests/standin/exchange.h
+++ b/tests/standin/exchange.h
@@ -2,7 +2,7 @@
 #ifndef CROWSTEP_STANDIN_EXCHANGE_H
 #define CROWSTEP_STANDIN_EXCHANGE_H
 
-#include "standin/held_answer.h"
+#include "standin/deferred_answer.h"
 
 #include <chrono>
 #include <memory>
--- a/tests/unit/decision_fleet_test.cpp
+++ b/tests/unit/decision_fleet_test.cpp
@@ -1,7 +1,7 @@
 /// Upstreams that are slow, draining or failing, or that report late; and new
 /// owners of a pool.
 #define BOOST_TEST_MODULE decision_fleet
-#include "decision_world.h"
+#include "decision_simulation.h"
 
 #include <boost/test/unit_test.hpp>
 
--- a/tests/unit/decision_limits_test.cpp
+++ b/tests/unit/decision_limits_test.cpp
@@ -1,7 +1,7 @@
 /// Limits of the operators' table, retry budgets and estimated output lengths.
 #define BOOST_TEST_MODULE decision_limits
 #include "decision/learned.h"
-#include "decision_world.h"
+#include "decision_simulation.h"
 
 #include <boost/test/unit_test.hpp>
 #include <rapidcheck/boost_test.h>
--- a/tests/unit/decision_order_test.cpp
+++ b/tests/unit/decision_order_test.cpp
@@ -4,7 +4,7 @@
 /// at its floor, and a flood of one workspace does not affect a small one.
 /// Arrivals are random with a fixed seed; the simulation checks each action.
 #define BOOST_TEST_MODULE decision_order
-#include "decision_world.h"
+#include "decision_simulation.h"
 
 #include <boost/test/unit_test.hpp>
 
--- a/tests/unit/decision_property_test.cpp
+++ b/tests/unit/decision_property_test.cpp
@@ -4,7 +4,7 @@
 /// ones, and no limit is exceeded, whatever the order of events. The simulation
 /// checks each action when it is made; the properties check the final state.
 #define BOOST_TEST_MODULE decision_property
-#include "decision_world.h"
+#include "decision_simulation.h"
 
 #include <boost/test/unit_test.hpp>
 #include <rapidcheck/boost_test.h>
--- a/tests/unit/decision_world.h
+++ b/tests/unit/decision_simulation.h
@@ -1,7 +1,7 @@
 /// A simulation around a Decider: entries that carry out its actions, upstreams
 /// that serve, and checks of every action against the events it was sent.
-#ifndef CROWSTEP_TESTS_UNIT_DECISION_WORLD_H
-#define CROWSTEP_TESTS_UNIT_DECISION_WORLD_H
+#ifndef CROWSTEP_TESTS_UNIT_DECISION_SIMULATION_H
+#define CROWSTEP_TESTS_UNIT_DECISION_SIMULATION_H
 
 #include "decision/decider.h"
 
@@ -468,4 +468,4 @@
 
 } // namespace crowstep::decision::test
 
-#endif // CROWSTEP_TESTS_UNIT_DECISION_WORLD_H
+#endif // CROWSTEP_TESTS_UNIT_DECISION_SIMULATION_H
--- a/tests/unit/reading_duty_test.cpp
+++ b/tests/unit/directory_read_policy_test.cpp
@@ -1,6 +1,6 @@
 /// Which instances of a zone call the directory, and how often.
-#define BOOST_TEST_MODULE reading_duty
-#include "gateway/reading_duty.h"
+#define BOOST_TEST_MODULE directory_read_policy
+#include "gateway/directory_read_policy.h"
 
 #include <boost/test/unit_test.hpp>
 
--- a/tests/unit/front_test.cpp
+++ b/tests/unit/front_test.cpp
@@ -2,7 +2,7 @@
 /// connections.
 #define BOOST_TEST_MODULE front
 #include "http/caller.h"
-#include "http/front.h"
+#include "http/frontend.h"
 #include "http/sse_splitter.h"
 #include "unit/loopback_peer.h"
 
--- a/tests/unit/waiting_room_test.cpp
+++ b/tests/unit/wait_queue_test.cpp
@@ -1,6 +1,6 @@
 /// Order and limits of calls that wait for room.
-#define BOOST_TEST_MODULE waiting_room
-#include "gateway/waiting_room.h"
+#define BOOST_TEST_MODULE wait_queue
+#include "gateway/wait_queue.h"
 
 #include <boost/test/unit_test.hpp>
 #include <vector>
