--- a/src/contract/table_core_type.h
+++ b/src/contract/table_core_type.h
@@ -140,7 +140,7 @@
 /// A new document is in force.
 struct TableChanged {};
 struct FinishChange {
-  ChangeId m_Id;           ///< As in ChangeAsked.
+  ChangeId m_Id;           ///< As in ChangeRequested.
   ChangeOutcome m_Outcome; ///< To be reported to the operator.
 };
 /// A log event; enumerators match the names in table/contract_events.inc.
--- a/src/decision/flow_base.h
+++ b/src/decision/flow_base.h
@@ -26,7 +26,7 @@
   WorkspaceShare *m_Share = nullptr; ///< Never null while it has bids.
   FlowQueue m_Queue;                 ///< Waiting bids.
   bool m_Blocked = false; ///< The workspace is at its limit on running work.
-  boost::intrusive::set_member_hook<> m_ReadyHook; ///< In Lane::m_Ready.
+  boost::intrusive::set_member_hook<> m_ReadyHook; ///< In Lane::m_ReadyFlows.
 };
 
 /// Orders flows by their workspace's virtual time, the lowest first.
--- a/tests/unit/decision_order_test.cpp
+++ b/tests/unit/decision_order_test.cpp
@@ -105,7 +105,7 @@
     return Minimum;
   }
 
-  TimePoint m_NextSample = m_Clock.now();  ///< Of m_GuideSlots.
+  TimePoint m_NextSample = m_Clock.now();  ///< Of m_BatchSlots.
   std::vector<std::uint32_t> m_BatchSlots; ///< Every 250 ms.
 };
 
