--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The commands of a maintainer's day; the README explains each.
+# Everyday commands for maintainers; the README explains each.
 BUILD ?= build
 JOBS ?= $(shell nproc)
 SECONDS ?= 60
--- a/scripts/benchmark_entry.sh
+++ b/scripts/benchmark_entry.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Measures what one entry adds: the same load straight to the stand-in
-# upstreams and through one entry with its dispatcher, side by side; the
-# processor time and the memory of the entry.
+# Measures the overhead of one entry: sends the same load directly to the
+# stand-in upstreams and through one entry with its dispatcher, one after the
+# other, and prints the entry's processor time and memory.
 #
 # Usage: scripts/benchmark_entry.sh
 # Environment: BUILD (build), OUT (out/benchmark), PORTS (7), SECONDS_EACH (15).
@@ -18,8 +18,8 @@
 engines="" services=""
 
 write_settings() {
-  # More slots than an engine of the examples has: the entry is measured here,
-  # not the queue before the engines.
+  # More slots than the engines of the examples have, to measure the entry and
+  # not the queue in front of the engines.
   sed -e "s/127\.0\.0\.1:7/127.0.0.1:$ports/" -e 's/"slots": [0-9]*/"slots": 600/' \
     examples/kilimanjaro/platform.json >"$work/platform.json"
   cat >"$work/platform.ini" <<EOF
@@ -80,11 +80,11 @@
 EOF
 }
 
-processor_ms() { # PID: processor time so far, from ticks of 10 ms
+processor_ms() { # PID; prints its processor time so far, in ticks of 10 ms converted to ms
   awk '{ print ($14 + $15) * 10 }' "/proc/$1/stat"
 }
 
-# Prints one line of the table. A row: name, target, and what run is given.
+# Runs one load and prints its row of the table. ARGUMENTs go to crowstep-load run.
 measure() { # NAME VIA TARGETS ARGUMENT...
   name=$1 via=$2 targets=$3
   shift 3
@@ -131,7 +131,7 @@
     --tokens 100
   both short "$services" --class pass-check --path /v1/services/pass-desk/check \
     --rate 2500 --tokens 0
-  # 100 ms a token, 10 s a stream, 50 streams a second: 500 stay open.
+  # At 100 ms a token a stream takes 10 s; 50 streams a second keep 500 open.
   for number in 1 2 3 4 5 6 7 8 9; do
     curl -fs -o /dev/null "http://127.0.0.1:${ports}40$number/faults" \
       -d '{"mode":"slow","factor":50}'
--- a/scripts/check_events.sh
+++ b/scripts/check_events.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Fails when docs/EVENTS.md is not what the event tables say.
+# Fails if docs/EVENTS.md does not match the event tables.
 set -eu
 sh scripts/print_events.sh | diff - docs/EVENTS.md >/dev/null || {
   echo "docs/EVENTS.md differs from src/table: sh scripts/print_events.sh >docs/EVENTS.md"
--- a/scripts/check_lint.sh
+++ b/scripts/check_lint.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Runs clang-tidy with the compile commands of the build folder given. Its
-# count of suppressed warnings in library headers is left out of the output.
+# Usage: check_lint.sh BUILD. Runs clang-tidy with the compile commands of BUILD.
+# Omits its count of suppressed warnings in library headers from the output.
 set -eu
 log=$(mktemp)
 trap 'rm -f "$log"' EXIT
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Runs the whole path on this machine: the stand-ins, three instances, a plain
-# and a streamed request of each example class; prints answers and times, stops
-# everything. Exits 0 only if every request was answered.
+# Runs each example deployment end to end on this machine: starts the stand-ins
+# and three instances, sends plain, streamed and keyed requests, prints answers
+# and times, and stops everything. Exits 0 only if every request was answered
+# with status 200.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/fleet.sh
@@ -9,7 +10,7 @@
 trap 'fleet_stop; rm -rf "$dir"' EXIT
 failed=0
 
-# ask PORT CLASS PATH BODY [curl options]: one request, its answer and times.
+# ask PORT CLASS PATH BODY [curl options]: sends a request; prints answer and times.
 ask() {
   local port=$1 class=$2 path=$3 body=$4
   shift 4
--- a/scripts/experiment.sh
+++ b/scripts/experiment.sh
@@ -1,13 +1,13 @@
 #!/bin/sh
-# Runs experiments against real processes on loopback, one policy after the
-# other with the same seed, and writes a report with pictures.
+# Runs experiments against real processes on loopback, each policy in turn with
+# the same seed, and writes a report with plots.
 #
 # Usage: scripts/experiment.sh DEPLOYMENT SCENARIO...
-#   as in: scripts/experiment.sh kilimanjaro steady burst
+#   for example: scripts/experiment.sh kilimanjaro steady burst
 # Environment: BUILD (build), OUT (out/experiments), ENTRIES (as listed),
 #   POLICIES ("crowstep round_robin least_in_flight"),
-#   PORTS (7: first digits of all ports, so that two runs can stand side by
-#   side), WARM_UP_MS and MEASURED_MS in place of what the experiment says.
+#   PORTS (7: first digits of all ports, so that two runs can go side by side),
+#   WARM_UP_MS and MEASURED_MS (override the experiment's values).
 set -eu
 cd "$(dirname "$0")/.."
 build=${BUILD:-build}
@@ -20,8 +20,8 @@
 mkdir -p "$out"
 . scripts/process_lib.sh
 
-# What a deployment's stand-ins can do; the rates of the experiments in
-# examples/experiments rest on it.
+# Capacity of a deployment's stand-ins. The request rates of the experiments in
+# examples/experiments are chosen for it.
 case $deployment in
 kilimanjaro)
   engines=9 engine=guide-writer service=pass-desk service_ms=60 delay_ms=3
@@ -45,8 +45,8 @@
 }
 
 write_platform() {
-  # The stand-in services take 8 calls at once: the small machine that runs
-  # an experiment could not carry the calls of 32.
+  # Stand-in services take 8 concurrent calls: the small machine that runs an
+  # experiment could not sustain 32.
   sed -e "s/127\.0\.0\.1:7/127.0.0.1:$ports/" -e 's/"slots": 32/"slots": 8/' \
     "examples/$deployment/platform.json" >"$work/platform.json"
   cat >"$work/platform.ini" <<EOF
@@ -56,7 +56,7 @@
 EOF
 }
 
-# Three engines a process; the round trip between zones is added by them.
+# Three engines per process. They add the round-trip time between zones.
 write_engines() {
   number=1
   while [ "$number" -le "$engines" ]; do
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,18 +1,18 @@
 # shellcheck shell=bash
-# Functions that run a fleet of real processes on loopback; sourced by other
-# scripts. Ports are those of the examples' platform.json: platform 7000, links
+# Functions that run a fleet of real processes on loopback, for other scripts to
+# source. Ports are those of the examples' platform.json: platform 7000, links
 # 7101.., administration 7201.., callers 7301.., engines 7401.., services 7501..;
-# FLEET_BASE moves them all.
+# FLEET_BASE shifts them all.
 #
 # fleet_settings DIR BUILD DEPLOYMENT COUNT   writes the settings files
 # fleet_start_platform, fleet_start_upstreams, fleet_start_instances
-# fleet_stop                                  ends everything that was started
+# fleet_stop                                  stops everything that was started
 # fleet_wait URL                              waits until URL answers 200
 
 FLEET_BASE=${FLEET_BASE:-7000} # Port of the platform; a multiple of 1000.
 FLEET_PIDS=()
-FLEET_DISPATCHER_PIDS=() # By instance number.
-FLEET_ENTRY_PIDS=()      # By instance number.
+FLEET_DISPATCHER_PIDS=() # Indexed by instance number, from 1.
+FLEET_ENTRY_PIDS=()      # Indexed by instance number, from 1.
 
 fleet_zones() {
   case $1 in
@@ -87,7 +87,7 @@
   done
 }
 
-# Starts PROGRAM with the settings NAME.ini and its log in NAME.log.
+# fleet_start PROGRAM NAME: starts PROGRAM with settings NAME.ini, log NAME.log.
 fleet_start() {
   local program=$1 name=$2
   "$FLEET_BUILD/$program" --config "$FLEET_DIR/$name.ini" \
--- a/scripts/install_packages.sh
+++ b/scripts/install_packages.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs the Debian packages that build, checks and tests need, where missing.
+# Installs the Debian packages that the build, checks and tests need, if missing.
 set -eu
 packages="g++ cmake ninja-build make pkg-config clang-format clang-tidy
 libglib2.0-dev libsoup-3.0-dev libhttp-parser-dev libflatbuffers-dev libtclap-dev
--- a/scripts/measure_fleet.sh
+++ b/scripts/measure_fleet.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Measures what control costs and how fast it is, with real processes.
+# Measures the cost and the latency of the control plane with real processes.
 #
 #   measure_fleet.sh idle COUNT...     each dispatcher's and entry's processor
 #                                      time, memory and link bytes while idle
@@ -7,8 +7,11 @@
 #                                      of them keyed
 #   measure_fleet.sh changes N         time from a change to "accepted",
 #                                      8 instances, N changes
-#   measure_fleet.sh kills N           time without service of a pool after its
+#   measure_fleet.sh kills N           time that a pool is not served after its
 #                                      owner is killed, 8 instances, N kills
+#
+# Environment: BUILD (build), SPAN (20: seconds of each measurement of idle and
+#   load).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/fleet.sh
@@ -27,10 +30,10 @@
   fleet_start_instances
 }
 
-# Processor time of a process in clock ticks, and its memory in KB.
+# Processor time of process $1 in clock ticks, and its resident memory in KB.
 ticks() { awk '{print $14 + $15}' "/proc/$1/stat"; }
 memory() { awk '/^VmRSS/ {print $2}' "/proc/$1/status"; }
-# Sum of all series of a name in an instance's metrics.
+# Sum of the metrics at address $1 whose name and labels begin with $2.
 series() { curl -s "http://$1/metrics" | awk -v n="$2" 'index($1, n) == 1 {s += $2} END {print s + 0}'; }
 
 snapshot() { # FILE
@@ -79,7 +82,7 @@
   done
 }
 
-measure_load() { # COUNT RATE; two thirds plain checks, one third keyed holds
+measure_load() { # COUNT RATE: two thirds unkeyed checks, one third keyed holds
   header
   start "$1"
   sleep 3
@@ -131,7 +134,7 @@
   done
 }
 
-check() { # asks for one pass check at entry $1
+check() { # sends one pass check to entry $1; prints the status
   curl -s -o /dev/null -w '%{http_code}' --max-time 5 \
     -H 'Authorization: Bearer meru-loops-key' -H 'Crowstep-Class: pass-check' \
     -H 'Content-Type: application/json' -d '{"id":1}' \
--- a/scripts/measure_membership.sh
+++ b/scripts/measure_membership.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Measures the membership with real processes on this machine: cost of each
-# member from its own counters and /proc, and the time from a SIGKILL until the
+# Measures membership with real processes on this machine: the cost of each
+# member, from its own counters and /proc, and the time from a SIGKILL until the
 # last survivor has moved the victim's pools.
 # Usage: measure_membership.sh BUILD [KILLS] [SIZES...]
 set -euo pipefail
@@ -25,7 +25,7 @@
   pids[$1]=$!
 }
 
-write_settings() { # index: the hints are three members, as a stale list has
+write_settings() { # index; only three members are hints, as in a stale list
   cat >"$dir/$1.ini" <<INI
 [log]
 level = warn
@@ -39,7 +39,7 @@
 
 get() { curl -s --max-time 5 "http://127.0.0.1:$((24000 + $1))/$2"; }
 
-wait_for_view() { # index, live members wanted
+wait_for_view() { # index, expected number of live members
   for _ in $(seq 300); do
     [ "$(get "$1" view | grep -c alive)" = "$2" ] && return 0
     sleep 0.1
@@ -48,7 +48,7 @@
   exit 1
 }
 
-counter() { # file, name with labels: its value
+counter() { # file, name with labels; prints its value
   awk -v name="$2" '$1 == name { print $2 }' "$1"
 }
 
@@ -57,7 +57,7 @@
   awk '{ print $14 + $15 }' "/proc/${pids[$1]}/stat" >"$dir/$1.$2.cpu"
 }
 
-per_second() { # size, counter: mean of all members
+per_second() { # size, counter; prints the mean rate of all members
   for index in $(seq 0 $(($1 - 1))); do
     echo "$(counter "$dir/$index.begin" "$2") $(counter "$dir/$index.end" "$2")"
   done | awk -v time="$quiet_seconds" '{ sum += $2 - $1 } END { printf "%.1f", sum / NR / time }'
@@ -83,7 +83,7 @@
     "$(counter "$dir/$last.end" crowstep_link_open)" "$cpu" "$rss"
 }
 
-measure_kills() { # size: one line for the table of kills
+measure_kills() { # size; prints one line of results
   local last=$(($1 - 1))
   for round in $(seq "$kills"); do
     victim=$((round % $1))
--- a/scripts/process_lib.sh
+++ b/scripts/process_lib.sh
@@ -1,10 +1,10 @@
-# Functions of the scripts that start the programs; sourced, not run.
-# The script sets $work, the folder of settings and logs.
+# Functions for scripts that start the programs; to be sourced, not run.
+# The sourcing script sets $work, the folder of settings and logs.
 # shellcheck shell=sh disable=SC2154
 
 pids=""
 
-# Ends the processes that this script has started, and only them.
+# Stops the processes that this script started, and no others.
 stop_all() {
   for pid in $pids; do kill "$pid" 2>/dev/null || true; done
   for pid in $pids; do wait "$pid" 2>/dev/null || true; done
@@ -19,7 +19,7 @@
   pids="$pids $last_pid"
 }
 
-wait_ready() { # ADDRESS: until /readyz says yes, at most 20 s
+wait_ready() { # ADDRESS: waits until /readyz succeeds, for about 100 tries 0.2 s apart
   tries=0
   until curl -fs -m 1 -o /dev/null "http://$1/readyz"; do
     tries=$((tries + 1))
--- a/scripts/run_tests.sh
+++ b/scripts/run_tests.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# Runs all tests of the build folder given but those in KNOWN-RED.txt, which
-# are run first and by themselves; one of these that passes must leave the list.
-# All lines of the list are printed, also those that no test here plays.
+# Usage: run_tests.sh BUILD. Runs all tests of BUILD except those listed in
+# KNOWN-RED.txt, which run first and one by one: the script fails if one passes,
+# as it must then leave the list. Prints every line of the list, also those that
+# name no test.
 set -eu
 build=$1
 known=$(sed -n 's/^\([a-z0-9_]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null || true)
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Fresh seeds: soak.sh BUILD SECONDS. Half of the time real gateways meet faults;
-# then the tests run again and again. What fails is printed with its seed, which
-# goes into tests/soak/seeds.txt or into a test.
+# Usage: soak.sh BUILD SECONDS. Runs fresh seeds: half of the time real gateways
+# under faults, then the tests repeatedly. A failure is printed with its seed, to
+# be added to tests/soak/seeds.txt or to a test.
 set -uo pipefail
 build=$1 end=$((SECONDS + $2))
 "$build/tests/crowstep-soak" --seconds $(($2 / 2)) --keep "$build/soak" || exit 1
