--- a/src/entry/dispatcher_links.h
+++ b/src/entry/dispatcher_links.h
@@ -33,7 +33,7 @@
   /// used.
   void start(link::Links &NewLinks);
 
-  /// Returns whether new work may be accepted, by Clock::fresh().
+  /// Returns whether new work may be accepted, by Clock::readNow().
   [[nodiscard]] bool hasRightToServe() const;
 
   /// Returns whether the home reports that this instance is draining.
--- a/src/entry/request_core.h
+++ b/src/entry/request_core.h
@@ -36,7 +36,7 @@
 public:
   RequestCore(const RequestTerms &Terms, TimePoint Now);
 
-  /// Handles one event at the time \p Now (Clock::fresh()) and appends the
+  /// Handles one event at the time \p Now (Clock::readNow()) and appends the
   /// resulting actions. Events that no longer apply are ignored.
   void handle(const RequestEvent &Event, TimePoint Now,
               std::vector<RequestAction> &Actions);
--- a/src/entry/request_type.h
+++ b/src/entry/request_type.h
@@ -123,7 +123,7 @@
   bool m_OutcomeKnown; ///< False: "unknown" is recorded.
 };
 /// Send the call. The sender checks the time once more right before the first
-/// byte: bytes may only be sent before m_SendDeadline, by Clock::fresh().
+/// byte: bytes may only be sent before m_SendDeadline, by Clock::readNow().
 struct SendCall {
   GrantedSlot m_Slot;
   TimePoint m_SendDeadline;     ///< When the grant or the claim expires.
--- a/src/http/upstream_call.h
+++ b/src/http/upstream_call.h
@@ -32,7 +32,7 @@
   std::string m_Body;            ///< Complete.
   bool m_Repeatable = false;     ///< False: always on a new connection.
   bool m_CloseAfter = false;     ///< Ask the upstream to close the connection.
-  TimePoint m_SendDeadline;      ///< Last check, against Clock::fresh().
+  TimePoint m_SendDeadline;      ///< Last check, against Clock::readNow().
   std::function<bool()> m_SendCheck; ///< Part of the last check; may be empty.
   Duration m_SilenceTimeout{};       ///< Between two received bytes; 0: none.
   Duration m_ConnectTimeout{};       ///< For the connection; 0: none.
--- a/src/lease/token_bucket.h
+++ b/src/lease/token_bucket.h
@@ -32,7 +32,7 @@
   Duration m_Interval;     ///< Between tokens, > 0.
   unsigned m_Burst;        ///< Capacity in tokens, >= 1.
   TimePoint m_FullAt;      ///< When the bucket will be full again.
-  TimePoint m_PausedUntil; ///< Set by pause().
+  TimePoint m_PausedUntil; ///< Set by pauseUntil().
 };
 
 } // namespace crowstep::lease
