--- a/src/wire/wire_text.h
+++ b/src/wire/wire_text.h
@@ -1,4 +1,4 @@
-/// Texts in frames.
+/// Reading of string fields in frames.
 #ifndef CROWSTEP_WIRE_WIRE_TEXT_H
 #define CROWSTEP_WIRE_WIRE_TEXT_H
 
@@ -8,8 +8,8 @@
 
 namespace crowstep::wire {
 
-/// Returns a text of a frame; an absent one is empty, as an empty one is
-/// absent when it is packed.
+/// Returns a string field of a frame. An absent field reads as empty: packing
+/// leaves out empty strings.
 inline std::string textOf(const flatbuffers::String *Text) {
   return Text == nullptr ? std::string() : Text->str();
 }
